--- a/eslint.config.js
+++ b/eslint.config.js
@@ -36,7 +36,7 @@
         rules: {
             "jsdoc/require-jsdoc": ["error", {
                 publicOnly: true,
-                require: { ClassDeclaration: true, FunctionDeclaration: true, MethodDefinition: true },
+                require: { ClassDeclaration: true, FunctionDeclaration: true, MethodDefinition: false },
                 contexts: [
                     "ExportNamedDeclaration > VariableDeclaration",
                     "TSInterfaceDeclaration",
@@ -45,6 +45,12 @@
                 ],
                 checkConstructors: false,
             }],
+            "jsdoc/informative-docs": "error",
+            "no-warning-comments": ["warn", {
+                terms: ["see the module's comment", "see the class's comment"],
+                location: "start",
+                decoration: ["*"],
+            }],
         },
     },
 );
--- a/packages/cell/src/choosing/room-index.ts
+++ b/packages/cell/src/choosing/room-index.ts
@@ -12,7 +12,6 @@
 export class RoomIndex {
     /** The fullest first, by the processors that were free when the index was made. */
     readonly fullestFirst: readonly WorkerState[];
-    /** The emptiest first. */
     readonly emptiestFirst: readonly WorkerState[];
     readonly #free: readonly number[];
     readonly #byId: ReadonlyMap<WorkerId, WorkerState>;
--- a/packages/core/src/errors/index.ts
+++ b/packages/core/src/errors/index.ts
@@ -181,7 +181,7 @@
     ),
 } as const satisfies Record<string, ErrorEntry>;
 
-/** The name of an error. */
+/** Key of an entry in the catalogue, as callers receive it. */
 export type ErrorName = keyof typeof errorCatalogue;
 
 /** An error as it is sent in the body of an answer. */
--- a/packages/entry/src/membership/view.ts
+++ b/packages/entry/src/membership/view.ts
@@ -3,14 +3,14 @@
 
 /** Keys of the cell's entry VMs and owner. */
 export const cellPrefix = "cell/";
-/** Key of the owner. */
+/** Key under which the current owner publishes its name and address. */
 export const ownerKey = "cell/owner";
 const vmPrefix = "cell/nodes/";
 
 /** Key of an entry VM. */
 export const vmKey = (name: string): string => `${vmPrefix}${name}`;
 
-/** One entry VM. */
+/** A VM that runs this program, as it registers itself in the store. */
 export interface EntryVm {
     readonly name: string;
     /** IP number and port at which it takes the owner's connection. */
@@ -24,7 +24,7 @@
     readonly startedAt: number;
 }
 
-/** The owner's entry. */
+/** The value under {@link ownerKey}: which entry VM places work, and at which address it takes connections. */
 export interface OwnerEntry {
     readonly name: string;
     readonly address: string;
--- a/packages/operator/src/report/fetch.ts
+++ b/packages/operator/src/report/fetch.ts
@@ -5,7 +5,7 @@
 import type { OperatorValues } from "../cli/operator-command.js";
 import { fetchSettings, treeOf } from "../settings/index.js";
 
-/** The report. */
+/** Service-level burn of all gateways, as the command prints it. */
 export interface BurnReport {
     readonly at: string;
     /** Share of requests that must be answered whole and in time. */
--- a/packages/stand-ins/src/platform/server.ts
+++ b/packages/stand-ins/src/platform/server.ts
@@ -43,7 +43,7 @@
     readonly cursor: string;
 }
 
-/** The stand-in of the platform. */
+/** Serves the platform's key-value service and VM list over HTTP from memory, with faults on demand. */
 export class PlatformStandIn {
     readonly store = new MemoryStore();
     readonly faults: PlatformFaults = { outage: false, delay: 0, loseAnswers: 0 };
