--- a/packages/evidence/test/journal/journal.test.ts
+++ b/packages/evidence/test/journal/journal.test.ts
@@ -23,7 +23,7 @@
 const open = async (
     store: FlakyStore,
     writer: string,
-    sizes: { ringSize?: number; snapshotEvery?: number; largestBytes?: number; mostOnTheirWay?: number; } = {},
+    sizes: { ringSize?: number; snapshotEvery?: number; maxValueBytes?: number; maxInFlight?: number; } = {},
 ) => openJournal({
     store,
     clock: instantClock,
@@ -119,7 +119,7 @@
 
     it("splits what is larger than one value, groups and snapshots alike", async () => {
         const store = new FlakyStore();
-        const { journal } = await open(store, "owner", { largestBytes: 200, ringSize: 64 });
+        const { journal } = await open(store, "owner", { maxValueBytes: 200, ringSize: 64 });
         const owner = keepState(journal);
         const texts = Array.from({ length: 30 }, (_, index) => `record ${index} `.padEnd(40, "xé漢"));
         await Promise.all(texts.map(text => owner.append(text)));
@@ -215,7 +215,7 @@
 
     it("has several segments on their way, and tells of each only when all before it are kept", async () => {
         const store = new FlakyStore();
-        const { journal } = await open(store, "owner", { mostOnTheirWay: 4, snapshotEvery: 100 });
+        const { journal } = await open(store, "owner", { maxInFlight: 4, snapshotEvery: 100 });
         const held = holdFirstWrite(store);
         const told: string[] = [];
         const first = journal.append(["a"]).then(() => told.push("a"));
@@ -231,7 +231,7 @@
 
     it("keeps records while a snapshot is on its way, however long that takes", async () => {
         const store = new FlakyStore();
-        const { journal } = await open(store, "owner", { mostOnTheirWay: 4, ringSize: 32 });
+        const { journal } = await open(store, "owner", { maxInFlight: 4, ringSize: 32 });
         const owner = keepState(journal);
         let release: () => void = () => undefined;
         const held = new Promise<void>(resolve => release = resolve);
@@ -254,7 +254,7 @@
 
     it("waits for a snapshot before the keys of its ring run out", async () => {
         const store = new FlakyStore();
-        const { journal } = await open(store, "owner", { mostOnTheirWay: 4 });
+        const { journal } = await open(store, "owner", { maxInFlight: 4 });
         const owner = keepState(journal);
         let release: () => void = () => undefined;
         const held = new Promise<void>(resolve => release = resolve);
@@ -271,7 +271,7 @@
 
     it("is read by calls side by side, so that a slow store answers once for all of a large ring and once for a snapshot", async () => {
         const store = new FlakyStore();
-        const sizes = { ringSize: 1_024, snapshotEvery: 4, largestBytes: 200 };
+        const sizes = { ringSize: 1_024, snapshotEvery: 4, maxValueBytes: 200 };
         const { journal } = await open(store, "first", sizes);
         const owner = keepState(journal);
         for (let index = 0; index < 30; index++) {
@@ -305,7 +305,7 @@
 
     it("does not count what follows a segment that never arrived, and overwrites it", async () => {
         const store = new FlakyStore();
-        const { journal } = await open(store, "old", { mostOnTheirWay: 4, snapshotEvery: 100 });
+        const { journal } = await open(store, "old", { maxInFlight: 4, snapshotEvery: 100 });
         await journal.append(["kept"]);
         const held = holdFirstWrite(store);
         const lost = journal.append(["lost"]);
@@ -324,7 +324,7 @@
 
     it("does not take an earlier owner's segments beyond its claim for a later owner's", async () => {
         const store = new FlakyStore();
-        const { journal } = await open(store, "old", { mostOnTheirWay: 4, snapshotEvery: 100 });
+        const { journal } = await open(store, "old", { maxInFlight: 4, snapshotEvery: 100 });
         const held = holdFirstWrite(store);
         const lost = journal.append(["lost"]);
         await turns();
