--- a/packages/cell/src/choosing/constants.ts
+++ b/packages/cell/src/choosing/constants.ts
@@ -1,32 +1,29 @@
-/** Times, sizes and weights of choices that are not settings. Times are in milliseconds. */
-/**
- * What a stop takes, in milliseconds, from the decision to the end that is listed: workers may take 200 to 900 ms by the
- * users' bounds, and take less.
- */
+/** Tuning constants of ranking and worker selection. Times are in milliseconds. */
+/** Expected time from the decision to stop a run until the worker reports its end. Workers may take 200 to 900 ms. */
 export const stopTime = 400;
-/** Added to the cost of a worker with tasks that serve, for tasks that fill. */
+/** Cost added, for filler tasks, to a worker that runs latency-sensitive tasks. */
 export const servingCost = 100;
-/** A task is wide when no worker of its service holds more than this many of them. */
+/** A task is wide when no worker of its service can hold more than this many of them. */
 export const wideTasksPerWorker = 4;
 /**
- * Workers are looked through, the fullest first, until those found hold this many times the tasks that wait: a worker that is
- * less full may be left with less once it has several tasks.
+ * The search for candidates, fullest workers first, ends once they hold this many times the waiting tasks. It goes beyond the first fit
+ * because a less full worker may fit better once it takes several tasks.
  */
 export const choiceFactor = 3;
-/** Fewest workers that are found before the others are left out. */
+/** Candidates to find before the search may end early. */
 export const fewestCandidates = 16;
-/**
- * Work can wait only while it has this much more time than it needs, in milliseconds: for a start that takes a while, and for
- * a change of owner or workers that leave meanwhile.
- */
+/** Least slack with which a step is deferrable. It covers a slow start, a change of owner and workers that leave meanwhile. */
 export const leastSlack = 4_000;
-/** The same for callers' estimates that are too short, as a share of the work that is left. */
+/** Slack required in addition, as a share of the remaining work, because callers' estimates may be too short. */
 export const slackOfWork = 0.5;
-/** Share of the time to spare of an urgent job that it has only if its estimate is right: an objective grows with the real work. */
+/**
+ * An urgent step with less than this share of its job's initial slack counts as on time only if its estimate is right: the objective is
+ * computed from the estimate.
+ */
 export const doubtedShare = 0.4;
-/** An urgent step goes behind those that must start this much earlier for each core-second that it asks for, in milliseconds. */
+/** Delay in the order of urgent steps, in milliseconds for each core-second that a step asks for. */
 export const handicapPerCoreSecond = 10;
-/** Most that its size puts an urgent step back, in milliseconds. */
+/** Upper bound of the size penalty of an urgent step, in milliseconds. */
 export const mostHandicap = 1_000;
-/** Cost of a worker that takes e times as long, beside its processors that stay free: more than those of most workers. */
+/** Cost of a worker that is slower by a factor of e. It outweighs the free processors of most workers, which cost 1 each. */
 export const slownessCost = 50;
--- a/packages/cell/src/choosing/expected-end.ts
+++ b/packages/cell/src/choosing/expected-end.ts
@@ -1,15 +1,15 @@
-/** When runs are expected to end. */
+/** Estimates when runs will end. */
 import type { Milliseconds } from "@pebbledale/core";
 import { RunPhase, type TaskRun } from "../state/index.js";
 
-/** Estimates of callers are taken for this much longer where others would have to wait: they are rough. */
+/** Factor applied to callers' estimates when deciding whether a task ends before a reservation: estimates are rough. */
 export const backfillMargin = 1.25;
-/** From this much progress under this owner on, in percent, a run's own speed says more than its caller's estimate. */
+/** Progress in percent, observed by this owner, from which a run's own speed is used instead of its caller's estimate. */
 const enoughProgress = 8;
-/** A run that has taken longer than expected, or was told to stop, is expected to end within this time, in milliseconds. */
+/** A run that is overdue or stopping is expected to end within this time, in milliseconds. */
 const soon: Milliseconds = 150;
 
-/** When a run will end, by its progress so far, or by its caller's estimate; never, if it lasts. */
+/** Extrapolates from the run's progress, or else from its caller's estimate. `Infinity` for long-running tasks. */
 export const expectedEnd = (run: TaskRun, now: Milliseconds): Milliseconds => {
     const { definition } = run.task.step;
     if (run.phase === RunPhase.Stopping) {
@@ -24,7 +24,6 @@
     if (firstSeen === undefined || gained < enoughProgress) {
         return Math.max(now + soon, progressedAt + definition.estimate * run.worker.slowness * left / 100);
     }
-    // Progress was seen some time ago; it goes on at the speed it had until then. What it had done when it was first
-    // seen, after a restore or under an earlier owner, says nothing of its speed.
+    // Progress made before the run was first seen, restored or reported under an earlier owner, is left out of its speed.
     return Math.max(now + soon, progressedAt + left * (progressedAt - firstSeen.at) / gained);
 };
--- a/packages/cell/src/choosing/index.ts
+++ b/packages/cell/src/choosing/index.ts
@@ -1,4 +1,4 @@
-/** What decisions are made from: the order of steps, when runs end, when room opens, which workers may take a step. */
+/** Inputs of placement: the ranking of steps, expected ends of runs, forecasts of free resources and candidate workers. */
 export { stopTime } from "./constants.js";
 export * from "./expected-end.js";
 export * from "./room-forecast.js";
--- a/packages/cell/src/choosing/room-forecast.ts
+++ b/packages/cell/src/choosing/room-forecast.ts
@@ -1,47 +1,50 @@
-/** When workers will have room, from when the runs there are expected to end. Worked out once a pass for each worker. */
+/** Free resources of workers, now and as expected later. */
 import type { Milliseconds } from "@pebbledale/core";
 import type { Step, TaskRun, WorkerState } from "../state/index.js";
 import { stopTime } from "./constants.js";
 import { expectedEnd } from "./expected-end.js";
 
-/** A time from which one more task of a step fits a worker. */
+/** A time from which a worker has the resources for one more task of a step. */
 export interface Opening {
     readonly at: Milliseconds;
     readonly worker: WorkerState;
 }
 
-/** Room of a worker at some time. */
+/** An amount of a worker's resources: thousandths of a processor, mebibytes of memory, accelerators. */
 export interface Room {
     readonly processor: number;
     readonly memory: number;
     readonly accelerators: number;
 }
 
-/** What a worker has free again when a run there ends. */
+/** The expected end of a run, at which its worker has the run's resources free again. */
 interface Ending {
     readonly at: Milliseconds;
     readonly run: TaskRun;
 }
 
-/** Whether a run is to be stopped in time rather than waited for. */
+/** Tells whether a run would be preempted rather than waited for. */
 export type IsStopped = (run: TaskRun) => boolean;
 
-/** See the module's comment. */
+/** Forecasts workers' free resources from the expected ends of their runs, which are computed once a cycle for each worker. */
 export class RoomForecast {
-    /** By worker, the first to end first. */
+    /** By worker, sorted by time. */
     readonly #endings = new Map<WorkerState, readonly Ending[]>();
 
-    /** Begins a pass. */
+    /** Drops the forecasts of the previous cycle. */
     clear(): void {
         this.#endings.clear();
     }
 
-    /** The runs of a worker changed. */
+    /** Drops the forecast of a worker whose runs changed. */
     forget(worker: WorkerState): void {
         this.#endings.delete(worker);
     }
 
-    /** Times from which up to `count` tasks of a step fit a worker, one after the other; runs that are stopped end soon. */
+    /**
+     * Times from which a worker can hold one, two and up to `count` tasks of a step. Runs for which `isStopped` holds are taken to end
+     * after the time of a stop.
+     */
     openingsOf(worker: WorkerState, step: Step, count: number, now: Milliseconds, isStopped?: IsStopped): Opening[] {
         const openings: Opening[] = [];
         let room = roomOf(worker);
@@ -63,7 +66,7 @@
         return openings;
     }
 
-    /** What a worker is expected to have free at a time, were nothing started there until then. */
+    /** The resources that a worker will have free at a time if nothing is started there until then. */
     roomAt(worker: WorkerState, at: Milliseconds, now: Milliseconds): Room {
         return this.#endingsOf(worker, now)
             .filter(ending => ending.at <= at)
@@ -89,35 +92,35 @@
         .map(({ run, at }) => ({ run, at: at > now + stopTime && isStopped(run) ? now + stopTime : at }))
         .sort(byTime);
 
-/** What a run holds of its worker. */
+/** Resources that a run holds. Filler tasks hold no processor. */
 export const roomOfRun = ({ task: { step: { definition: { size, fills } } } }: TaskRun): Room => ({
     processor: fills ? 0 : size.processorThousandths,
     memory: size.memoryMebibytes,
     accelerators: size.accelerators,
 });
 
-/** What a worker has free now. */
+/** Resources that a worker has free now. */
 export const roomOf = ({ freeProcessor, freeMemory, freeAccelerators }: WorkerState): Room => ({
     processor: freeProcessor,
     memory: freeMemory,
     accelerators: freeAccelerators,
 });
 
-/** Two rooms together. */
+/** The sum of two amounts of resources. */
 export const sumOf = (left: Room, right: Room): Room => ({
     processor: left.processor + right.processor,
     memory: left.memory + right.memory,
     accelerators: left.accelerators + right.accelerators,
 });
 
-/** What is left of some room once `count` tasks of a step have theirs. */
+/** What remains after `count` tasks of a step took their resources; negative where they did not fit. */
 export const roomWithout = (room: Room, { definition: { size, fills } }: Step, count: number): Room => ({
     processor: room.processor - (fills ? 0 : count * size.processorThousandths),
     memory: room.memory - count * size.memoryMebibytes,
     accelerators: room.accelerators - count * size.accelerators,
 });
 
-/** How many tasks of a step some room holds. */
+/** How many tasks of a step fit an amount of resources. */
 export const countIn = ({ processor, memory, accelerators }: Room, { definition: { size, fills } }: Step): number =>
     Math.max(
         0,
--- a/packages/cell/src/choosing/room-index.ts
+++ b/packages/cell/src/choosing/room-index.ts
@@ -1,16 +1,15 @@
-/**
- * Workers in the order of their room, made once a pass.
- *
- * The load that it answers: hundreds of steps that wait and hundreds of workers, as after a change of owner. To go through
- * all workers for each step takes a pass tenths of a second, in which the owner hears nobody. Within a pass room only
- * shrinks, so workers that had too little when it began need not be looked at, and the first of the others are the best fit.
- */
+/** Index of workers by free processors. */
 import type { WorkerId } from "@pebbledale/core";
 import type { WorkerState } from "../state/index.js";
 
-/** See the module's comment. */
+/**
+ * Workers sorted by free processors at the start of a scheduling cycle.
+ *
+ * With hundreds of ready steps and workers, as after a change of owner, a scan of all workers for each step would block the owner
+ * for tenths of a second. Free resources only shrink within a cycle, so workers below a step's size at its start can be skipped.
+ */
 export class RoomIndex {
-    /** The fullest first, by the processors that were free when the index was made. */
+    /** By the processors that were free when the index was built. */
     readonly fullestFirst: readonly WorkerState[];
     readonly emptiestFirst: readonly WorkerState[];
     readonly #free: readonly number[];
@@ -23,12 +22,12 @@
         this.#free = this.fullestFirst.map(worker => worker.freeProcessor);
     }
 
-    /** A worker, if it was among those that the index was made of. */
+    /** Undefined when the worker is not in the index. */
     get(id: WorkerId): WorkerState | undefined {
         return this.#byId.get(id);
     }
 
-    /** Place in {@link fullestFirst} of the first worker with at least so many thousandths of a processor free. */
+    /** Position in {@link fullestFirst} of the first worker with at least this much free. */
     firstWith(processorThousandths: number): number {
         let low = 0;
         let high = this.#free.length;
--- a/packages/cell/src/choosing/room-plan.ts
+++ b/packages/cell/src/choosing/room-plan.ts
@@ -1,12 +1,12 @@
-/** Where and when room is expected. */
+/** Plans for steps that do not fit yet. */
 import type { Milliseconds } from "@pebbledale/core";
 import type { WorkerState } from "../state/index.js";
 
-/** Where and when a step is expected to fit. */
+/** The workers on which a step is expected to fit, and from when. */
 export interface RoomPlan {
     readonly from: Milliseconds;
-    /** How many of the step's tasks each worker is to take. */
+    /** Number of the step's tasks planned for each worker. */
     readonly shares: ReadonlyMap<WorkerState, number>;
-    /** Whether runs that give way are to be stopped for it. */
+    /** Whether the plan counts on preempting runs. */
     readonly preempts: boolean;
 }
--- a/packages/cell/src/choosing/urgency.ts
+++ b/packages/cell/src/choosing/urgency.ts
@@ -1,59 +1,57 @@
-/** The order in which ready steps are placed. */
+/** Ranks ready steps. */
 import type { Milliseconds } from "@pebbledale/core";
 import type { CellContext, Job, Occurrence, Step } from "../state/index.js";
 import { doubtedShare, handicapPerCoreSecond, leastSlack, mostHandicap, slackOfWork } from "./constants.js";
 
-/** What a step can still earn. */
+/** Whether a step's job can still meet its objective, and so how much of its value it can still earn. */
 export enum Prospect {
-    /** Its tasks last and serve users all the time: they go first. */
+    /** Its tasks run until they are cancelled and serve users throughout: they go first. */
     Lasting = 0,
-    /** Its job can meet its objective. */
     OnTime = 1,
-    /** Its job is late, and may earn a part of its worth. */
+    /** Its job misses its objective but earns a part of its value. */
     Late = 2,
-    /** Its job is so late that it earns nothing, but it is owed. */
+    /** Its job is too late to earn anything, but still has to be completed. */
     Overdue = 3,
 }
 
-/** A job that takes more than this many times its objective earns nothing (the users' rules). */
+/** A job that takes more than this many times its objective earns nothing. */
 const lateFactor = 3;
 
 /**
- * The order of steps by what they can still earn. Late narrow steps of the most urgent queues go before patient work that can wait:
- * both earn something that way, whereas behind it late steps would become worthless.
+ * The coarsest criterion of the order of steps; lower goes first. Late narrow steps of the most urgent queues go before deferrable
+ * work: behind it they would become worthless, while the deferrable work can still be on time.
  */
 export enum Tier {
     Lasting = 0,
     OnTime = 1,
-    /** Also steps that are on time only if their estimates are right, and those beyond what their organisation is owed. */
+    /** Also urgent steps that are on time only if their estimates are right, and those that exceed their organisation's entitlement. */
     LateUrgent = 2,
     OnTimeWithSlack = 3,
     Late = 4,
     Overdue = 5,
 }
 
-/** A ready step with what decides its place. */
+/** A ready step with its sort keys. */
 export interface RankedStep {
     readonly step: Step;
     readonly prospect: Prospect;
-    /** See {@link Tier}; lower goes first. */
     readonly tier: Tier;
     readonly priority: number;
-    /** 0 where its organisation is owed it, more where it is surplus: that goes behind, and if urgent ranks with late steps. */
+    /** 0 within its organisation's entitlement, more for surplus. Surplus goes behind, and where urgent ranks with late steps. */
     readonly standing: number;
-    /** The latest time, by the owner's monotonic clock, at which it can begin and its job be on time. */
+    /** The latest time, by the owner's monotonic clock, at which it can start for its job to be on time. */
     readonly latestStart: Milliseconds;
-    /** Its place among steps of one tier, priority and standing; lower goes first. */
+    /** Orders steps of the same tier, priority and entitlement; lower goes first. */
     readonly turn: Milliseconds;
 }
 
-/** When an occurrence of a job began to count, by the owner's monotonic clock. */
+/** When an occurrence was due or its job accepted, by the owner's monotonic clock; objectives are measured from here. */
 const beganAt = (context: CellContext, job: Job, occurrence: Occurrence): Milliseconds => {
     const dueAt = job.dueAt(occurrence.number);
     return dueAt === undefined ? job.acceptedSteady : context.now() - (context.wallClock() - dueAt);
 };
 
-/** Ranks one step. */
+/** Computes the sort keys of a step. `standing`: 0 within its organisation's entitlement, more for surplus. */
 export const rank = (context: CellContext, step: Step, now: Milliseconds, standing = 0): RankedStep => {
     const { job, occurrence, definition } = step;
     const { extension, latencyTarget, priority } = job.terms;
@@ -80,11 +78,11 @@
     return { step, prospect, tier, priority, standing, latestStart, turn };
 };
 
-/** Whether a step is of the most urgent queues and its tasks are small, each by itself, and end. */
+/** Whether a step of the most urgent queues has independent tasks that end: no gang, not long-running. */
 export const isUrgentNarrow = ({ queues }: CellContext, { definition, job }: Step): boolean =>
     job.terms.priority === queues?.mostUrgent && !definition.isLasting && !definition.isGang;
 
-/** Where not all urgent jobs can be on time, small ones earn more for the room that they take. */
+/** Puts large steps back: where not all urgent jobs can be on time, small ones earn more for their resources. */
 const handicapOf = ({ definition: { estimate, size, taskCount } }: Step): Milliseconds => {
     const coreSeconds = taskCount * size.processorThousandths * estimate / 1e6;
     return Math.min(mostHandicap, coreSeconds * handicapPerCoreSecond);
@@ -110,10 +108,7 @@
     }
 };
 
-/**
- * An urgent step that is on time only if its estimate is right takes no room from one that surely can be, nor does one beyond what its
- * organisation is owed from late ones that are owed.
- */
+/** Uncertain steps must not displace those that can surely be on time, nor surplus ones late steps within their entitlement. */
 const urgentTier = ({ occurrence, job }: Step, slack: Milliseconds, standing: number): Tier => {
     const isDoubted = slack < doubtedShare * (job.terms.extension - 1) * occurrence.longestChain;
     return isDoubted || standing > 0 ? Tier.LateUrgent : Tier.OnTime;
@@ -125,7 +120,7 @@
     return canWait ? Tier.OnTimeWithSlack : Tier.OnTime;
 };
 
-/** Whether a step can wait and its job be on time all the same, also when its estimates are too short. */
+/** Whether a step with this much time until its latest start is deferrable, allowing for estimates that are too short. */
 export const hasSlack = ({ occurrence, index }: Step, slack: Milliseconds): boolean =>
     slack > leastSlack + slackOfWork * occurrence.chains[index];
 
@@ -136,11 +131,11 @@
     || left.standing - right.standing
     || left.turn - right.turn;
 
-/** Queues have a handful of priorities; a job's prospect counts for more than any of them. */
+/** Weight of the deadline status over the queue's priority in the urgency of a question. */
 const prioritiesPerProspect = 4;
 
-/** One figure for the order in which steps' questions are asked: lower goes first. */
+/** Urgency of a step's questions to the advice service; lower goes first. */
 export const urgencyOf = ({ prospect, priority }: RankedStep): number => prospect * prioritiesPerProspect + priority;
 
-/** Whether a step can still earn all its job's worth, so that its tickets are to be at hand whenever room opens. */
+/** Whether a step can still earn its job's full value, so that its tickets are renewed before they expire. */
 export const isWorthFreshTickets = ({ prospect }: RankedStep): boolean => prospect <= Prospect.OnTime;
--- a/packages/cell/src/choosing/worker-choice.ts
+++ b/packages/cell/src/choosing/worker-choice.ts
@@ -1,48 +1,45 @@
-/** Chooses workers for the tasks of one step. */
+/** Selects workers for the tasks of one step. */
 import type { Milliseconds, ServiceName } from "@pebbledale/core";
 import type { Step, StepPermits, WorkerState } from "../state/index.js";
 import { choiceFactor, fewestCandidates, servingCost, slownessCost, wideTasksPerWorker } from "./constants.js";
 import type { RoomIndex } from "./room-index.js";
 
-/** Some tasks of a step at one worker. */
+/** A number of a step's tasks at one worker, with the advice service's ticket where one is needed. */
 export interface Share {
     readonly worker: WorkerState;
     readonly count: number;
     readonly ticket: string | undefined;
 }
 
-/** A worker that may run a step, and how much of it. */
+/** A worker that can take tasks of a step now, and how many. */
 interface Candidate extends Share {
     /** Lower is better. */
     readonly cost: number;
-    /** Whether something speaks against it. */
+    /** Whether its cost contains a penalty. */
     readonly isDoubted: boolean;
 }
 
-/** What a choice is made from. */
+/** Parameters of a search for candidate workers. */
 export interface ChoiceInput {
     readonly step: Step;
     readonly service: ServiceName;
     readonly index: RoomIndex;
     readonly now: Milliseconds;
-    /** How many tasks a worker takes at most, so that room that is kept for others stays kept. */
+    /** Upper bound of tasks on a worker, so that reservations and headroom are respected. */
     readonly limit: (worker: WorkerState) => number;
-    /** Whether the step's tasks go to the fastest workers, or leave these to others. */
+    /** Whether the step prefers fast workers, or leaves these to others. */
     readonly prefersFast: boolean;
-    /** What speaks against a worker, added to its cost. */
+    /** Added to a worker's cost. */
     readonly doubt: (worker: WorkerState) => number;
 }
 
-/** Added for a worker on another rack than the step's data: that takes longer, so it comes after all near ones. */
+/** Cost of a worker on another rack than the step's data: it exceeds all other costs, as remote access slows the tasks down. */
 const farCost = 1_000;
 
-/**
- * Cost of an accelerator that stays free, as processors: a worker has few of them, and those of one worker have to be free
- * together for the tasks that need all.
- */
+/** Cost of an accelerator that stays free, in processors. High, so that whole workers stay free for tasks that need all accelerators. */
 const acceleratorCost = 10;
 
-/** Whether a worker may run a step, whatever its room and tickets. */
+/** Whether a worker may run a step, regardless of its free resources and of tickets. */
 export const isEligible = (worker: WorkerState, step: Step, service: ServiceName, now: Milliseconds): boolean => {
     const { requiredLabel } = step.definition;
     return worker.isOpen(now)
@@ -50,7 +47,7 @@
         && (requiredLabel === undefined || worker.labels.includes(requiredLabel));
 };
 
-/** Whether a step's tasks are so wide that room for one seldom opens by itself. */
+/** Whether a step's tasks are so large that resources for one seldom come free by chance. */
 export const isWide = (step: Step, workers: Iterable<WorkerState>): boolean => {
     const { service } = step.job.terms;
     for (const worker of workers) {
@@ -61,7 +58,7 @@
     return true;
 };
 
-/** Workers that can take tasks of a step now, best first: all of them, or the first that are surely enough. */
+/** Workers that can take tasks of a step now, lowest cost first. May leave out others once enough are found for `most` tasks. */
 export const candidatesFor = (input: ChoiceInput, most: number): Share[] => {
     const { permits } = input.step;
     const candidates = permits === undefined ? freeCandidates(input, most) : ticketedCandidates(input, permits, most);
@@ -87,7 +84,7 @@
     return candidates;
 };
 
-/** Of a step that is advised on, only the workers whose tickets hold are looked at. */
+/** For steps that need advice: only workers with a valid ticket. */
 const ticketedCandidates = (input: ChoiceInput, permits: StepPermits, most: number): Candidate[] => {
     const candidates: Candidate[] = [];
     for (const [id, ticket] of permits.ticketsAt(input.now)) {
@@ -106,7 +103,7 @@
     { step, service, now, limit, prefersFast, doubt }: ChoiceInput,
     most: number,
 ): Candidate | undefined => {
-    // Room first: of the checks it is the cheapest, and under load the one that most workers fail.
+    // The cheapest check, and under load the one that most workers fail, comes first.
     const fitting = worker.countFitting(step, most);
     if (fitting === 0 || !isEligible(worker, step, service, now)) {
         return undefined;
@@ -120,16 +117,16 @@
     return { worker, count, ticket, cost, isDoubted: doubted > 0 };
 };
 
-/** Whether what a step's tasks want most of a worker is that little stays free there. */
+/** Whether best fit decides among workers for a step, so that the fullest come first. */
 const isFullestBest = ({ definition: { fills, size, dataRack, wantsOneRack } }: Step): boolean =>
     !fills && size.accelerators === 0 && dataRack === undefined && !wantsOneRack;
 
-/** Best fit: the less stays free the better, so that room for wide tasks stays whole elsewhere. */
+/** Best fit: the less stays free the better, so that large free blocks remain elsewhere for wide tasks. */
 const costOf = (worker: WorkerState, step: Step, count: number): number => {
     const { size, dataRack, fills } = step.definition;
     const isFar = dataRack !== undefined && !worker.labels.includes(dataRack);
     if (fills) {
-        // They get what the others leave unused: the emptiest worker without tasks that serve is best.
+        // Filler tasks use what others leave: the emptiest worker without latency-sensitive tasks is best.
         return (isFar ? farCost : 0) + (worker.hasServingRun ? servingCost : 0) - worker.freeProcessor / 1_000;
     }
     const processorsLeft = (worker.freeProcessor - count * size.processorThousandths) / 1_000;
@@ -137,13 +134,13 @@
     return (isFar ? farCost : 0) + processorsLeft + acceleratorsLeft * acceleratorCost;
 };
 
-/** Room for urgent tasks on fast workers is worth more than a good fit. A gang is as fast as its slowest member wherever the others are. */
+/** Zero for gangs, which are as fast as their slowest member, and for filler tasks. */
 const slownessCostOf = ({ slowness }: WorkerState, { definition }: Step, prefersFast: boolean): number =>
     slowness === 1 || definition.isGang || definition.fills
         ? 0
         : (prefersFast ? 1 : -1) * Math.log(slowness) * slownessCost;
 
-/** Deals `count` tasks to candidates in their order; undefined when they do not all fit. */
+/** Allocates `count` tasks to candidates in their order; undefined when they do not all fit. */
 export const dealAll = (candidates: readonly Share[], count: number): Share[] | undefined => {
     const shares: Share[] = [];
     let left = count;
@@ -158,7 +155,7 @@
     return left === 0 ? shares : undefined;
 };
 
-/** Deals `count` tasks to candidates of one rack, the one that is left with the least; undefined when none holds all. */
+/** Allocates `count` tasks within the rack that fits them most tightly; undefined when none holds all. */
 export const dealInOneRack = (candidates: readonly Share[], count: number): Share[] | undefined => {
     const racks = new Map<string, Share[]>();
     for (const candidate of candidates) {
