--- a/packages/cell/src/headroom/constants.ts
+++ b/packages/cell/src/headroom/constants.ts
@@ -1,22 +1,19 @@
-/** Times and shares of headroom that are not settings. Times are in milliseconds. */
+/** Tuning constants of headroom. Times are in milliseconds. */
 import type { Milliseconds } from "@pebbledale/core";
 
-/** Urgent demand that has fallen is reckoned with for about this long: bursts come back, and room takes seconds to come free. */
+/** Time constant of the decay of expected urgent demand: bursts come back, and resources take seconds to come free. */
 export const demandMemory: Milliseconds = 4_000;
-/** The size of a usual urgent task is learned over about this time. */
+/** Time constant of the moving average of urgent tasks' sizes. */
 export const sizeMemory: Milliseconds = 5_000;
-/**
- * With more than this share of a service's processors free nothing is kept: it is not room that is short, and a service that is
- * half idle while work waits serves nobody.
- */
+/** No headroom is kept while more than this share of a service's processors is free: capacity is not what is short then. */
 export const mostFreeShare = 0.35;
-/** Most that is kept, as a share of a service's processors. */
+/** Upper bound of headroom as a share of a service's processors. */
 export const mostKeptShare = 0.2;
-/** A change of the room that is kept is logged from this many usual urgent tasks on. */
+/** A change of headroom is logged only if it is at least this many typical urgent tasks, */
 export const leastLoggedChange = 4;
-/** It is logged from this share of what was logged last on. */
+/** and at least this share of what was logged last. */
 export const loggedShare = 0.5;
-/** It is logged at most this often for a service, in milliseconds. */
+/** Minimum interval between such log lines of a service. */
 export const loggedEvery: Milliseconds = 500;
-/** Most runs of a service that one pass stops for urgent work: what they free is seen before more are stopped. */
+/** Runs of a service that one cycle preempts at most, so that their effect is seen before more are stopped. */
 export const mostStops = 8;
--- a/packages/cell/src/headroom/headroom-log.ts
+++ b/packages/cell/src/headroom/headroom-log.ts
@@ -1,10 +1,10 @@
-/** Notes in the log what is kept for urgent work, each time that changes by much. */
+/** Logs changes of headroom. */
 import { logEvents, type Milliseconds, type ServiceName } from "@pebbledale/core";
 import type { DecisionLog } from "../state/index.js";
 import { leastLoggedChange, loggedEvery, loggedShare } from "./constants.js";
 import type { ServiceRoom } from "./service-room.js";
 
-/** What was logged last of a service. */
+/** The headroom of a service that was logged last. */
 interface Logged {
     readonly kept: number;
     readonly at: Milliseconds;
@@ -12,13 +12,13 @@
 
 const nothing: Logged = { kept: 0, at: -Infinity };
 
-/** See the module's comment. */
+/** Logs a service's headroom when it has changed considerably, at a limited rate. */
 export class HeadroomLog {
     readonly #logged = new Map<ServiceName, Logged>();
 
     constructor(private readonly log: DecisionLog) {}
 
-    /** A pass has ended. */
+    /** Called for each service at the end of a cycle. */
     note(service: ServiceName, room: ServiceRoom, now: Milliseconds): void {
         const { kept, at } = this.#logged.get(service) ?? nothing;
         const change = Math.abs(room.keptTasks - kept);
--- a/packages/cell/src/headroom/index.ts
+++ b/packages/cell/src/headroom/index.ts
@@ -1,4 +1,4 @@
-/** Room for urgent work of few cores beside patient work that fills its service. */
+/** Headroom for urgent narrow work in services that deferrable work would fill. */
 export * from "./peak-demand.js";
 export * from "./types.js";
 export * from "./urgent-headroom.js";
--- a/packages/cell/src/headroom/peak-demand.ts
+++ b/packages/cell/src/headroom/peak-demand.ts
@@ -1,19 +1,17 @@
-/** Reckons with the most urgent work that was there at one time lately: it rises at once and is forgotten slowly. */
+/** Forecast of urgent demand by its recent peak. */
 import type { Milliseconds } from "@pebbledale/core";
 import { demandMemory } from "./constants.js";
 import type { DemandForecast } from "./types.js";
 
-/** See the module's comment. */
+/** A peak detector: the forecast follows rising demand at once and decays exponentially towards falling demand. */
 export class PeakDemand implements DemandForecast {
     #expected = 0;
     #notedAt: Milliseconds | undefined;
 
-    /** See {@link DemandForecast.expected}. */
     get expected(): number {
         return this.#expected;
     }
 
-    /** See {@link DemandForecast.note}. */
     note(processor: number, now: Milliseconds): void {
         const passed = now - (this.#notedAt ?? now);
         this.#notedAt = now;
--- a/packages/cell/src/headroom/room-maker.ts
+++ b/packages/cell/src/headroom/room-maker.ts
@@ -1,7 +1,4 @@
-/**
- * Stops runs of less urgent queues for urgent work that is short of room: those whose progress is saved and whose jobs have ample time.
- * What comes free by itself within the time of a stop is waited for.
- */
+/** Preempts runs for urgent work that found no resources. */
 import type { Milliseconds } from "@pebbledale/core";
 import { expectedEnd, type Room, roomOf, roomOfRun, stopTime, sumOf } from "../choosing/index.js";
 import { RunPhase, type TaskRun, type WorkerState } from "../state/index.js";
@@ -9,20 +6,23 @@
 import { mostStops } from "./constants.js";
 import type { ServiceRoom } from "./service-room.js";
 
-/** A run that may be stopped. */
+/** A run that may be preempted. */
 interface Victim {
     readonly run: TaskRun;
-    /** How many more usual urgent tasks fit its worker without it. */
+    /** How many more typical urgent tasks fit its worker without it. */
     readonly gain: number;
-    /** How many for each core that it holds. */
+    /** The gain for each thousandth of a processor that the run holds. */
     readonly worth: number;
 }
 
-/** See the module's comment. */
+/**
+ * Preempts runs of less urgent queues for urgent steps that found no resources, as far as the policy allows. Resources that come free
+ * by themselves within the time of a stop are counted first.
+ */
 export class RoomMaker {
     constructor(private readonly policy: YieldPolicy, private readonly stopper: RunStopper) {}
 
-    /** Makes room for `needed` usual urgent tasks of a priority in all. */
+    /** Preempts until resources for `needed` typical urgent tasks of a priority are free or coming free. */
     make(
         workers: readonly WorkerState[],
         room: ServiceRoom,
@@ -48,7 +48,7 @@
         }
     }
 
-    /** One run of a worker at most: how much another would add depends on the first. */
+    /** At most one run for each worker: the gain of a second one would depend on the first. */
     #victimsAt(worker: WorkerState, soon: Room, room: ServiceRoom, priority: number, now: Milliseconds): Victim[] {
         const fitting = room.countUsual(soon);
         return [...worker.runs.values()]
@@ -67,7 +67,10 @@
 const byWorth = (left: Victim, right: Victim): number =>
     right.worth - left.worth || left.run.percent - right.run.percent;
 
-/** What a worker has free, and will have within the time that a stop takes: urgent runs that end are followed by others. */
+/**
+ * Resources of a worker that are free or come free within the time of a stop. Ending urgent runs are left out, as further urgent work
+ * follows them.
+ */
 const roomSoon = (worker: WorkerState, priority: number, now: Milliseconds): Room =>
     [...worker.runs.values()]
         .filter(run =>
--- a/packages/cell/src/headroom/service-room.ts
+++ b/packages/cell/src/headroom/service-room.ts
@@ -1,7 +1,4 @@
-/**
- * Room of one service as urgent tasks can use it: workers' free room is counted by how many usual urgent tasks it holds, in
- * processors and in memory, as scattered bits hold none.
- */
+/** Headroom of one service. */
 import type { Milliseconds } from "@pebbledale/core";
 import { type Room, roomOf, roomWithout } from "../choosing/index.js";
 import type { Step, WorkerState } from "../state/index.js";
@@ -9,7 +6,7 @@
 import { PeakDemand } from "./peak-demand.js";
 import type { DemandForecast } from "./types.js";
 
-/** Some tasks together. */
+/** Sums over some tasks. */
 interface Load {
     tasks: number;
     /** Thousandths of a processor. */
@@ -20,24 +17,28 @@
 
 const noLoad = (): Load => ({ tasks: 0, processor: 0, memory: 0 });
 
-/** See the module's comment. */
+/**
+ * The free capacity and the urgent demand of one service.
+ *
+ * Free capacity is counted worker by worker in typical urgent tasks, by processors and memory, as fragments that hold no task are of no
+ * use.
+ */
 export class ServiceRoom {
-    /** Whether gangs were seen in the service: room adds up for these otherwise. */
+    /** Whether gangs were seen in the service. No headroom is kept there, as reservations free resources for gangs. */
     hasGangs = false;
     readonly #forecast: DemandForecast = new PeakDemand();
-    /** A usual urgent task; undefined before the first. */
+    /** Moving average of urgent tasks' sizes; undefined before the first task. */
     #usual: Room | undefined;
     #sizedAt: Milliseconds = 0;
     #running = noLoad();
     #waiting = noLoad();
-    /** Of those that wait, what found no room. */
+    /** Processors of waiting tasks that could not be placed. */
     #shortProcessor = 0;
     #processor = 0;
     #freeProcessor = 0;
-    /** How many usual urgent tasks the free room holds. */
+    /** How many typical urgent tasks fit the free capacity. */
     #fittingTasks = 0;
 
-    /** Begins a pass. */
     begin(): void {
         this.#running = noLoad();
         this.#waiting = noLoad();
@@ -47,46 +48,46 @@
         this.#fittingTasks = 0;
     }
 
-    /** Adds tasks of an urgent step that run. */
+    /** Adds running tasks of an urgent step to the demand. */
     addRunning(step: Step, count: number): void {
         add(this.#running, step, count);
     }
 
-    /** Adds tasks of an urgent step that wait. */
+    /** Adds waiting tasks of an urgent step to the demand. */
     addWaiting(step: Step, count: number): void {
         add(this.#waiting, step, count);
     }
 
-    /** Tasks of an urgent step found no room. */
+    /** Adds tasks of an urgent step that could not be placed. */
     addShort({ definition: { size } }: Step, count: number): void {
         this.#shortProcessor += count * size.processorThousandths;
     }
 
-    /** How many usual urgent tasks found no room. */
+    /** Demand that could not be placed, in typical urgent tasks. */
     get shortTasks(): number {
         return this.#shortProcessor / Math.max(1, this.#usual?.processor ?? 1);
     }
 
-    /** Works the demand out, once all urgent tasks are added. */
+    /** Updates the forecast of demand. Called once all urgent tasks of a cycle are added. */
     settleDemand(now: Milliseconds): void {
         this.#forecast.note(this.#running.processor + this.#waiting.processor, now);
         this.#learnSize(now);
     }
 
-    /** Adds a worker that may be ordered. */
+    /** Adds the capacity of a worker that accepts new runs. */
     addWorker({ entry, freeProcessor }: WorkerState, fitting: number): void {
         this.#processor += entry?.capacity.processorThousandths ?? 0;
         this.#freeProcessor += Math.max(0, freeProcessor);
         this.#fittingTasks += fitting;
     }
 
-    /** How many usual urgent tasks fit a worker's free room once `count` tasks of a step have theirs. */
+    /** How many typical urgent tasks fit a worker, after `count` tasks of a step were placed there. */
     fittingAt(worker: WorkerState, step?: Step, count = 0): number {
         const free = roomOf(worker);
         return this.countUsual(step === undefined ? free : roomWithout(free, step, count));
     }
 
-    /** How many usual urgent tasks some room holds. */
+    /** How many typical urgent tasks fit an amount of resources. */
     countUsual({ processor, memory }: Room): number {
         const usual = this.#usual;
         return usual === undefined
@@ -97,14 +98,14 @@
             );
     }
 
-    /** Tasks of a step take their room at a worker. */
+    /** Accounts for tasks of a step that are about to be placed at a worker. */
     take(worker: WorkerState, step: Step, count: number): void {
         const { fills, size } = step.definition;
         this.#fittingTasks -= this.fittingAt(worker) - this.fittingAt(worker, step, count);
         this.#freeProcessor -= fills ? 0 : count * size.processorThousandths;
     }
 
-    /** Whether enough is left for urgent work once `count` tasks of a step have their room at a worker. */
+    /** Whether the headroom is still free after placing `count` tasks of a step at a worker. */
     leavesEnough(worker: WorkerState, step: Step, count: number): boolean {
         const { fills, size } = step.definition;
         const freeProcessor = this.#freeProcessor - (fills ? 0 : count * size.processorThousandths);
@@ -114,7 +115,7 @@
             || this.#fittingTasks - lost >= this.keptTasks;
     }
 
-    /** How many usual urgent tasks room is to be kept for. */
+    /** Headroom to keep, in typical urgent tasks. */
     get keptTasks(): number {
         const missing = Math.min(
             this.#forecast.expected - this.#running.processor,
@@ -123,12 +124,12 @@
         return Math.max(0, Math.round(missing / Math.max(1, this.#usual?.processor ?? 1)));
     }
 
-    /** What is kept, in thousandths of a processor. */
+    /** Headroom to keep, in thousandths of a processor. */
     get keptProcessor(): number {
         return Math.round(this.keptTasks * (this.#usual?.processor ?? 0));
     }
 
-    /** What the decision was made from, for the log: thousandths of a processor, and how many usual urgent tasks fit. */
+    /** Figures behind the decision, for the log: thousandths of a processor and numbers of typical urgent tasks. */
     get figures(): Readonly<Record<string, number>> {
         return {
             atWork: this.#running.processor,
--- a/packages/cell/src/headroom/types.ts
+++ b/packages/cell/src/headroom/types.ts
@@ -1,28 +1,28 @@
-/** Room that is kept free for urgent work of few cores; not to be confused with services whose VMs are switched off (`isHeadroom`). */
+/** Headroom for urgent narrow work. Not related to `isHeadroom` of a service, which marks VMs that are switched off. */
 import type { Milliseconds, ServiceName } from "@pebbledale/core";
 import type { RankedStep } from "../choosing/index.js";
 import type { Step, WorkerState } from "../state/index.js";
 
-/** Decides how much of its room a service's patient work leaves free, and makes room where that is short. */
+/** Decides how much capacity deferrable work must leave free in each service, and preempts runs where urgent work lacks it. */
 export interface Headroom {
-    /** Begins a pass over the ready steps in their order. `open`: workers that may be ordered. */
+    /** Begins a cycle over the ready steps in their order. `open`: workers that accept new runs. */
     begin(ranked: readonly RankedStep[], open: readonly WorkerState[], now: Milliseconds): void;
-    /** How many tasks of a step a worker takes at most, so that urgent steps find room. */
+    /** Upper bound of a step's tasks on a worker, so that the headroom stays free. */
     limitFor(worker: WorkerState, step: Step): number;
-    /** Tasks of a step were ordered at a worker. */
+    /** Accounts for tasks of a step that are about to be placed at a worker. */
     take(worker: WorkerState, step: Step, count: number): void;
-    /** Some tasks of a step found no room in this pass. */
+    /** Reports tasks of a step that could not be placed in this cycle. */
     noteShortage(ranked: RankedStep, count: number): void;
-    /** Ends a pass: room is made for what is short of it. */
+    /** Ends a cycle: preempts runs for urgent tasks that could not be placed. */
     end(now: Milliseconds): void;
-    /** What the last pass kept free in a service, in thousandths of a processor. */
+    /** Headroom of a service as of the last cycle, in thousandths of a processor. */
     keptIn(service: ServiceName): number;
 }
 
-/** Foresees how much urgent work of a service is at work or waits at one time, from what was seen. */
+/** Forecasts the urgent demand of a service, running and waiting, from earlier observations. */
 export interface DemandForecast {
-    /** This much, in thousandths of a processor, is at work or waits now. */
+    /** Takes the present demand, in thousandths of a processor. */
     note(processor: number, now: Milliseconds): void;
-    /** This much is to be reckoned with soon. */
+    /** Demand to expect soon, in thousandths of a processor. */
     readonly expected: number;
 }
--- a/packages/cell/src/headroom/urgent-headroom.ts
+++ b/packages/cell/src/headroom/urgent-headroom.ts
@@ -1,10 +1,4 @@
-/**
- * Keeps room for the urgent narrow work that is to be reckoned with soon.
- *
- * The load that it answers: patient work fills a service, and urgent steps of well under a second wait for its runs to end. It acts where
- * urgent steps and a less urgent queue share workers and no gangs do. Patient steps that can wait, and overdue ones, leave as much free
- * as urgent work had lately beyond what it has now.
- */
+/** Headroom for expected urgent demand. */
 import type { Milliseconds, ServiceName } from "@pebbledale/core";
 import { hasSlack, isUrgentNarrow, Prospect, type RankedStep } from "../choosing/index.js";
 import type { CellContext, Step, WorkerState } from "../state/index.js";
@@ -14,10 +8,16 @@
 import { ServiceRoom } from "./service-room.js";
 import type { Headroom } from "./types.js";
 
-/** See the module's comment. */
+/**
+ * Keeps capacity free for the urgent narrow work that is expected soon, so that urgent steps of well under a second need not wait for runs
+ * of deferrable work that fills their service.
+ *
+ * Deferrable and overdue steps leave as much free as the recent peak of urgent demand exceeds the running urgent work. Services with
+ * gangs are left out.
+ */
 export class UrgentHeadroom implements Headroom {
     readonly #services = new Map<ServiceName, ServiceRoom>();
-    /** Steps of this pass that leave room free. */
+    /** Steps of this cycle that must leave the headroom free. */
     readonly #leaving = new Set<Step>();
 
     readonly #maker: RoomMaker;
@@ -29,7 +29,6 @@
         this.#log = new HeadroomLog(context.options.log);
     }
 
-    /** See {@link Headroom.begin}. */
     begin(ranked: readonly RankedStep[], open: readonly WorkerState[], now: Milliseconds): void {
         this.#leaving.clear();
         this.#open = open;
@@ -43,7 +42,6 @@
         }
     }
 
-    /** See {@link Headroom.limitFor}. */
     limitFor(worker: WorkerState, step: Step): number {
         const room = this.#leaving.has(step) ? this.#services.get(step.job.terms.service) : undefined;
         if (room === undefined || room.hasGangs) {
@@ -56,7 +54,6 @@
         return count;
     }
 
-    /** See {@link Headroom.take}. */
     take(worker: WorkerState, step: Step, count: number): void {
         const room = this.#services.get(step.job.terms.service);
         if (room === undefined) {
@@ -68,7 +65,6 @@
         }
     }
 
-    /** See {@link Headroom.noteShortage}. */
     noteShortage(ranked: RankedStep, count: number): void {
         const { step } = ranked;
         if (isUrgentNarrow(this.context, step) && isWorthRoom(ranked)) {
@@ -76,7 +72,6 @@
         }
     }
 
-    /** See {@link Headroom.end}. */
     end(now: Milliseconds): void {
         const priority = this.context.queues?.mostUrgent ?? 0;
         for (const [service, room] of this.#services) {
@@ -91,7 +86,6 @@
         }
     }
 
-    /** See {@link Headroom.keptIn}. */
     keptIn(service: ServiceName): number {
         const room = this.#services.get(service);
         return room === undefined || room.hasGangs ? 0 : room.keptProcessor;
@@ -137,5 +131,5 @@
     }
 }
 
-/** Whether others leave room for an urgent step: its job is owed and can still earn something. */
+/** Whether headroom is kept for an urgent step: it is within its organisation's entitlement and not overdue. */
 const isWorthRoom = ({ prospect, standing }: RankedStep): boolean => prospect !== Prospect.Overdue && standing === 0;
--- a/packages/cell/src/placing/constants.ts
+++ b/packages/cell/src/placing/constants.ts
@@ -1,20 +1,17 @@
-/** Times, sizes and weights of placing that are not settings. Times are in milliseconds. */
-/** Runs are stopped for a step only if that gives it its room this much earlier, in milliseconds. */
+/** Tuning constants of placement. Times are in milliseconds. */
+/** Runs are preempted for a step only if it can start this much earlier that way. */
 export const leastPreemptionGain = 600;
-/**
- * A gang that wants one rack waits this long for one with room for all of it, then is spread: that takes 1.5 to 2 times
- * as long, about what a mean gang of some seconds loses by waiting longer.
- */
+/** A gang that wants one rack waits this long for one that fits it, then is spread over several, where it takes 1.5 to 2 times as long. */
 export const rackPatience = 1_500;
-/** Room is kept for wide tasks that wait for longer than this, in milliseconds: others find theirs in the same turn. */
+/** Resources are reserved for wide tasks once they have waited for this long. */
 export const wideTaskPatience = 100;
-/** Most steps that room of several workers is kept for at once: one for each this many workers. */
+/** Steps may reserve resources on several workers at once as long as they number no more than one for each this many workers. */
 export const workersPerReservation = 12;
-/** Fewest steps that room may be kept for at once. */
+/** Lower bound of the number of steps that may hold such reservations, for small cells. */
 export const fewestReservations = 2;
-/** Once room is kept on this share of the workers, no more is: what waits behind would leave the cell idle. */
+/** No further reservations are made once this share of the workers is reserved, so that the cell does not idle. */
 export const keptShare = 0.3;
-/** Most steps for which room is looked for in a pass, for each that room is kept for: looking costs the most of a pass. */
+/** Plans computed in a cycle for each reservation allowed: planning is the most expensive part of a cycle. */
 export const attemptsPerReservation = 4;
-/** A plan for room stands this long, then it is made anew: runs there have taken longer than expected. */
+/** A plan is replaced after this long, as runs on its workers have taken longer than expected. */
 export const planLife = 3_000;
--- a/packages/cell/src/placing/index.ts
+++ b/packages/cell/src/placing/index.ts
@@ -1,4 +1,4 @@
-/** What is placed where, what room is kept, and who gives way. */
+/** Placement of ready steps: orders, reservations and preemption. */
 export * from "./placer.js";
 export * from "./preemption.js";
 export * from "./reservations.js";
--- a/packages/cell/src/placing/placer.ts
+++ b/packages/cell/src/placing/placer.ts
@@ -1,4 +1,4 @@
-/** Places what waits: goes through the ready steps in the order of their urgency and orders what fits. */
+/** Places ready steps on workers. */
 import { logEvents, type Milliseconds, type RunNumber, type ServiceName } from "@pebbledale/core";
 import type { AdviceDesk, RoomOf } from "../advising/index.js";
 import {
@@ -27,7 +27,7 @@
 import { Preemption } from "./preemption.js";
 import { Reservations } from "./reservations.js";
 
-/** What a placer is made from. */
+/** Components and policies that placement consults. */
 export interface PlacerParts {
     readonly context: CellContext;
     readonly runs: RunBook;
@@ -40,15 +40,15 @@
     readonly headroom: Headroom;
 }
 
-/** See the module's comment. */
+/** Goes through the ready steps in the order of their ranks once a cycle, orders the tasks that fit and reserves resources for others. */
 export class Placer {
     readonly #ready = new Set<Step>();
-    /** Room that steps further ahead in this pass wait for. */
+    /** Resources that steps ahead in this cycle wait for. */
     readonly #reservations: Reservations;
     readonly #preemption: Preemption;
     readonly #holdBack = new HoldBack();
     readonly #limits: OrganisationLimits;
-    /** Workers that may be ordered in this pass. */
+    /** Workers that accept new runs in this cycle. */
     #open: readonly WorkerState[] = [];
     #index = new RoomIndex([]);
     #heldBack = 0;
@@ -60,32 +60,29 @@
         this.#limits = new OrganisationLimits(context.usage);
     }
 
-    /** Steps that have tasks to place. */
     get readySteps(): ReadonlySet<Step> {
         return this.#ready;
     }
 
-    /** Tasks that the last pass held back. */
+    /** Number of tasks that the last cycle deferred for the sake of a blocked gang. */
     get heldBack(): number {
         return this.#heldBack;
     }
 
-    /** What the last pass kept free in a service for urgent work, in thousandths of a processor. */
+    /** Headroom for urgent work in a service as of the last cycle, in thousandths of a processor. */
     keptIn(service: ServiceName): number {
         return this.parts.headroom.keptIn(service);
     }
 
-    /** Adds a step whose tasks may be placed. */
     add(step: Step): void {
         this.#ready.add(step);
     }
 
-    /** Takes a step out. */
     remove(step: Step): void {
         this.#ready.delete(step);
     }
 
-    /** One pass. */
+    /** Runs one scheduling cycle. */
     place(): void {
         const { context, headroom } = this.parts;
         const now = context.now();
@@ -102,7 +99,6 @@
         headroom.end(now);
     }
 
-    /** The ready steps, those that go first in front. */
     #inOrder(now: Milliseconds): RankedStep[] {
         const { context, shares } = this.parts;
         return [...this.#ready]
@@ -151,7 +147,7 @@
         };
     }
 
-    /** Of workers for a trial those come first on which it puts the fewest runs at risk. */
+    /** For a trial, workers are preferred on which a crash would lose the fewest runs. */
     #trialChoiceOf(step: Step, now: Milliseconds): ChoiceInput {
         const usual = this.#choiceOf(step, now);
         return { ...usual, doubt: worker => usual.doubt(worker) + worker.runs.size * riskCost };
@@ -163,10 +159,7 @@
         }
     }
 
-    /**
-     * Tries suspects of one step at one worker where each run is past its own start: should the worker crash, it is known under
-     * what.
-     */
+    /** Starts suspect tasks on one worker where no other run is still starting, so that a crash can be attributed to them. */
     #placeTrial(step: Step, suspects: readonly Task[], now: Milliseconds): void {
         if (suspects.length === 0) {
             return;
@@ -192,7 +185,7 @@
         const { step } = ranked;
         let next = 0;
         for (const { worker, count, ticket } of candidates) {
-            // What is kept for urgent steps is kept in the service as a whole: each order leaves less to spare.
+            // Headroom is counted for the service as a whole, so each order lowers the limit of the workers that follow.
             const taken = waiting.slice(next, next + Math.min(count, this.parts.headroom.limitFor(worker, step)));
             if (taken.length > 0) {
                 this.#order(taken, worker, { ticket, isTrial: false });
@@ -204,7 +197,7 @@
         }
         const left = waiting.length - next;
         this.parts.headroom.noteShortage(ranked, left);
-        // However full the service is, tasks that last are owed a place; wide ones find none by chance.
+        // Long-running tasks must be placed however full the service is, and wide ones do not fit by chance.
         if (step.definition.isLasting || this.#isStarving(step, now)) {
             this.#keepRoom(step, left, now);
         }
@@ -239,7 +232,7 @@
         }
     }
 
-    /** Whether the workers that may run a gang, as far as is known, would hold all of it, were they empty. */
+    /** Whether the workers known to be permitted could hold all of a gang if they were empty. */
     #mayEverFit(step: Step, count: number): boolean {
         const { permits } = step;
         const workers = permits === undefined ? this.#open : this.parts.context.workersOf(permits.permitted);
@@ -253,12 +246,12 @@
         return false;
     }
 
-    /** Whether a step waits whose tasks seldom find room by chance. */
+    /** Whether a step of wide tasks has waited long enough for a reservation. */
     #isStarving(step: Step, now: Milliseconds): boolean {
         return now - (step.readyAt ?? now) >= wideTaskPatience && isWide(step, this.#open);
     }
 
-    /** Places for all members, in one rack where the step wants that and one has room soon enough. */
+    /** Allocates all members of a gang, within one rack where the step wants that and one fits it within {@link rackPatience}. */
     #deal(step: Step, candidates: readonly Share[], count: number, now: Milliseconds): Share[] | undefined {
         if (!step.definition.wantsOneRack) {
             return dealAll(candidates, count);
@@ -268,7 +261,7 @@
         return inOneRack ?? (isPatienceOver ? dealAll(candidates, count) : undefined);
     }
 
-    /** Keeps room for tasks that do not fit yet, unless that comes after `notAfter`, and has their tickets renewed in time. */
+    /** Reserves resources for tasks that do not fit yet, unless they start after `notAfter`, and has their tickets renewed in time. */
     #keepRoom(step: Step, count: number, now: Milliseconds, notAfter = Infinity): void {
         const plan = this.#reservations.plan(step, count, now, notAfter);
         if (plan !== undefined) {
@@ -279,12 +272,12 @@
         }
     }
 
-    /** Room of a worker for a step, without what is kept there for others. */
+    /** Counts the tasks of a step that a worker can take now beside reservations and headroom. */
     #roomOf(step: Step, count: number, now: Milliseconds): RoomOf {
         return worker => Math.min(worker.countFitting(step, count), this.#limitFor(worker, step, now));
     }
 
-    /** How many tasks of a step a worker takes at most, so that what is kept there for others stays kept. */
+    /** Upper bound of a step's tasks on a worker, so that reservations and headroom are respected. */
     #limitFor(worker: WorkerState, step: Step, now: Milliseconds): number {
         return Math.min(
             this.#reservations.limitFor(worker, step, now),
@@ -292,7 +285,7 @@
         );
     }
 
-    /** Orders tasks of one step at one worker. `run`: their common number, if they are of a gang. */
+    /** Orders tasks of one step at one worker. `run`: the run number that members of a gang share. */
     #order(tasks: readonly Task[], worker: WorkerState, terms: OrderTerms, run?: RunNumber): void {
         const now = this.parts.context.now();
         const { step } = tasks[0];
@@ -322,6 +315,6 @@
     }
 }
 
-/** While a gang can be on time, room that comes later is of use to others sooner. */
+/** While a gang can be on time, resources that come free too late for it are better left to others. */
 const latestUsefulStart = ({ prospect, latestStart }: RankedStep): Milliseconds =>
     prospect === Prospect.OnTime ? latestStart : Infinity;
--- a/packages/cell/src/placing/preemption.ts
+++ b/packages/cell/src/placing/preemption.ts
@@ -1,17 +1,14 @@
-/**
- * Lets more urgent work have the room of runs that lose nothing by being stopped: their progress is saved at the stop, and
- * their jobs have the time to go on elsewhere or later.
- */
+/** Preempts runs for reservations. */
 import type { Milliseconds } from "@pebbledale/core";
 import { countIn, type Room, roomOf, roomOfRun, type RoomPlan, stopTime, sumOf } from "../choosing/index.js";
 import { RunPhase, type Step, type TaskRun, type WorkerState } from "../state/index.js";
 import type { RunStopper, YieldPolicy } from "../yielding/index.js";
 
-/** See the module's comment. */
+/** Carries out plans that count on preemption: stops runs that the policy allows to be stopped, as late as the plan permits. */
 export class Preemption {
     constructor(private readonly stopper: RunStopper, private readonly policy: YieldPolicy) {}
 
-    /** Stops what stands in the way of a plan, once all that is to end by itself has ended and tickets are there. */
+    /** Does nothing until the plan waits only for preempted runs and all its workers have tickets. */
     makeRoom(step: Step, plan: RoomPlan, now: Milliseconds): void {
         if (plan.from > now + stopTime || !this.#hasTickets(step, plan, now)) {
             return;
@@ -45,5 +42,5 @@
     }
 }
 
-/** Runs that have the most left go first: the others are about to end by themselves. */
+/** Least progress first: the others will end soon anyway. */
 const byProgress = (left: TaskRun, right: TaskRun): number => left.percent - right.percent;
--- a/packages/cell/src/placing/reservations.ts
+++ b/packages/cell/src/placing/reservations.ts
@@ -1,11 +1,4 @@
-/**
- * Keeps room for what is wide and does not fit yet, and lets others use it meanwhile.
- *
- * For a gang the earliest time is worked out at which workers that it may run on will have room for all of it, from when
- * the runs there are expected to end. Until then those workers take only what will have ended by that time, or what
- * leaves enough room at that time. A plan stands from pass to pass: its tickets are for its workers, and room that is
- * kept at others each time is free nowhere. Steps that go before the gang may still use its room, for want of other.
- */
+/** Reservations of resources with backfilling. */
 import type { Milliseconds } from "@pebbledale/core";
 import {
     backfillMargin,
@@ -30,40 +23,47 @@
     workersPerReservation,
 } from "./constants.js";
 
-/** Room of one worker that is kept. */
+/** A reservation of one worker's resources. */
 interface Reservation {
     readonly step: Step;
-    /** When the kept room is expected to be needed, by the owner's monotonic clock. */
+    /** When the reserved resources are expected to be needed, by the owner's monotonic clock. */
     readonly from: Milliseconds;
-    /** What is expected to be free then besides what is kept. */
+    /** Resources expected to be free then in addition to the reserved ones. */
     spare: Room;
 }
 
-/** A plan as it stands from pass to pass. */
+/** A plan that is kept over several cycles. */
 interface StandingPlan extends RoomPlan {
     readonly madeAt: Milliseconds;
 }
 
-/** A step's place in the order of a pass. */
+/** A step with its position in the order of a cycle. */
 interface PlacedRank extends RankedStep {
     readonly place: number;
 }
 
-/** Added to the cost of a worker whose room is kept for a step further behind. */
+/** Cost added to a worker that is reserved for a step further behind. */
 const keptCost = 400;
 
-/** See the module's comment. */
+/**
+ * Reserves resources for gangs and wide steps that do not fit yet, and lets others backfill them meanwhile.
+ *
+ * A plan names the workers that will have the resources earliest, by the expected ends of their runs. Until then those workers take
+ * only tasks that will have ended by that time or that leave enough free at that time. Plans are kept over cycles, as tickets
+ * are obtained for their workers and a reservation that moves each time never comes free. Steps ahead of the planned one may still use its
+ * workers, at a higher cost.
+ */
 export class Reservations {
     readonly #forecast = new RoomForecast();
     readonly #kept = new Map<WorkerState, Reservation>();
-    /** The steps of this pass with what decides their order, and their places in it. */
+    /** The steps of this cycle. */
     readonly #ranks = new Map<Step, PlacedRank>();
     #plans = new Map<Step, StandingPlan>();
     #attempts = 0;
 
     constructor(private readonly context: CellContext, private readonly policy: YieldPolicy) {}
 
-    /** Begins a pass over steps in their order: plans that can still be kept stand. */
+    /** Begins a cycle over steps in their order. Plans that are still valid are kept. */
     begin(ranked: readonly RankedStep[], now: Milliseconds): void {
         this.#forecast.clear();
         this.#kept.clear();
@@ -81,26 +81,26 @@
     }
 
     /**
-     * Keeps room for `count` tasks of a step where they will fit first; undefined when they nowhere will, or not in time. `notAfter`: by
-     * when they have to begin to be of use.
+     * Reserves resources for `count` tasks of a step where they fit earliest. Undefined when they will not fit by `notAfter`, or when
+     * no further reservation is allowed.
      */
     plan(step: Step, count: number, now: Milliseconds, notAfter = Infinity): RoomPlan | undefined {
         return this.#plans.get(step) ?? this.#make(step, count, now, notAfter);
     }
 
-    /** How many tasks of a step a worker takes at most, so that what is kept there stays kept. */
+    /** Upper bound of a step's tasks on a worker, so that reservations of steps ahead are respected. */
     limitFor(worker: WorkerState, step: Step, now: Milliseconds): number {
         const kept = this.#keptAgainst(worker, step, now);
         return kept === undefined || this.#goesBefore(step, kept.step) ? Infinity : countIn(kept.spare, step);
     }
 
-    /** What is added to a worker's cost for a step that may use room which is kept for one behind it. */
+    /** Cost of a worker for a step that would use resources reserved there. */
     costOf(worker: WorkerState, step: Step, now: Milliseconds): number {
         const kept = this.#keptAgainst(worker, step, now);
         return kept !== undefined && countIn(kept.spare, step) === 0 ? keptCost : 0;
     }
 
-    /** Tasks of a step were placed at a worker. */
+    /** Accounts for tasks of a step that were placed at a worker. */
     take(worker: WorkerState, step: Step, count: number, now: Milliseconds): void {
         this.#forecast.forget(worker);
         const kept = this.#keptAgainst(worker, step, now);
@@ -109,7 +109,7 @@
         }
     }
 
-    /** The reservation that tasks of a step would use room of; undefined when they will have ended by then. */
+    /** The reservation that a step's tasks would compete with; undefined when they will have ended by then. */
     #keptAgainst(worker: WorkerState, step: Step, now: Milliseconds): Reservation | undefined {
         const kept = this.#kept.get(worker);
         return kept === undefined || kept.step === step || endsBefore(step, worker, kept, now) ? undefined : kept;
@@ -119,7 +119,7 @@
         return (this.#ranks.get(step)?.place ?? Infinity) < (this.#ranks.get(other)?.place ?? Infinity);
     }
 
-    /** Whether a step may have room that is kept for another: it can earn more, or is more urgent. */
+    /** Whether a step may take over a reservation of another: it can earn more, or its queue is more urgent. */
     #outranks(step: Step, other: Step): boolean {
         const rank = this.#ranks.get(step);
         const otherRank = this.#ranks.get(other);
@@ -145,11 +145,11 @@
         return plan;
     }
 
-    /** Where and when tasks of a step will fit, with or without stops of what gives way; undefined when they will not. */
+    /** The earliest plan for tasks of a step, with or without preemption; undefined when they will not fit. */
     #draft(step: Step, count: number, now: Milliseconds, preempts: boolean): StandingPlan | undefined {
         const openings = this.#openings(step, count, now, preempts).slice(0, count);
         const last = openings.at(-1);
-        // A gang starts whole; of other tasks those that will fit are served.
+        // A gang starts as a whole; of other steps a part may be planned.
         if (last === undefined || step.definition.isGang && openings.length < count) {
             return undefined;
         }
@@ -159,8 +159,8 @@
     }
 
     /**
-     * Whether room may be kept for one more step: beyond these limits the cell would idle. A plan at one worker is limited
-     * by the share of kept workers alone. What is kept for steps that this one outranks does not count: it may have that.
+     * Whether one more step may reserve resources without leaving too much of the cell idle. Plans for a single worker count only towards
+     * the share of reserved workers. Reservations of steps that this one outranks do not count, as it may take them over.
      */
     #mayKeepMore(step: Step): boolean {
         const { size } = this.context.workers;
@@ -172,7 +172,7 @@
         return kept <= size * keptShare && wide < most && this.#attempts < most * attemptsPerReservation;
     }
 
-    /** Times at which single tasks of a step will fit, the earliest first. */
+    /** Times at which single tasks of a step will fit, earliest first. */
     #openings(step: Step, count: number, now: Milliseconds, preempts: boolean): Opening[] {
         const openings: Opening[] = [];
         const isStopped = this.#stopsOf(step, preempts, now);
@@ -199,7 +199,7 @@
         return isPermitted && isOpen && isEligible(worker, step, step.job.terms.service, now);
     }
 
-    /** Whether a plan of an earlier pass can still be kept. */
+    /** Whether a plan of an earlier cycle still matches its step and workers. */
     #stands(step: Step, { madeAt, shares }: StandingPlan, now: Milliseconds): boolean {
         const planned = [...shares.values()].reduce((sum, tasks) => sum + tasks, 0);
         const waiting = step.waitingTasks().length;
@@ -208,7 +208,7 @@
             && [...shares.keys()].every(worker => this.#isPossible(worker, step, now));
     }
 
-    /** When the workers of a plan will have its room, as of now. */
+    /** When the workers of a plan will have its resources, as forecast now. */
     #timeOf(step: Step, { shares, preempts }: StandingPlan, now: Milliseconds): Milliseconds {
         const isStopped = this.#stopsOf(step, preempts, now);
         let from = now;
@@ -228,7 +228,7 @@
         }
     }
 
-    /** Drops the plan that keeps room of a worker: the step may have another. */
+    /** Drops the plan that reserves a worker, on all its workers. */
     #release(worker: WorkerState): void {
         const kept = this.#kept.get(worker);
         if (kept === undefined) {
@@ -242,7 +242,7 @@
     }
 }
 
-/** Whether tasks of a step that start now will have ended when the kept room is needed. */
+/** Whether tasks of a step that start now will have ended when the reserved resources are needed. */
 const endsBefore = (
     { definition }: Step,
     { slowness }: WorkerState,
