--- a/packages/cell/src/configuration/queue-directory.ts
+++ b/packages/cell/src/configuration/queue-directory.ts
@@ -1,23 +1,22 @@
-/** Finds the queue that a caller's request names. */
+/** Lookup of queues. */
 import type { OrganisationName, QueueName } from "@pebbledale/core";
 import { KeyRing } from "../organisations/index.js";
 import type { CellConfiguration, QueueConfiguration } from "./types.js";
 
-/** A queue with the part of the path that follows its prefix. */
+/** A queue with the part of a request's path that follows the queue's prefix. */
 export interface QueueMatch {
     readonly queue: QueueConfiguration;
     readonly rest: string;
 }
 
-/** Looks queues up by host and longest path prefix. */
+/** Looks queues up by name, or by a request's host and longest path prefix. */
 export class QueueDirectory {
-    /** Who may show which key. */
     readonly keys: KeyRing;
-    /** The first priority of all queues. */
+    /** The lowest number among the queues' priorities. */
     readonly mostUrgent: number;
     readonly #byHost = new Map<string, QueueConfiguration[]>();
     readonly #byName = new Map<QueueName, QueueConfiguration>();
-    /** Jobs a second, by organisation. */
+    /** Jobs per second, by organisation. */
     readonly #rates: ReadonlyMap<OrganisationName, number>;
 
     constructor(readonly configuration: CellConfiguration) {
@@ -35,18 +34,17 @@
         }
     }
 
-    /** The queue of a request, by the longest prefix; undefined when there is none. */
+    /** The queue of a request; undefined when no prefix matches. */
     find(host: string, path: string): QueueMatch | undefined {
         const queue = this.#byHost.get(host)?.find(candidate => path.startsWith(candidate.pathPrefix));
         return queue === undefined ? undefined : { queue, rest: path.slice(queue.pathPrefix.length) };
     }
 
-    /** The queue of a name. */
     named(name: QueueName): QueueConfiguration | undefined {
         return this.#byName.get(name);
     }
 
-    /** Jobs a second that an organisation is owed; undefined when it is not named. */
+    /** Jobs per second that an organisation is entitled to; undefined when it is not configured. */
     rateOf(organisation: OrganisationName): number | undefined {
         return this.#rates.get(organisation);
     }
--- a/packages/cell/src/configuration/types.ts
+++ b/packages/cell/src/configuration/types.ts
@@ -1,15 +1,15 @@
-/** What operators configure for a cell. */
+/** The operators' configuration of a cell and where it is read from. */
 import type { Milliseconds, QueueName, ServiceName } from "@pebbledale/core";
 import type { AdvicePolicy } from "../advice/index.js";
 import type { Organisation } from "../organisations/index.js";
 import type { UpkeepWave } from "../upkeep/index.js";
 
-/** A queue that callers hand jobs to. */
+/** A queue to which callers submit jobs. */
 export interface QueueConfiguration {
     readonly name: QueueName;
-    /** Host name that callers ask for. */
+    /** Host name in callers' requests. */
     readonly host: string;
-    /** A caller's path begins with it. */
+    /** Prefix of the path in callers' requests. */
     readonly pathPrefix: string;
     readonly service: ServiceName;
     /** 0 is the most urgent. */
@@ -22,18 +22,18 @@
     /** How long a caller's request may take. */
     readonly timeout: Milliseconds;
     readonly advice: AdvicePolicy | undefined;
-    /** Whether its callers have to show a key of an organisation. */
+    /** Whether callers must present a key of an organisation. */
     readonly needsKey: boolean;
 }
 
 /** A service: a pool of workers. */
 export interface ServiceConfiguration {
     readonly name: ServiceName;
-    /** Whether its workers refuse what does not fit. */
+    /** Whether its workers reject runs that do not fit. */
     readonly guardsRoom: boolean;
     /** Whether its VMs are switched off and wait to be moved to another pool. */
     readonly isHeadroom: boolean;
-    /** Path that a worker answers while it considers itself well; empty when there is none. */
+    /** Path of its workers' health check; empty when there is none. */
     readonly healthPath: string;
 }
 
@@ -42,26 +42,26 @@
     readonly version: number;
     readonly queues: readonly QueueConfiguration[];
     readonly services: readonly ServiceConfiguration[];
-    /** Who shares the cell; empty where nobody is told apart. */
+    /** The organisations that share the cell; empty where callers are not distinguished. */
     readonly organisations: readonly Organisation[];
     /** Largest body of a caller's request, in bytes. */
     readonly bodyLimit: number;
 }
 
-/** What operators have asked for, read at a moment. */
+/** Configuration and upkeep waves, whole or as changed since a cursor. */
 export interface OperatorNews {
-    /** Undefined while there is none, or when it did not change since the cursor. */
+    /** Undefined when there is none, or when it has not changed since the cursor. */
     readonly configuration: CellConfiguration | undefined;
-    /** Waves of upkeep that are new, or changed. */
+    /** Upkeep waves that are new or changed. */
     readonly waves: readonly UpkeepWave[];
-    /** Where {@link ConfigurationFeed.follow} goes on. */
+    /** Passed to {@link ConfigurationFeed.follow} to receive what follows. */
     readonly cursor: string;
 }
 
-/** Reads and follows what operators ask for. Calls reject with `PlatformUnavailableError` when no answer came. */
+/** Reads and follows the operators' configuration. Calls reject with `PlatformUnavailableError` when no answer arrives. */
 export interface ConfigurationFeed {
-    /** Reads all that is asked for. */
+    /** Reads everything. */
     read(signal: AbortSignal): Promise<OperatorNews>;
-    /** Waits for a change; undefined when the history since `cursor` is gone and all must be read again. */
+    /** Waits for a change. Undefined when the history since `cursor` is gone and everything must be read again. */
     follow(cursor: string, wait: Milliseconds, signal: AbortSignal): Promise<OperatorNews | undefined>;
 }
--- a/packages/cell/src/load/constants.ts
+++ b/packages/cell/src/load/constants.ts
@@ -1,33 +1,24 @@
-/** Times and shares of decisions on load that are not settings. Times are in milliseconds. */
+/** Tuning constants of admission. Times are in milliseconds. */
 import type { Milliseconds } from "@pebbledale/core";
 
-/**
- * A gang that found no room for this long is short of it: with one question to the advice service, which takes up to 0.9 s,
- * others have started.
- */
+/** A gang that has been ready for this long and does not fit counts as blocked. The time covers one question to the advice service. */
 export const gangPatience: Milliseconds = 1_500;
-/**
- * With more than this share of a service's processors free nothing is held back: it is not room that is short, and a cell that
- * is half idle while work waits serves nobody.
- */
+/** Nothing is deferred while more than this share of what a blocked gang needs is free: capacity is not what is short then. */
 export const mostFreeShare = 0.35;
-/**
- * Nothing is held back either with more than this share of a service's processors free, however few places a gang finds: work that
- * waits while much of its service idles is owed a start (the users' rules).
- */
+/** Nothing is deferred either while more than this share of a service's processors is free: waiting work is entitled to start then. */
 export const mostIdleShare = 0.45;
 /**
- * A gang that its organisation's limit has no place for waits this long, in milliseconds; then what is less urgent of the same organisation
- * starts nothing, so that the limit gets free. A mean gang takes some seconds: by then some of that work has ended by itself.
+ * Once a gang has been blocked by its organisation's limit for this long, less urgent work of the same organisation starts nothing until
+ * enough of the limit is free.
  */
 export const limitPatience: Milliseconds = 1_000;
 /**
- * Patient work fills this share of its organisation's limit at most: one job of many tasks would fill all of it for seconds, and urgent jobs
- * of the same organisation, which take less than one, would wait behind it.
+ * Share of an organisation's limit that all but the most urgent queues may use, so that urgent jobs do not wait for seconds behind one job
+ * of many tasks.
  */
 export const patientShare = 0.8;
 /**
- * Below this share of its limit an organisation's work never waits for the sake of its other work: the users take a job for lost that has nothing at
- * work for three seconds while its organisation has less than half of its limit.
+ * Below this share of its limit an organisation's work is never blocked in favour of its other work: a job counts as lost if nothing of it
+ * runs for three seconds while its organisation uses less than half of its limit.
  */
 export const freelyUsedShare = 0.5;
--- a/packages/cell/src/load/hold-back.ts
+++ b/packages/cell/src/load/hold-back.ts
@@ -1,32 +1,31 @@
-/**
- * Decides which patient work waits so that room adds up for urgent wide work.
- *
- * The load that it answers: a cell near its limits, in which gangs need the room of several workers at one moment, while
- * small tasks of less urgent queues take each bit of room as it opens, long before they have to. Such a task then waits
- * until its job could no longer be on time otherwise. Holding it to what a gang leaves over is no substitute: room adds up
- * only where nothing is put into the gaps meanwhile.
- */
+/** Deferral of work in favour of blocked gangs. */
 import type { Milliseconds, ServiceName } from "@pebbledale/core";
 import { countIn, hasSlack, Prospect, type RankedStep, roomOf } from "../choosing/index.js";
 import type { Step, WorkerState } from "../state/index.js";
 import { gangPatience, mostFreeShare, mostIdleShare } from "./constants.js";
 
-/** Room of one service. */
+/** Capacity of one service in this cycle. */
 interface ServiceRoom {
     readonly open: WorkerState[];
     processor: number;
     freeProcessor: number;
-    /** Share of it that is free for a gang that is short of room. */
+    /** Lowest share of free capacity among blocked gangs; 1 when there are none. */
     freeShare: number;
-    /** The most urgent priority of which a gang is short of room; lower figures are more urgent. */
+    /** The most urgent priority of a blocked gang; `Infinity` when there is none. */
     shortPriority: number;
 }
 
-/** See the module's comment. */
+/**
+ * Defers work of less urgent queues while a gang is blocked, so that free resources accumulate for it.
+ *
+ * In a cell near its limits, small tasks would otherwise take each bit of capacity as it comes free, long before their deadlines
+ * require it. They wait as long as they have slack. Backfilling around the gang's reservation alone does not suffice, as resources
+ * accumulate only where the gaps stay empty.
+ */
 export class HoldBack {
     readonly #services = new Map<ServiceName, ServiceRoom>();
 
-    /** Begins a pass over what waits. `open`: workers that may be ordered. */
+    /** Begins a cycle. `open`: workers that accept new runs. */
     begin(open: readonly WorkerState[]): void {
         this.#services.clear();
         for (const worker of open) {
@@ -40,7 +39,7 @@
         }
     }
 
-    /** A gang found no room in this pass. */
+    /** Reports a gang that does not fit in this cycle. */
     noteShortage({ step, prospect, priority }: RankedStep, now: Milliseconds): void {
         const hasWaited = now - (step.readyAt ?? now) >= gangPatience;
         if (hasWaited && prospect === Prospect.OnTime) {
@@ -50,7 +49,7 @@
         }
     }
 
-    /** Whether tasks of a step are to wait, though there may be room for them. */
+    /** Whether tasks of a step must wait even where they fit. */
     holds({ step, prospect, priority, latestStart }: RankedStep, now: Milliseconds): boolean {
         const { shortPriority, freeShare, processor, freeProcessor } = this.#roomOf(step.job.terms.service);
         return prospect === Prospect.OnTime
@@ -68,7 +67,10 @@
     }
 }
 
-/** Of tasks with accelerators, how many fit as a share of those that would fit idle workers: processors alone may be free in plenty. */
+/**
+ * Free share of a service's processors, or for a gang with accelerators the share of its tasks that fit now among those that would fit
+ * idle workers.
+ */
 const freeShareFor = (step: Step, { open, processor, freeProcessor }: ServiceRoom): number => {
     if (step.definition.size.accelerators === 0) {
         return freeProcessor / processor;
--- a/packages/cell/src/load/index.ts
+++ b/packages/cell/src/load/index.ts
@@ -1,3 +1,3 @@
-/** Decisions for when there is more work than room. Each is made from what is passed in, and reaches nothing outside. */
+/** Admission of ready work when demand exceeds capacity. */
 export * from "./hold-back.js";
 export * from "./organisation-limits.js";
--- a/packages/cell/src/load/organisation-limits.ts
+++ b/packages/cell/src/load/organisation-limits.ts
@@ -1,34 +1,34 @@
-/**
- * Keeps each organisation's work under its limit.
- *
- * The load that it answers: one organisation sends many times its usual, or its limit falls far below what it sends. Its steps then wait
- * for their own organisation's work to end and take nothing from others meanwhile: they keep no room, ask no advice and stop nobody.
- */
+/** Limits of organisations at placement. */
 import type { Milliseconds, OrganisationName } from "@pebbledale/core";
 import type { UsageBook } from "../organisations/index.js";
 import type { Step, Task } from "../state/index.js";
 import { freelyUsedShare, limitPatience, patientShare } from "./constants.js";
 
-/** See the module's comment. */
+/**
+ * Keeps each organisation's running work within its limit.
+ *
+ * Steps of an organisation at its limit wait for its own work to end. They take nothing from others meanwhile: no reservations, no
+ * questions to the advice service and no preemption.
+ */
 export class OrganisationLimits {
-    /** Organisations one of whose gangs waits for its limit: what is less urgent starts nothing, so that it gets free. */
+    /** Organisations whose limit blocks a gang: steps that follow it start nothing, so that the limit comes free. */
     readonly #savesUp = new Set<OrganisationName>();
     #mostUrgent = 0;
 
     constructor(private readonly usage: UsageBook) {}
 
-    /** Begins a pass. `mostUrgent`: the first priority of all queues. */
+    /** Begins a cycle. `mostUrgent`: the most urgent priority of all queues. */
     begin(mostUrgent: number): void {
         this.#savesUp.clear();
         this.#mostUrgent = mostUrgent;
     }
 
-    /** Whether nothing of a step can start under its organisation's limit. */
+    /** Whether no task of a step, or of a gang not all of them, can start within its organisation's limit. */
     isAtLimit({ definition, job, tasks }: Step): boolean {
         return this.usage.countLeft(job.organisation, definition.size) < (definition.isGang ? tasks.length : 1);
     }
 
-    /** Of tasks that wait those that may start under the limit: all or none of a gang. Steps come in their order. */
+    /** The waiting tasks that may start within the limit; all or none of a gang. Called for the steps in their order. */
     within(step: Step, waiting: readonly Task[], now: Milliseconds): readonly Task[] {
         const { definition: { isGang, size }, job: { organisation }, readyAt } = step;
         if (organisation === undefined || waiting.length === 0) {
@@ -50,7 +50,7 @@
         return [];
     }
 
-    /** How many tasks of a step that is no gang may start: all but the most urgent queues leave a part of the limit. */
+    /** How many tasks of a step that is no gang may start. All but the most urgent queues leave a part of the limit free. */
     #countLeft(organisation: OrganisationName, { definition: { size }, job: { terms } }: Step): number {
         const whole = this.usage.countLeft(organisation, size);
         if (terms.priority <= this.#mostUrgent) {
--- a/packages/cell/src/moving/constants.ts
+++ b/packages/cell/src/moving/constants.ts
@@ -1,8 +1,8 @@
-/** Times, sizes and weights of moves that are not settings. Times are in milliseconds. */
-/** A run at a hindered worker is moved only if more than this share of it, in percent, is left. */
+/** Tuning constants of migration. Times are in milliseconds. */
+/** A run on a degraded worker is migrated only if more than this is left of it, in percent. */
 export const leastLeftToMove = 15;
 /**
- * A gang is stopped when it is expected to end this much after one of its workers leaves. Ends are expected from estimates
- * and progress that are rough, and workers may leave later than they say.
+ * A gang is stopped if it is expected to end more than this after one of its workers leaves. The margin allows for rough estimates and
+ * workers that leave later than announced.
  */
 export const leastLateToStop = 1_500;
--- a/packages/cell/src/moving/index.ts
+++ b/packages/cell/src/moving/index.ts
@@ -1,2 +1,2 @@
-/** Which runs are better off elsewhere. */
+/** Migration of runs away from workers that are slow or about to leave. */
 export * from "./mover.js";
--- a/packages/cell/src/moving/mover.ts
+++ b/packages/cell/src/moving/mover.ts
@@ -1,4 +1,4 @@
-/** Moves runs away from workers that are slow, silent or about to leave, where that loses little. */
+/** Migration of runs to other workers. */
 import type { Milliseconds } from "@pebbledale/core";
 import { expectedEnd, isEligible } from "../choosing/index.js";
 import type { CrashWatch } from "../crashes/index.js";
@@ -7,10 +7,13 @@
 import type { ProgressWatch } from "../watching/index.js";
 import { leastLateToStop, leastLeftToMove } from "./constants.js";
 
-/** Progress of a task that lasts once it is at work, in percent (the users' rules). */
+/** Progress, in percent, that a long-running task reports once it serves. */
 const servingPercent = 100;
 
-/** See the module's comment. */
+/**
+ * Stops runs on workers that are slow, about to have their upkeep or about to leave, where little work is lost and another worker
+ * fits them. Stopped tasks are placed again by the next cycle.
+ */
 export class Mover {
     constructor(
         private readonly context: CellContext,
@@ -19,7 +22,6 @@
         private readonly crashes: CrashWatch,
     ) {}
 
-    /** Looks at all workers for runs that are better off elsewhere. */
     tick(): void {
         const now = this.context.now();
         for (const worker of this.context.workers.values()) {
@@ -35,7 +37,7 @@
         }
     }
 
-    /** Tasks of a step that may have a copy and whose only run is hindered. */
+    /** Tasks of a step that may have a copy and whose only run is on a degraded worker. */
     tasksToCopy(step: Step, now: Milliseconds): Task[] {
         if (!step.definition.allowsCopies) {
             return [];
@@ -56,7 +58,7 @@
         }
     }
 
-    /** A worker whose VM is about to have its upkeep: what loses nothing goes elsewhere, the rest ends by itself. */
+    /** Before the upkeep of a VM: migrates the runs that lose nothing. The others end by themselves. */
     #emptyClosed(worker: WorkerState, now: Milliseconds): void {
         for (const run of worker.runs.values()) {
             const { step } = run.task;
@@ -69,8 +71,8 @@
     }
 
     /**
-     * What will not end before its worker leaves is stopped in time, if its progress is saved or it lasts. A gang goes with
-     * any one of its workers: its members elsewhere hold their room for nothing, and it starts again the sooner.
+     * Stops runs that will not end before their worker leaves, if their progress is saved or they are long-running. A gang would be lost
+     * with any one of its workers, so it is stopped early to start again sooner.
      */
     #moveFromLeaving(worker: WorkerState, leavesAt: Milliseconds, now: Milliseconds): void {
         for (const run of worker.runs.values()) {
@@ -84,7 +86,7 @@
         }
     }
 
-    /** Whether another worker could take the task now. */
+    /** Whether another worker could take the run's task now. */
     #hasPlace(run: TaskRun, now: Milliseconds): boolean {
         const { step } = run.task;
         const { terms } = step.job;
@@ -101,12 +103,11 @@
 
 const isMovable = (run: TaskRun): boolean => run.phase === RunPhase.AtWork && run.stopReason === undefined;
 
-/** Whether one more task of a step that lasts may be away through our doing. */
+/** Whether the disruption budget of a long-running step allows one more of its tasks to be stopped by the scheduler. */
 export const mayLoseOne = ({ definition, tasks }: Step): boolean => {
     const { mayBeAway } = definition;
     return mayBeAway === undefined || tasks.filter(task => !isServing(task)).length < mayBeAway;
 };
 
-/** Whether a task that lasts is at work: its progress is complete once it serves. */
 const isServing = (task: Task): boolean =>
     task.runs.some(run => run.phase === RunPhase.AtWork && run.percent >= servingPercent);
--- a/packages/cell/src/pacing/constants.ts
+++ b/packages/cell/src/pacing/constants.ts
@@ -1,9 +1,9 @@
-/** Times, sizes and weights of pacing that are not settings. Times are in milliseconds. */
-/** A filler's pace grows by this much, in percent, each time all tails are well below their targets. */
+/** Tuning constants of pacing. */
+/** Increase of the filler pace, in percent, while all tail latencies are well below their targets. */
 export const paceStep = 10;
-/** Below this pace, in percent, fillers stand still. */
+/** Below this pace, in percent, fillers are paused. */
 export const paceFloor = 5;
-/** Share of its target at which a tail is near it: it is measured over half a second and shifts within seconds. */
+/** Share of its target above which a tail latency is near it. The margin covers the delay of the measurement. */
 export const tailNearTarget = 0.8;
-/** Share of its target below which a tail leaves room for fillers to work more. */
+/** Share of its target below which a tail latency lets fillers run faster. */
 export const tailWellBelowTarget = 0.6;
--- a/packages/cell/src/pacing/index.ts
+++ b/packages/cell/src/pacing/index.ts
@@ -1,2 +1,2 @@
-/** How fast tasks that fill a worker may work. */
+/** Pacing of filler tasks beside latency-sensitive ones. */
 export * from "./pace-keeper.js";
--- a/packages/cell/src/pacing/pace-keeper.ts
+++ b/packages/cell/src/pacing/pace-keeper.ts
@@ -1,19 +1,19 @@
-/**
- * Slows down what fills a worker while it keeps a task that serves users from its latency target.
- *
- * The share halves as soon as a tail comes near its target and grows in small steps while all tails are well below: being
- * over the target costs more than working a little less.
- */
+/** Control of the pace of filler tasks. */
 import { logEvents } from "@pebbledale/core";
 import { type CellContext, fullPace, RunPhase, type TaskRun, type WorkerState } from "../state/index.js";
 import type { WorkerRun } from "../task-worker/index.js";
 import { paceFloor, paceStep, tailNearTarget, tailWellBelowTarget } from "./constants.js";
 
-/** See the module's comment. */
+/**
+ * Slows down the filler tasks of a worker while the latency-sensitive tasks there approach their latency targets.
+ *
+ * Additive increase, multiplicative decrease: the pace halves as soon as a tail latency comes near its target and grows in small steps
+ * while all are well below.
+ */
 export class PaceKeeper {
     constructor(private readonly context: CellContext) {}
 
-    /** Takes in what the runs of a worker measure. */
+    /** Adjusts the pace of a worker's fillers to the latencies that its runs report. */
     note(worker: WorkerState, seen: readonly (readonly [TaskRun, WorkerRun])[]): void {
         const fillers = seen.map(([run]) => run).filter(isFiller);
         if (fillers.length === 0) {
@@ -42,7 +42,7 @@
     }
 
     #set(run: TaskRun, percent: number): void {
-        // A pace below the full one is told again with each look: the order before may have been lost.
+        // A reduced pace is sent again with each poll, as an earlier command may have been lost.
         const isTold = run.pace === percent && percent === fullPace;
         if (isTold || run.phase !== RunPhase.AtWork) {
             return;
@@ -60,7 +60,7 @@
 
 const isFiller = (run: TaskRun): boolean => run.task.step.definition.fills;
 
-/** The worst tail of the tasks that serve, as a share of its target; undefined when none serves. */
+/** The worst tail latency as a share of its target; undefined when no run has a target. */
 const worstTail = (seen: readonly (readonly [TaskRun, WorkerRun])[]): number | undefined => {
     const tails = seen.flatMap(([run, { measure }]) => {
         const { latencyTarget, fills } = run.task.step.definition;
--- a/packages/cell/src/shares/constants.ts
+++ b/packages/cell/src/shares/constants.ts
@@ -1,5 +1,5 @@
-/** Times of shares, in milliseconds. */
+/** Constants of fair sharing. */
 import type { Milliseconds } from "@pebbledale/core";
 
-/** Organisations are owed jobs by the second. */
+/** Organisations' entitlements are counted over windows of this length. */
 export const rateWindow: Milliseconds = 1_000;
--- a/packages/cell/src/shares/hand-in-rate.ts
+++ b/packages/cell/src/shares/hand-in-rate.ts
@@ -1,42 +1,41 @@
-/**
- * Counts what each organisation hands in, second by second, against the jobs a second that it is owed.
- *
- * The load that it answers: an organisation sends many times its usual. The jobs of a second count in the order of their acceptance, so that
- * of what a busy organisation sends its first jobs go on as if it had sent no others. What it left unused in the second before is added:
- * callers come at random, and after a change of owner those of two seconds come at once. Seconds are those of the time of day that the
- * journal keeps with each job, so a new owner counts the same.
- */
+/** Entitlements by the rate of submitted jobs. */
 import type { OrganisationName } from "@pebbledale/core";
 import type { Job } from "../state/index.js";
 import { rateWindow } from "./constants.js";
 import { Entitlement, type Entitlements } from "./types.js";
 
-/** Jobs a second that an organisation is owed; undefined where no configuration tells. */
+/** Jobs per second that an organisation is entitled to; undefined where the configuration does not say. */
 export type RateOf = (organisation: OrganisationName) => number | undefined;
 
-/** What an organisation handed in during one second and the one before. */
+/** Jobs that an organisation submitted in one window and the one before. */
 interface Tally {
     readonly second: number;
     readonly before: number;
     count: number;
 }
 
-/** Where a job stands among those of its organisation. */
+/** A job's position among those of its organisation. */
 interface Place {
-    /** From 1, in its second. */
+    /** From 1, in its window. */
     readonly place: number;
-    /** Jobs in the second before. */
+    /** Number of jobs in the window before. */
     readonly before: number;
 }
 
-/** See the module's comment. */
+/**
+ * Classifies jobs by counting each organisation's submissions per second against the rate that it is entitled to.
+ *
+ * Jobs of a second count in the order of their acceptance, so the first jobs of an organisation that submits too many are not affected.
+ * The unused entitlement of the second before is added, for random arrivals and for the burst after a change of owner. Seconds are taken
+ * from the acceptance times in the journal, so a new owner arrives at the same result.
+ */
 export class HandInRate implements Entitlements {
     readonly #tallies = new Map<OrganisationName, Tally>();
     readonly #places = new WeakMap<Job, Place>();
 
     constructor(private readonly rateOf: RateOf) {}
 
-    /** See {@link Entitlements.noteJob}. Jobs come in the order of their acceptance. */
+    /** Jobs must come in the order of their acceptance. */
     noteJob(job: Job): void {
         if (job.organisation === undefined || this.#places.has(job)) {
             return;
@@ -46,7 +45,7 @@
         this.#places.set(job, { place: tally.count, before: tally.before });
     }
 
-    /** See {@link Entitlements.of}. By the newest configuration: a rate that changes holds for jobs that were accepted before, too. */
+    /** Uses the newest configuration: a changed rate applies to jobs accepted earlier, too. */
     of(job: Job): Entitlement {
         const rate = job.organisation && this.rateOf(job.organisation);
         const found = this.#places.get(job);
--- a/packages/cell/src/shares/index.ts
+++ b/packages/cell/src/shares/index.ts
@@ -1,4 +1,4 @@
-/** Shares of organisations when the room is not enough for all. */
+/** Fair sharing between organisations when demand exceeds capacity. */
 export * from "./hand-in-rate.js";
 export * from "./owed-first.js";
 export * from "./types.js";
--- a/packages/cell/src/shares/owed-first.ts
+++ b/packages/cell/src/shares/owed-first.ts
@@ -1,17 +1,14 @@
-/**
- * Puts what organisations are owed in front of what they send beyond it.
- *
- * The load that it answers: one organisation sends many times its usual and the room does not hold all of it. Its surplus takes what the
- * others leave, so that they are served as if it had not been sent, and waits for nothing while there is room.
- */
+/** Order of entitled and surplus work. */
 import type { Step } from "../state/index.js";
 import type { Entitlements, ShareOrder } from "./types.js";
 
-/** See the module's comment. */
+/**
+ * Puts work within organisations' entitlements before surplus work. Others are served as if the surplus had not been submitted, and it
+ * still uses all capacity that they leave.
+ */
 export class OwedFirst implements ShareOrder {
     constructor(private readonly entitlements: Entitlements) {}
 
-    /** See {@link ShareOrder.standingOf}. */
     standingOf({ job }: Step): number {
         return this.entitlements.of(job);
     }
--- a/packages/cell/src/shares/types.ts
+++ b/packages/cell/src/shares/types.ts
@@ -1,23 +1,22 @@
-/** What organisations are owed when there is not room for all. */
+/** Entitlements of organisations when demand exceeds capacity. */
 import type { Job, Step } from "../state/index.js";
 
-/** Whether an organisation handed a job in within what it is owed. */
+/** Whether a job was submitted within its organisation's entitlement. */
 export enum Entitlement {
     Owed = 0,
-    /** Beyond its rate of jobs: it takes room that nobody owed wants. */
+    /** Beyond its rate of jobs: it gets the capacity that entitled work leaves. */
     Surplus = 1,
 }
 
-/** Keeps what organisations hand in against the rate of jobs that they are owed. */
+/** Compares the jobs that organisations submit with what they are entitled to. */
 export interface Entitlements {
-    /** A job was accepted, or taken over from an earlier owner; each once. */
+    /** Counts a job that was accepted or recovered from an earlier owner. A repeated call for the same job has no effect. */
     noteJob(job: Job): void;
-    /** What a job counts as. */
     of(job: Job): Entitlement;
 }
 
-/** Orders steps of one urgency between organisations. */
+/** Orders steps of the same tier and priority between organisations. */
 export interface ShareOrder {
-    /** 0 where its organisation is owed it, more where it is surplus; lower goes first. */
+    /** 0 within the organisation's entitlement, more for surplus; lower goes first. */
     standingOf(step: Step): number;
 }
--- a/packages/cell/src/speeds/constants.ts
+++ b/packages/cell/src/speeds/constants.ts
@@ -1,14 +1,14 @@
-/** Weights and bounds of what is learned of workers' speeds. Speeds are natural logarithms of multiples of the usual worker's. */
+/** Tuning constants of the estimate of workers' speeds. Speeds are natural logarithms of multiples of the typical worker's speed. */
 
-/** Weight of the assumption that a worker is a usual one, in samples. */
+/** Weight, in samples, of the prior that a worker is as fast as the typical one. */
 export const usualWeight = 2;
-/** Most samples that are remembered of a worker, by weight: what is older fades. */
+/** Upper bound of the accumulated weight of a worker's samples, beyond which older ones fade. */
 export const mostWeight = 30;
-/** Fewest samples before a worker's speed is acted on. */
+/** Weight of samples from which an estimate is used. */
 export const fewestWeight = 3;
-/** Speeds that differ by less are taken for equal: what runs beside a task does as much. */
+/** Smaller differences of speed are ignored: other runs on a worker have as much effect. */
 export const equalWithin = Math.log(1.35);
-/** No sound worker is faster or slower than this: a sample that says so tells of its task. */
+/** Bound of a sample. Larger differences are attributed to the task rather than to the worker. */
 export const mostDifference = Math.log(4);
-/** Most workers whose paces are kept for a step. */
+/** Upper bound of workers whose paces are kept for a step. */
 export const mostPeers = 24;
--- a/packages/cell/src/speeds/index.ts
+++ b/packages/cell/src/speeds/index.ts
@@ -1,3 +1,3 @@
-/** How fast workers are. */
+/** Estimates of workers' speeds. */
 export * from "./speed-book.js";
 export * from "./types.js";
--- a/packages/cell/src/speeds/speed-book.ts
+++ b/packages/cell/src/speeds/speed-book.ts
@@ -1,35 +1,32 @@
-/**
- * Learns workers' speeds from how long their tasks take beside others of the same step elsewhere, which share the error of their caller's
- * estimate.
- *
- * Bounded by the workers; a new owner has it again once each worker has ended a few tasks.
- */
+/** Estimate of workers' speeds from completed runs. */
 import type { Milliseconds } from "@pebbledale/core";
 import type { Step, TaskRun, WorkerState } from "../state/index.js";
 import { paceOfDone } from "../watching/index.js";
 import { equalWithin, fewestWeight, mostDifference, mostPeers, mostWeight, usualWeight } from "./constants.js";
 import type { WorkerSpeeds } from "./types.js";
 
-/** What is known of one worker. */
+/** Accumulated samples of one worker. */
 interface KnownSpeed {
-    /** Sum of the samples by weight. */
+    /** Weighted sum of the samples. */
     sum: number;
     weight: number;
 }
 
-/** See the module's comment. */
+/**
+ * Estimates workers' speeds by comparing runs of the same step on different workers, which share the error of the caller's estimate.
+ * Estimates are not persisted: a new owner learns them again from the next completed runs.
+ */
 export class SpeedBook implements WorkerSpeeds {
-    /** By worker's life: of the next one nothing is known. */
+    /** By incarnation of a worker: a restarted one starts without an estimate. */
     readonly #known = new WeakMap<WorkerState, KnownSpeed>();
-    /** By step, the latest pace of its tasks on each worker. */
+    /** The latest pace of each step's tasks, by worker. */
     readonly #paces = new WeakMap<Step, Map<WorkerState, number>>();
 
-    /** See {@link WorkerSpeeds.noteDone}. */
     noteDone(run: TaskRun, now: Milliseconds): void {
         const { worker, task: { step } } = run;
         const pace = paceOfDone(run, now);
         if (pace === undefined || worker.slowUntil > now) {
-            // A worker that is taken for slow at present says nothing of its usual speed.
+            // A worker that is slow at present does not show its usual speed.
             return;
         }
         const paces = this.#paces.get(step) ?? new Map<WorkerState, number>();
@@ -43,13 +40,12 @@
         }
     }
 
-    /** See {@link WorkerSpeeds.forgetWorker}. */
     forgetWorker(worker: WorkerState): void {
         this.#known.delete(worker);
         worker.slowness = 1;
     }
 
-    /** Both workers of a pair learn from it: the first of a step to end has nobody to be compared with before. */
+    /** Updates both workers of a pair, as the first one to complete a task of a step had no peer at the time. */
     #compare(worker: WorkerState, other: WorkerState, difference: number, weight: number): void {
         const speed = this.#speedOf(worker);
         const otherSpeed = this.#speedOf(other);
--- a/packages/cell/src/speeds/types.ts
+++ b/packages/cell/src/speeds/types.ts
@@ -1,11 +1,11 @@
-/** What is known of how fast workers are. */
+/** The interface of the estimate of workers' speeds. */
 import type { Milliseconds } from "@pebbledale/core";
 import type { TaskRun, WorkerState } from "../state/index.js";
 
-/** Learns how fast workers are. It keeps {@link WorkerState.slowness} up to date, which decisions read. */
+/** Learns how fast workers are and keeps {@link WorkerState.slowness} up to date. */
 export interface WorkerSpeeds {
-    /** A run has ended well: its time tells of its worker, beside those of the same step elsewhere. */
+    /** Learns from a run that has completed. */
     noteDone(run: TaskRun, now: Milliseconds): void;
-    /** The worker is gone, or is another life. */
+    /** The worker is gone or was started again. */
     forgetWorker(worker: WorkerState): void;
 }
--- a/packages/cell/src/yielding/constants.ts
+++ b/packages/cell/src/yielding/constants.ts
@@ -1,7 +1,7 @@
-/** Times and shares of runs that give way. Times are in milliseconds. */
-/** Least part of a run, in percent, that must be left for it to be stopped: with less it is about to end. */
+/** Tuning constants of preemption. Times are in milliseconds. */
+/** A run with less than this left, in percent, is not preempted, as it is about to end. */
 export const leastPercentLeft = 15;
-/** A run gives way only if its job has this much time to spare, in milliseconds: to be stopped, placed again, restored. */
+/** Slack that a job must have for its run to be preempted: the run has to be stopped, placed again and restored. */
 export const leastSlackToYield = 2_500;
-/** A task gives way at most this often. */
+/** Upper bound of preemptions of one task. */
 export const mostPreemptions = 3;
--- a/packages/cell/src/yielding/index.ts
+++ b/packages/cell/src/yielding/index.ts
@@ -1,3 +1,3 @@
-/** Which runs give way to more urgent work, and how. */
+/** Preemption of runs by more urgent work. */
 export * from "./run-stopper.js";
 export * from "./yield-policy.js";
--- a/packages/cell/src/yielding/run-stopper.ts
+++ b/packages/cell/src/yielding/run-stopper.ts
@@ -1,13 +1,13 @@
-/** Stops runs so that more urgent work has their room. */
+/** Preempts single runs. */
 import { logEvents } from "@pebbledale/core";
 import type { RunBook } from "../runs/index.js";
 import type { CellContext, TaskRun } from "../state/index.js";
 
-/** See the module's comment. */
+/** Stops runs for more urgent work, counts the preemptions of their tasks and logs them. */
 export class RunStopper {
     constructor(private readonly context: CellContext, private readonly runs: RunBook) {}
 
-    /** Stops a run. `by`: what needs its room, for the log. */
+    /** `by`: what needs its resources, for the log. */
     stop(run: TaskRun, by: string): void {
         run.task.preemptions++;
         this.runs.stop(run, "more urgent work needs its room");
