--- a/packages/cell/src/organisations/key-ring.ts
+++ b/packages/cell/src/organisations/key-ring.ts
@@ -1,18 +1,18 @@
-/** Tells by the key that a caller shows which organisation it is of. */
+/** Authentication of callers by key. */
 import { type KeyDigest, keyDigest, type OrganisationName } from "@pebbledale/core";
 import { createHash } from "node:crypto";
 import type { Organisation } from "./types.js";
 
-/** Longest key that is looked at, in characters: a digest of this much takes some microseconds. */
+/** Longer keys, in characters, are rejected without computing a digest, which bounds the cost of a request. */
 export const longestKey = 512;
 
 /**
- * Digest of a key. Keys are looked up by their digests: how long that takes tells nothing of a key that is known, and neither logs nor
- * messages between VMs can give one away.
+ * Digest of a key. Keys are looked up and sent between VMs as digests only, so that neither the duration of a lookup nor a log or message
+ * reveals a key.
  */
 export const digestOf = (key: string): KeyDigest => keyDigest(createHash("sha256").update(key).digest("base64url"));
 
-/** See the module's comment. */
+/** Finds the organisation to which a caller's key belongs. */
 export class KeyRing {
     readonly #holders = new Map<KeyDigest, OrganisationName>();
 
@@ -22,7 +22,7 @@
         }
     }
 
-    /** Whose key it is; undefined when nobody has it. */
+    /** The organisation that holds a key; undefined when there is none. */
     holderOf(key: string): OrganisationName | undefined {
         return key === "" || key.length > longestKey ? undefined : this.#holders.get(digestOf(key));
     }
--- a/packages/cell/src/organisations/types.ts
+++ b/packages/cell/src/organisations/types.ts
@@ -2,13 +2,13 @@
 import type { KeyDigest, OrganisationName } from "@pebbledale/core";
 import type { TaskSize } from "../task-size/index.js";
 
-/** One of those that share a cell. */
+/** An organisation that shares a cell with others. */
 export interface Organisation {
     readonly name: OrganisationName;
-    /** Its callers show one of these keys. */
+    /** Its callers present one of these keys. */
     readonly keys: readonly KeyDigest[];
-    /** Its share when there is not room for all, relative to the others, and the jobs a second that it is owed. */
+    /** Jobs per second that it is entitled to, and its relative share when demand exceeds capacity. */
     readonly weight: number;
-    /** Most that it may have at work across all workers; 0 stands for no limit. */
+    /** Upper bound of its usage across all workers; 0 in a dimension means no limit. */
     readonly limit: TaskSize;
 }
--- a/packages/cell/src/organisations/usage-book.ts
+++ b/packages/cell/src/organisations/usage-book.ts
@@ -1,9 +1,4 @@
-/**
- * What each organisation has at work, and how much more it may have.
- *
- * A run counts from its order until it is surely over, in the same span as it holds its worker's room: stopped but not ended, at a
- * worker that is not heard, ordered by a former owner. So no order of losses and late answers brings an organisation over its limit.
- */
+/** Usage and limits of organisations. */
 import type { OrganisationName } from "@pebbledale/core";
 import type { TaskSize } from "../task-size/index.js";
 import type { Organisation } from "./types.js";
@@ -14,58 +9,63 @@
 
 const noRoom = (): Room => ({ processorThousandths: 0, memoryMebibytes: 0, accelerators: 0 });
 
-/** See the module's comment. */
+/**
+ * Accounts for the resources that each organisation uses, against its limit.
+ *
+ * A run counts from its order until it has certainly ended, also while it is being stopped, while its worker does not answer, and if an
+ * earlier owner ordered it. Lost or late messages therefore never bring an organisation over its limit.
+ */
 export class UsageBook {
     readonly #used = new Map<OrganisationName, Room>();
     readonly #limits = new Map<OrganisationName, TaskSize>();
 
-    /** Takes the limits of a configuration. One that it does not name keeps its last limit: its jobs go on. */
+    /** Applies the limits of a configuration. An organisation that is no longer configured keeps its last limit for its remaining jobs. */
     configure(organisations: readonly Organisation[]): void {
         organisations.forEach(({ name, limit }) => this.#limits.set(name, limit));
     }
 
-    /** Takes a limit of an earlier owner's time, unless a configuration has told one. */
+    /** Restores a limit recorded by an earlier owner, unless a configuration has already set one. */
     recoverLimit(organisation: OrganisationName | undefined, limit: TaskSize | undefined): void {
         if (organisation !== undefined && limit !== undefined && !this.#limits.has(organisation)) {
             this.#limits.set(organisation, limit);
         }
     }
 
-    /** A run of an organisation is ordered, or found at a worker. */
+    /** Adds a run that is ordered or found at a worker. */
     add(organisation: OrganisationName | undefined, size: TaskSize): void {
         this.#change(organisation, size, 1);
     }
 
-    /** A run is surely over. */
+    /** Removes a run that has certainly ended. */
     remove(organisation: OrganisationName | undefined, size: TaskSize): void {
         this.#change(organisation, size, -1);
     }
 
-    /** What an organisation has at work. */
+    /** Resources that an organisation uses now. */
     usedBy(organisation: OrganisationName): TaskSize {
         return this.#used.get(organisation) ?? noRoom();
     }
 
-    /** What an organisation may have at work; undefined when it was never told. */
+    /** Undefined when no limit is known yet. */
     limitOf(organisation: OrganisationName): TaskSize | undefined {
         return this.#limits.get(organisation);
     }
 
-    /** Whether an organisation has less than a share of its limit at work, in each dimension that has one. */
+    /** Whether an organisation uses less than a share of its limit, in each dimension that has one. */
     isBelow(organisation: OrganisationName, share: number): boolean {
         const used = this.usedBy(organisation);
         const limit = this.#limits.get(organisation) ?? noRoom();
         return dimensions.every(dimension => limit[dimension] === 0 || used[dimension] < limit[dimension] * share);
     }
 
-    /** How many more tasks of a size an organisation may have at work now, within a share of its limit. */
+    /** How many more tasks of a size an organisation may run now, within a share of its limit. */
     countLeft(organisation: OrganisationName | undefined, size: TaskSize, share = 1): number {
         return organisation === undefined
             ? Infinity
             : this.#count(organisation, size, this.usedBy(organisation), share);
     }
 
-    /** How many tasks of a size an organisation may have at work with nothing else. */
+    /** How many tasks of a size an organisation may run with nothing else. */
     countWhenIdle(organisation: OrganisationName | undefined, size: TaskSize): number {
         return organisation === undefined ? Infinity : this.#count(organisation, size, noRoom(), 1);
     }
@@ -73,7 +73,7 @@
     #count(organisation: OrganisationName, size: TaskSize, used: TaskSize, share: number): number {
         const limit = this.#limits.get(organisation);
         if (limit === undefined) {
-            // Its limit is in a configuration that this VM is about to read.
+            // The limit is not known until this VM has read the configuration.
             return 0;
         }
         let count = Infinity;
--- a/packages/cell/src/upkeep/index.ts
+++ b/packages/cell/src/upkeep/index.ts
@@ -1,3 +1,3 @@
-/** Upkeep of VMs in waves: what operators ask for, the platform's service that does it, and the order of the VMs. */
+/** Upkeep of VMs in waves: the operators' requests, the platform's VM service and the planning of upkeep. */
 export * from "./types.js";
 export * from "./wave-planner.js";
--- a/packages/cell/src/upkeep/types.ts
+++ b/packages/cell/src/upkeep/types.ts
@@ -1,29 +1,29 @@
-/** Waves of upkeep, and the platform's service of VMs. */
+/** Upkeep waves and the platform's VM service. */
 import type { Branded, FencingToken, Milliseconds, WorkerId } from "@pebbledale/core";
 
-/** Names one VM that workers live on, one after the other. */
+/** Identifies a VM. A VM hosts one worker at a time. */
 export type VmId = Branded<string, "VmId">;
 
-/** Makes a VM's name from text that is known to be one. */
+/** Brands text that is known to be a VM's name. */
 export const vmId = (text: string): VmId => text as VmId;
 
-/** Operators ask for each of these VMs to have its upkeep. */
+/** An operators' request for the upkeep of some VMs. */
 export interface UpkeepWave {
     readonly wave: number;
     readonly vms: readonly VmId[];
-    /** All of them are to have had it within this time. */
+    /** Time within which the upkeep of all of them is to be completed. */
     readonly within: Milliseconds;
-    /** Most of them that are down at once. */
+    /** How many of them may be down at once. */
     readonly mostDown: number;
 }
 
-/** What the system says of a wave. */
+/** Status of a wave as reported to operators. */
 export enum WaveState {
     Running = "running",
     Completed = "completed",
 }
 
-/** Where a VM is in its life. */
+/** State of a VM. */
 export enum VmCondition {
     Up = "up",
     Moving = "moving",
@@ -31,45 +31,44 @@
     Down = "down",
 }
 
-/** One VM as the platform's service lists it. */
+/** A VM as listed by the platform. */
 export interface VmEntry {
     readonly vm: VmId;
     readonly state: VmCondition;
-    /** The worker that lives there; undefined while there is none. */
+    /** The worker that it hosts; undefined while there is none. */
     readonly worker: WorkerId | undefined;
 }
 
-/** Who orders, and with which fencing token: both count for each VM. */
+/** The issuer of an order to a VM. The platform checks the fencing token separately for each VM. */
 export interface VmOrderer {
     readonly holder: string;
     readonly token: FencingToken;
 }
 
-/** Answer to an order to a VM. */
+/** The platform's answer to an order to a VM. */
 export type VmOrderAnswer =
-    /** It is done, or was before. */
+    /** It is carried out, now or by an earlier order. */
     | { readonly kind: "done"; }
-    /** It is not up, or about to leave: nothing was done. */
+    /** The VM is not up or is about to leave; nothing was done. */
     | { readonly kind: "busy"; }
-    /** The VM is not of this wave, or not known. */
+    /** The VM is not part of the wave, or is unknown. */
     | { readonly kind: "not-of-wave"; }
-    /** Another holder with a higher token has ordered. */
+    /** Another holder has used a higher token. */
     | { readonly kind: "fenced"; }
-    /** Too many calls; nothing was done. */
+    /** The rate limit is exceeded; nothing was done. */
     | { readonly kind: "not-now"; };
 
-/** The platform's service of VMs. Calls reject when no answer came: an order may then have been carried out. */
+/** The platform's VM service. Calls reject when no answer arrives; an order may have been carried out nevertheless. */
 export interface VmService {
-    /** All VMs. */
+    /** Lists all VMs. */
     list(signal: AbortSignal): Promise<readonly VmEntry[]>;
-    /** Begins a VM's upkeep: everything that runs there dies at once, and a new worker comes after a while. */
+    /** Begins a VM's upkeep: its runs are killed at once and it returns with a new worker. */
     beginUpkeep(vm: VmId, wave: number, orderer: VmOrderer, signal: AbortSignal): Promise<VmOrderAnswer>;
 }
 
-/** Where the system tells operators how their waves stand. Calls reject when no answer came. */
+/** Reports the status of waves to operators. Calls reject when no answer arrives. */
 export interface WaveBoard {
-    /** Waves that were told to be completed. */
+    /** Waves that have been reported as completed. */
     completed(signal: AbortSignal): Promise<readonly number[]>;
-    /** Tells a wave's state. */
     tell(wave: number, state: WaveState): Promise<void>;
 }
--- a/packages/cell/src/upkeep/wave-planner.ts
+++ b/packages/cell/src/upkeep/wave-planner.ts
@@ -1,43 +1,37 @@
-/**
- * Takes VMs down for their upkeep, wave by wave, never more at once than the operators allow.
- *
- * Workers of the next VMs take nothing new, so that what runs there ends by itself. A VM goes down once its worker is
- * empty, or when waiting longer would make the wave late.
- */
+/** Planning of upkeep waves. */
 import type { Milliseconds, WorkerId } from "@pebbledale/core";
 import { type UpkeepWave, VmCondition, type VmEntry, type VmId, WaveState } from "./types.js";
 
-/** What the planner knows of a worker. */
+/** What the planner needs to know of a worker. */
 export interface PlannedWorker {
-    /** Runs that are not over. */
+    /** Number of runs that have not ended. */
     readonly runs: number;
-    /** Whether its loss would take more tasks that last away than their steps allow. */
+    /** Whether its loss would exceed the disruption budget of a long-running step. */
     readonly holdsNeeded: boolean;
 }
 
-/** What the planner asks for. */
+/** Actions that the planner asks for. */
 export interface UpkeepPlan {
-    /** Workers that take nothing new. */
+    /** Workers that must not accept new runs. */
     readonly closed: ReadonlySet<WorkerId>;
-    /** VMs whose upkeep is to begin now. */
+    /** VMs whose upkeep must begin now. */
     readonly begin: readonly { readonly wave: number; readonly vm: VmId; }[];
-    /** States of waves that are to be told. */
+    /** States of waves to report. */
     readonly states: ReadonlyMap<number, WaveState>;
 }
 
-/** What the planner needs. */
+/** Dependencies and settings of a planner. */
 export interface WavePlannerOptions {
     readonly now: () => Milliseconds;
-    /** What is known of a worker. */
     readonly workerOf: (worker: WorkerId) => PlannedWorker;
     /** How long a VM is down. */
     readonly upkeepTime: Milliseconds;
 }
 
-/** One order to begin an upkeep. */
+/** An order to begin a VM's upkeep. */
 interface Order {
     readonly at: Milliseconds;
-    /** Whether its answer said that it was carried out. Another worker there is no proof: one that crashes is followed by another too. */
+    /** Whether it is known to be carried out. A new worker on the VM is no proof, as a crashed one is replaced too. */
     isConfirmed: boolean;
 }
 
@@ -46,18 +40,23 @@
     readonly since: Milliseconds;
     /** VMs whose upkeep was ordered. */
     readonly begun: Map<VmId, Order>;
-    /** VMs that are up again after their upkeep, or gone. */
+    /** VMs that are up again after their upkeep, or no longer listed. */
     readonly finished: Set<VmId>;
     /** VMs that were seen down after their order. */
     readonly seenDown: Set<VmId>;
 }
 
-/** Share of a wave's time after which VMs go down even if work runs there. */
+/** Share of a wave's time after which VMs go down although work still runs there. */
 const patientShare = 0.5;
-/** Added to the time a VM is down: the platform's list may be a little old. In milliseconds. */
+/** Added to the duration of an upkeep, in milliseconds, as the platform's list may be out of date. */
 const upkeepMargin: Milliseconds = 500;
 
-/** See the module's comment. */
+/**
+ * Decides which VMs begin their upkeep when, never more at once than a wave allows.
+ *
+ * Workers of the next VMs accept no new runs, so that they drain. A VM goes down once its worker is empty, or when waiting longer would
+ * make the wave late, unless the worker holds tasks that its loss would make unavailable.
+ */
 export class WavePlanner {
     readonly #waves = new Map<number, Wave>();
     readonly #completed = new Set<number>();
@@ -65,12 +64,12 @@
 
     constructor(private readonly options: WavePlannerOptions) {}
 
-    /** Whether there is a wave that is not completed. */
+    /** Whether a wave is not completed. */
     get isBusy(): boolean {
         return this.#waves.size > 0;
     }
 
-    /** Takes a wave in; a copy changes nothing. */
+    /** Adds a wave. A repeated call has no effect. */
     add(definition: UpkeepWave): void {
         const { wave } = definition;
         if (!this.#waves.has(wave) && !this.#completed.has(wave)) {
@@ -84,24 +83,23 @@
         }
     }
 
-    /** A wave that an earlier owner completed. */
+    /** Marks a wave that an earlier owner completed. */
     noteCompleted(wave: number): void {
         this.#waves.delete(wave);
         this.#completed.add(wave);
     }
 
-    /** Takes the platform's list in. */
+    /** Applies the platform's list of all VMs. */
     takeList(entries: readonly VmEntry[]): void {
         this.#vms = new Map(entries.map(entry => [entry.vm, entry]));
         this.#waves.forEach(wave => wave.definition.vms.forEach(vm => this.#follow(wave, vm)));
     }
 
-    /** An order is given. Until it is refused, or seen not to have been carried out, its VM counts as down. */
+    /** An order is issued. Its VM counts as down until the order is refused or found not to be carried out. */
     noteOrdered(wave: number, vm: VmId): void {
         this.#waves.get(wave)?.begun.set(vm, this.#orderNow(false));
     }
 
-    /** An order was carried out. */
     noteConfirmed(wave: number, vm: VmId): void {
         const order = this.#waves.get(wave)?.begun.get(vm);
         if (order !== undefined) {
@@ -109,12 +107,12 @@
         }
     }
 
-    /** An order was refused: the VM is asked again later. */
+    /** An order was refused. It is issued again later. */
     noteRefused(wave: number, vm: VmId): void {
         this.#waves.get(wave)?.begun.delete(vm);
     }
 
-    /** What is to be done now. */
+    /** Computes the actions that are due now. */
     plan(): UpkeepPlan {
         const closed = new Set<WorkerId>();
         const begin: { wave: number; vm: VmId; }[] = [];
@@ -134,7 +132,7 @@
         const { definition } = wave;
         const down = definition.vms.filter(vm => wave.begun.has(vm) && !wave.finished.has(vm)).length;
         let free = definition.mostDown - down;
-        // As many more are being emptied as go down next.
+        // In addition to the VMs that are down, as many are drained as may go down next.
         let emptied = definition.mostDown;
         for (const vm of definition.vms) {
             const entry = this.#vms.get(vm);
@@ -161,7 +159,7 @@
         return !known.holdsNeeded && this.options.now() > wave.since + this.#patience(wave);
     }
 
-    /** How long VMs may wait for their work to end: the rest of the wave's time is needed for the upkeep itself. */
+    /** How long VMs may drain, from the start of the wave: the rest of its time is needed for the upkeep itself. */
     #patience({ definition, begun }: Wave): Milliseconds {
         const rounds = Math.ceil((definition.vms.length - begun.size) / Math.max(1, definition.mostDown));
         const needed = rounds * (this.options.upkeepTime + upkeepMargin);
@@ -173,7 +171,7 @@
         return { at: this.options.now(), isConfirmed };
     }
 
-    /** Follows a VM through its upkeep: it is finished once it is up again after it was down, or is no longer there. */
+    /** Updates a VM's progress: it is finished once it is up again after its upkeep, or no longer listed. */
     #follow(wave: Wave, vm: VmId): void {
         const entry = this.#vms.get(vm);
         const order = wave.begun.get(vm);
@@ -182,7 +180,7 @@
             return;
         }
         if (entry.state === VmCondition.Upkeep) {
-            // Also when an earlier owner began it.
+            // An earlier owner may have issued the order.
             wave.begun.set(vm, { ...order ?? this.#orderNow(true), isConfirmed: true });
             wave.seenDown.add(vm);
             return;
@@ -195,7 +193,7 @@
             wave.finished.add(vm);
         }
         else if (isOld) {
-            // The order had no answer: it is given again, and answered as done if it was carried out.
+            // The order had no answer: it is issued again, which is answered as done if it was carried out.
             wave.begun.delete(vm);
         }
     }
--- a/packages/cell/src/watching/constants.ts
+++ b/packages/cell/src/watching/constants.ts
@@ -1,61 +1,55 @@
-/** Times, sizes and weights of the watches over workers that are not settings. Times are in milliseconds. */
+/** Tuning constants of the monitoring of workers. Times are in milliseconds. */
 import type { HealthLimits } from "@pebbledale/core";
 
-/**
- * When a worker looks at fault. Its tasks are many and short, and a failed run costs one of the two or three that a
- * task has: two or three failures in a row are enough.
- */
+/** When a worker counts as faulty. Few failures suffice, as each one uses up one of the two or three attempts of a task. */
 export const workerLimits: HealthLimits = { rememberedOutcomes: 6, fewestFailures: 2, failingShare: 0.5 };
-/** First time that a worker at fault takes nothing new; twice as long each further time in a row. */
+/** Duration of a worker's first quarantine; each consecutive one is twice as long. */
 export const firstQuarantine = 1_500;
-/**
- * A worker that takes one run at a time after its quarantine takes more once it had nothing for this long: a gang that
- * needs it would wait for ever where no other work comes. Half of the three seconds in which work that fits has to start.
- */
+/** Probation ends after this long without a run, as a gang that needs the worker would wait for ever where no other work comes. */
 export const probationLimit = 1_500;
-/** Most doublings of a quarantine. */
+/** Upper bound of the doublings of a quarantine. */
 export const quarantineDoublings = 3;
-/** Most workers that are in quarantine at once, as a share of all. */
+/** Upper bound of the share of workers in quarantine at once. */
 export const quarantineShare = 0.34;
-/** Least time between two samples of a run's progress. A look reports it about twice a second. */
+/** Minimum time between two samples of a run's progress. Polls report progress about twice a second. */
 export const progressInterval = 300;
-/** A sample waits for so much progress, in percent, as that is told in whole ones. */
+/** Progress for which a sample waits, in percent, because progress is reported in whole percent. */
 export const fewestPercentPerSample = 3;
-/** A sample waits no longer than this. */
+/** Maximum time for which a sample waits for progress. */
 export const longestSample = 700;
-/** Progress of a run that shows none, in percent: it may have made this much. */
+/** Progress assumed for a run that reports none, in percent, to allow for rounding. */
 export const leastProgress = 0.5;
-/** A run gets this long to get going before its progress counts. */
+/** Progress in this time after a run's start is not sampled. */
 export const startingTime = 300;
-/** The same for a run that goes on from saved progress, which has to be restored first. */
+/** The same for a run that resumes from saved progress, which has to be restored first. */
 export const restoringTime = 900;
-/** Fewest runs that tell a worker's speed beside those of their steps elsewhere. */
+/** Samples needed to compare a worker with its peers. */
 export const fewestSpeedSamples = 4;
-/** Fewest runs that tell it beside what they did before; fewer will do if they are of so many jobs. */
+/** Samples needed to compare a worker's runs with their own past, */
 export const fewestChangeSamples = 3;
-/** See {@link fewestChangeSamples}. */
+/** or else samples of this many jobs. */
 export const fewestJobs = 2;
-/** How much longer a task takes away from its data, as a natural logarithm (the users' rules give 1.5 to 2 times). */
+/** Slowdown of a task away from its data, as a natural logarithm. */
 export const farPace = Math.log(1.75);
-/** Variance of the error of callers' estimates, of natural logarithms. */
+/** Variance of the natural logarithm of the error of callers' estimates. */
 export const estimateVariance = 1;
-/** Variance of a step's pace on one sound worker: these differ in speed, and tasks of a step in their work. */
+/** Variance of a step's pace between healthy workers, by the workers' speeds and the tasks' work. */
 export const peerVariance = 0.12;
-/** Variance of one run's pace among those of its step. */
+/** Variance of the pace between runs of a step on one worker. */
 export const runVariance = 0.06;
-/** Variance of the change of one run's pace on a sound worker, which goes on as it was. */
+/** Variance of the change of one run's pace on a healthy worker. */
 export const steadyVariance = 0.02;
-/** Pace of the slowest sound workers beside the usual ones, as a natural logarithm. */
+/** Pace of the slowest healthy workers relative to their peers, as a natural logarithm. */
 export const slowestSoundPace = Math.log(0.42);
-/** A run that does less than this share of what it did before is held up by its worker. */
+/** Lowest pace of a run on a healthy worker relative to its own past, as a natural logarithm. */
 export const slowestSteadyPace = Math.log(0.5);
-/** A worker is taken for slow if it is this many standard deviations below the slowest sound one. */
+/** A worker counts as slow if it is this many standard deviations below the slowest healthy one. */
 export const certainDeviations = 2.5;
-/** The middle of several values deviates this much more than their mean does. */
+/** Ratio of the standard error of a median to that of a mean. */
 export const middleFactor = 1.25;
-/** Most other workers whose paces are kept for a step. */
+/** Upper bound of workers whose paces are kept for a step. */
 export const mostPeers = 24;
-/** A worker that was slow is taken for slow for this long after the last sample. */
+/** How long a worker counts as slow after the last sample that shows it. */
 export const slowFor = 1_500;
-/** Most workers that are taken for slow at once, as a share of all. */
+/** Upper bound of the share of workers that count as slow at once. */
 export const slowShare = 0.4;
--- a/packages/cell/src/watching/health-watch.ts
+++ b/packages/cell/src/watching/health-watch.ts
@@ -1,25 +1,28 @@
-/** Keeps work away from workers that fail what succeeds elsewhere. */
+/** Monitoring of workers by failed runs. */
 import { logEvents, WorkerHealth } from "@pebbledale/core";
 import type { CellContext, Job, Step, TaskRun, WorkerState } from "../state/index.js";
 import { RunEnd } from "../task-worker/index.js";
 import { firstQuarantine, probationLimit, quarantineDoublings, quarantineShare, workerLimits } from "./constants.js";
 
-/** Added to the cost of a worker whose last outcomes hold a failure that is not its job's own. */
+/** Cost added to a worker with a recent failure that is not attributed to the job. */
 const suspectCost = 20;
-/** Added for a step with failed runs: another failure may be the last that its job can have. */
+/** Cost added instead for a step with failed runs, as another failure may fail its job. */
 const failedBeforeCost = 500;
 
-/** See the module's comment. */
+/**
+ * Keeps work away from workers on which runs fail that succeed elsewhere: suspects cost more, and faulty workers are quarantined, then put
+ * on probation.
+ */
 export class HealthWatch {
     readonly #health = new WorkerHealth(workerLimits);
 
     constructor(private readonly context: CellContext) {}
 
-    /** Takes in how a run ended. */
+    /** Takes the outcome of a run. */
     noteEnd({ task, worker }: TaskRun, end: RunEnd): void {
         const { job: { id }, definition } = task.step;
         if (definition.isLasting) {
-            // Tasks that last may fail at any time; that says nothing of their worker.
+            // A failure of a long-running task is no evidence against its worker.
             return;
         }
         if (end === RunEnd.Done) {
@@ -31,7 +34,7 @@
         }
     }
 
-    /** Lets workers that nothing was tried on take more. */
+    /** Ends the probation of workers that had no run for a while. */
     tick(): void {
         const now = this.context.now();
         for (const worker of this.context.workers.values()) {
@@ -43,7 +46,7 @@
         }
     }
 
-    /** What is added to the cost of a worker for a step; 0 when nothing speaks against it. */
+    /** Cost to add to a worker for a step; 0 when it is not suspect. */
     costOf(worker: WorkerState, step: Step): number {
         const isSuspect = this.#health.isSuspect(worker.id);
         const hasFailed = step.failedRuns > 0;
@@ -53,12 +56,10 @@
         return isSuspect ? suspectCost : 0;
     }
 
-    /** Drops what is known of a job that is over. */
     forgetJob(job: Job): void {
         this.#health.forgetJob(job.id);
     }
 
-    /** Drops what is known of a worker that is gone. */
     forgetWorker(worker: WorkerState): void {
         this.#health.forgetWorker(worker.id);
     }
--- a/packages/cell/src/watching/progress-watch.ts
+++ b/packages/cell/src/watching/progress-watch.ts
@@ -1,9 +1,4 @@
-/**
- * Finds workers on which tasks stand still or are slow.
- *
- * A worker that is slow takes nothing new while it is, and what runs there is moved where that loses nothing: tasks that save their
- * progress are stopped and go on elsewhere, tasks that may have copies get one.
- */
+/** Monitoring of workers by the progress of their runs. */
 import { logEvents, type Milliseconds } from "@pebbledale/core";
 import type { CellContext, Step, TaskRun, WorkerState } from "../state/index.js";
 import type { WorkerRun } from "../task-worker/index.js";
@@ -13,13 +8,13 @@
 import { findSpeed, isSlow, type SpeedFinding, type StepSamples } from "./slowness.js";
 import { StepPaces } from "./step-paces.js";
 
-/** See the module's comment. */
+/** Detects workers on which runs stall or are slow. They accept no new runs, and their runs are migrated or copied where possible. */
 export class ProgressWatch {
     readonly #paces = new StepPaces();
 
     constructor(private readonly context: CellContext) {}
 
-    /** Takes in how far the runs of a worker are. `clock`: the worker's own, when it said so. */
+    /** Takes the progress of a worker's runs. `clock`: the worker's own clock at the time of the report. */
     note(worker: WorkerState, seen: readonly (readonly [TaskRun, WorkerRun])[], clock: Milliseconds): void {
         const now = this.context.now();
         const samples = new Map<Step, RunPace[]>();
@@ -37,7 +32,7 @@
         }
     }
 
-    /** Takes in that a run has ended well: its time tells of its step's tasks elsewhere. */
+    /** Takes the duration of a completed run as a reference for tasks of its step elsewhere. */
     noteDone(run: TaskRun): void {
         const pace = paceOfDone(run, this.context.now());
         if (pace !== undefined) {
@@ -45,7 +40,7 @@
         }
     }
 
-    /** Whether runs of a worker are worth moving: it is slow, or it does not answer. */
+    /** Whether a worker is slow or does not answer, so that its runs are worth copying. */
     isHindered(worker: WorkerState, now: Milliseconds): boolean {
         return worker.slowUntil > now || worker.silentSince !== undefined;
     }
@@ -54,7 +49,7 @@
         return {
             job: step.job.id,
             paces: paces.map(({ pace }) => pace),
-            // Members of a gang may hold each other up.
+            // Members of a gang may slow each other down.
             changes: step.definition.isGang
                 ? []
                 : paces.flatMap(({ pace, formerPace }) => formerPace === undefined ? [] : [pace - formerPace]),
@@ -75,7 +70,7 @@
         const all = [...this.context.workers.values()];
         const slow = all.filter(other => other !== worker && other.slowUntil > now).length;
         if (slow + 1 > all.length * slowShare) {
-            // That many at once are no outliers.
+            // So many slow workers at once are no outliers.
             return;
         }
         worker.slowUntil = now + slowFor;
@@ -86,7 +81,6 @@
     }
 }
 
-/** A finding as log lines tell it. */
 const told = ({ ground, speed, deviations, samples }: SpeedFinding) => ({
     ground,
     speed: Number(speed.toFixed(3)),
--- a/packages/cell/src/watching/run-paces.ts
+++ b/packages/cell/src/watching/run-paces.ts
@@ -1,7 +1,4 @@
-/**
- * How fast runs get on, in samples between two looks at their worker, by the worker's own clock: looks may reach the owner late, and two
- * at once.
- */
+/** Samples of runs' paces, by the worker's own clock, as reports may reach the owner late or in batches. */
 import type { Milliseconds } from "@pebbledale/core";
 import { fullPace, type ProgressMark, RunPhase, type TaskRun } from "../state/index.js";
 import type { WorkerRun } from "../task-worker/index.js";
@@ -15,16 +12,16 @@
     startingTime,
 } from "./constants.js";
 
-/** One sample of a run. Paces are natural logarithms of multiples of what the caller's estimate says. */
+/** One sample of a run. Paces are natural logarithms of the speed relative to the caller's estimate. */
 export interface RunPace {
     readonly pace: number;
-    /** The same from the run's begin to this sample; undefined where nothing is known of that time. */
+    /** The pace from the run's start to the previous sample; undefined where too little is known of that time. */
     readonly formerPace: number | undefined;
-    /** Variance of the pace, as progress is told in whole percents. */
+    /** Variance of the pace due to progress being reported in whole percent. */
     readonly roundingVariance: number;
 }
 
-/** Samples a run that a look shows; undefined while it is too early, or when its progress tells nothing of its worker. */
+/** Samples a run's reported progress. Undefined while it is too early, or when the progress says nothing about the worker. */
 export const sampleRun = (
     run: TaskRun,
     { percent }: WorkerRun,
@@ -47,7 +44,7 @@
     const pacePerPercent = estimate / 100;
     const formerPercents = last.percent - origin.percent;
     const former = formerPercents / Math.max(1, last.at - origin.at);
-    // By its former pace, or by the estimate where there is none.
+    // By its earlier pace, or by the estimate where that is higher or there is no earlier pace.
     const expected = Math.max(elapsed * former, elapsed / estimate * 100);
     if (elapsed < progressInterval || expected < fewestPercentPerSample && elapsed < longestSample) {
         return undefined;
@@ -62,7 +59,7 @@
     };
 };
 
-/** The pace of a run that has ended well, over all its time; undefined where its begin is not known. */
+/** The overall pace of a completed run; undefined where its start is not known or the pace is not comparable. */
 export const paceOfDone = (run: TaskRun, now: Milliseconds): number | undefined => {
     const { estimate, isLasting, fills, isGang } = run.task.step.definition;
     const took = now - (run.confirmedAt ?? now);
@@ -72,13 +69,13 @@
     return Math.log(estimate / took) + (isFar(run) ? farPace : 0);
 };
 
-/** Where a run began, by its worker's clock: only of runs whose progress began with the order's confirmation. */
+/** The start of a run by its worker's clock, for runs whose progress began at 0 when their order was confirmed. */
 const beginOf = (run: TaskRun, clock: Milliseconds, now: Milliseconds): ProgressMark | undefined =>
     isFresh(run) && !run.task.step.definition.isGang
         ? { percent: 0, at: clock - (now - (run.confirmedAt ?? now)) }
         : undefined;
 
-/** Whether a run began with nothing done, under this owner. */
+/** Whether a run started without restored progress under this owner. */
 const isFresh = (run: TaskRun): boolean => !run.isAdopted && !mayBeRestored(run);
 
 const mayBeRestored = ({ run, task }: TaskRun): boolean => run > 1 && task.step.definition.savesProgress;
--- a/packages/cell/src/watching/slowness.ts
+++ b/packages/cell/src/watching/slowness.ts
@@ -1,9 +1,9 @@
 /**
- * Tells from paces of its runs whether a worker is slow.
+ * Detection of slow workers from the paces of their runs.
  *
- * Sound workers differ in speed, tasks of one step in their work, and estimates may be off tenfold. So a worker is slow only if its runs
- * are behind those of the same steps on other workers, or behind what they did themselves on it before, by more than sound workers
- * differ, and with enough certainty.
+ * Healthy workers differ in speed, tasks of one step in their work, and estimates may be off tenfold. A worker therefore counts as slow
+ * only if its runs are slower than their peers on other workers, or than their own past, by significantly more than healthy workers
+ * differ.
  */
 import {
     certainDeviations,
@@ -19,34 +19,34 @@
 import { middleOf } from "./middle.js";
 import type { ExpectedPace } from "./step-paces.js";
 
-/** Samples of one step's runs at a worker. */
+/** Samples of one step's runs on a worker. */
 export interface StepSamples {
     readonly job: string;
     readonly paces: readonly number[];
-    /** Of runs that were sampled before: how their pace has changed, as a natural logarithm. */
+    /** Changes of the paces of runs that were sampled before, as natural logarithms. */
     readonly changes: readonly number[];
     readonly roundingVariance: number;
     readonly expected: ExpectedPace;
 }
 
-/** What some runs tell of their worker. */
+/** Result of a comparison of a worker's runs. */
 export interface SpeedFinding {
-    /** Compared with what: runs of the same steps elsewhere, or the same runs before. */
+    /** What the runs were compared with: runs of the same steps elsewhere, or their own past. */
     readonly ground: "peers" | "past";
-    /** The worker's speed as a multiple of theirs. */
+    /** The worker's speed relative to the baseline. */
     readonly speed: number;
-    /** How many standard deviations it is below the slowest sound one; negative when above. */
+    /** Standard deviations by which it is below the slowest healthy worker; negative when above. */
     readonly deviations: number;
     readonly samples: number;
 }
 
-/** The finding that speaks most for a slow worker; undefined when there are too few samples. */
+/** The strongest evidence that a worker is slow; undefined when there are too few samples. */
 export const findSpeed = (steps: readonly StepSamples[]): SpeedFinding | undefined => {
     const findings = [compareWithPeers(steps), compareWithPast(steps)].filter(finding => finding !== undefined);
     return findings.sort((left, right) => right.deviations - left.deviations).at(0);
 };
 
-/** Whether a finding says that its worker is slow. */
+/** Whether a finding is significant. */
 export const isSlow = ({ deviations }: SpeedFinding): boolean => deviations >= certainDeviations;
 
 const compareWithPeers = (steps: readonly StepSamples[]): SpeedFinding | undefined => {
@@ -93,7 +93,7 @@
     return { ground, speed: Math.exp(value), deviations: (bound - value) / deviation, samples };
 };
 
-/** The least value that more than half of the weight is not above. */
+/** The median of the values weighted by their precision. */
 const weightedMiddleOf = (differences: readonly Difference[]): number => {
     const sorted = [...differences].sort((left, right) => left.value - right.value);
     let left = sorted.reduce((sum, { variance }) => sum + 1 / variance, 0) / 2;
--- a/packages/cell/src/watching/step-paces.ts
+++ b/packages/cell/src/watching/step-paces.ts
@@ -1,29 +1,29 @@
-/**
- * The paces of each step's tasks on several workers. They share the error of the caller's estimate, so what differs is their workers'
- * doing.
- */
+/** Paces of steps' tasks by worker. */
 import type { WorkerId } from "@pebbledale/core";
 import type { Step } from "../state/index.js";
 import { estimateVariance, mostPeers, peerVariance } from "./constants.js";
 import { middleOf } from "./middle.js";
 
-/** What the pace of a step's tasks is expected to be on a sound worker. */
+/** The pace expected of a step's tasks on a healthy worker. */
 export interface ExpectedPace {
-    /** Natural logarithm of a multiple of what the estimate says. */
+    /** Natural logarithm of the speed relative to the estimate. */
     readonly pace: number;
     readonly variance: number;
-    /** Other workers that it was learned from. */
+    /** Number of other workers from which it was learned. */
     readonly peers: number;
 }
 
-/** Later samples of a worker weigh this much against the earlier ones together. */
+/** Weight of a new sample in the moving average of a worker. */
 const newestWeight = 0.4;
 
-/** See the module's comment. */
+/**
+ * Learns the paces of each step's tasks on several workers. The tasks share the error of the caller's estimate, so differences are due to
+ * the workers.
+ */
 export class StepPaces {
     readonly #paces = new WeakMap<Step, Map<WorkerId, number>>();
 
-    /** A sample of a step's tasks on a worker. */
+    /** Adds a sample of a step's tasks on a worker. */
     note(step: Step, worker: WorkerId, pace: number): void {
         const paces = this.#paces.get(step) ?? new Map<WorkerId, number>();
         this.#paces.set(step, paces);
@@ -34,7 +34,7 @@
         paces.set(worker, former === undefined ? pace : former + (pace - former) * newestWeight);
     }
 
-    /** From the other workers of a step, and from the estimate as far as these are few. */
+    /** Combines the paces on other workers with the caller's estimate, which counts more the fewer these are. */
     expectedOf(step: Step, worker: WorkerId): ExpectedPace {
         const others = [...this.#paces.get(step) ?? []].filter(([id]) => id !== worker).map(([, pace]) => pace);
         const peers = others.length;
