--- a/packages/cell/src/advice/index.ts
+++ b/packages/cell/src/advice/index.ts
@@ -1,45 +1,46 @@
-/** The service that alone knows which workers may run a step. */
+/** The advice service, an external service that decides which workers may run a step. */
 import type { Milliseconds, WorkerId } from "@pebbledale/core";
 
-/** How a queue's steps are advised on. */
+/** Timing of the advice for a queue's steps. */
 export interface AdvicePolicy {
-    /** What one call takes, whatever it names. */
+    /** Constant part of the duration of a call. */
     readonly decision: Milliseconds;
-    /** What each worker that a call names adds. */
+    /** Duration added by each worker in a call. */
     readonly eachWorker: Milliseconds;
-    /** How long a ticket holds. */
+    /** How long a ticket is valid. */
     readonly validity: Milliseconds;
 }
 
-/** What a call that names `workers` takes at the service. */
+/** Expected duration of a call about this many workers. */
 export const callDuration = ({ decision, eachWorker }: AdvicePolicy, workers: number): Milliseconds =>
     decision + eachWorker * workers;
 
-/** Names a step of an occurrence of a job: job, occurrence and step, with slashes between. */
+/** Asks which of some workers may run a step. */
 export interface AdviceQuestion {
+    /** Job, occurrence and step, separated by slashes. */
     readonly step: string;
     readonly workers: readonly WorkerId[];
 }
 
-/** A worker that may run the step, with the ticket that its starts carry. */
+/** A worker that may run the step, with the ticket that start commands must carry. */
 export interface Permit {
     readonly worker: WorkerId;
     readonly ticket: string;
 }
 
-/** Answer of the advice service. */
+/** Answer of the advice service: the permitted workers, or a rejection. */
 export type AdviceAnswer =
     | { readonly kind: "advised"; readonly permits: readonly Permit[]; readonly validity: Milliseconds; }
-    /** Too many calls of this VM wait there. */
+    /** Too many calls of this VM are queued at the service. */
     | { readonly kind: "busy"; };
 
-/** Most workers that one call names. */
+/** Upper bound of workers in one call. */
 export const mostAdviceWorkers = 100;
-/** Most calls of one VM that wait at the service; it turns further ones away. */
+/** Calls of one VM that the service queues; it rejects further ones. */
 export const mostAdviceCalls = 32;
 
-/** Calls of the advice service. */
+/** Client of the advice service. */
 export interface AdviceClient {
-    /** Asks which workers may run a step. Rejects when no answer came. */
+    /** Rejects when no answer arrives. */
     ask(question: AdviceQuestion, limit: Milliseconds, signal: AbortSignal): Promise<AdviceAnswer>;
 }
--- a/packages/cell/src/advising/advice-desk.ts
+++ b/packages/cell/src/advising/advice-desk.ts
@@ -1,4 +1,4 @@
-/** Decides which steps are asked about, of which workers, and when tickets are asked for again. */
+/** Planning of questions to the advice service. */
 import { logEvents, type Milliseconds, type QueueName, type WorkerId } from "@pebbledale/core";
 import { type AdviceAnswer, type AdvicePolicy, callDuration, mostAdviceWorkers, type Permit } from "../advice/index.js";
 import {
@@ -24,29 +24,29 @@
     ticketLead,
 } from "./constants.js";
 
-/** How many tasks of a step a worker takes. */
+/** Tells how many tasks of a step a worker can take now. */
 export type RoomOf = (worker: WorkerState) => number;
 
-/** See the module's comment. */
+/** Decides about which steps and workers the advice service is asked, and when tickets are renewed. */
 export class AdviceDesk {
-    /** Steps that a question is on its way for. */
+    /** Steps with an unanswered question, by address. */
     readonly #asked = new Map<string, Step>();
-    /** By queue, the share of workers that may run a step of it. */
+    /** Learned share of workers that may run a step, by queue. */
     readonly #permittedShares = new Map<QueueName, number>();
 
-    /** Workers that may be ordered in this pass. */
+    /** Workers that accept new runs in this cycle. */
     #index = new RoomIndex([]);
-    /** Where the next question begins among the workers with room. */
+    /** Offset of the next question among the workers with free capacity. */
     #turn = 0;
 
     constructor(private readonly context: CellContext) {}
 
-    /** Begins a pass. */
+    /** Begins a cycle. `index`: workers that accept new runs. */
     begin(index: RoomIndex): void {
         this.#index = index;
     }
 
-    /** Asks about a step for the first time, if its queue is advised on. */
+    /** Asks about a step for the first time, if its queue requires advice. */
     prepare(step: Step, terms: JobTerms): void {
         const { advice } = terms;
         if (advice === undefined) {
@@ -60,8 +60,8 @@
     }
 
     /**
-     * A step found no place for `count` tasks: fresh tickets are asked for where there is room, or more workers.
-     * `roomOf`: how many tasks of the step a worker takes now, were they ticketed.
+     * Called when `count` tasks of a step could not be placed: asks for new tickets where there is capacity, or about more workers.
+     * `roomOf`: how many tasks of the step a worker could take now, regardless of tickets.
      */
     wantRoom(step: Step, count: number, roomOf: RoomOf): void {
         const { permits } = step;
@@ -80,8 +80,8 @@
     }
 
     /**
-     * Permitted workers of a wide step whose tickets are about to run out. A fresh ticket takes half a second, in which
-     * others take the room that was seen: such steps keep tickets in hand while they wait, as long as that is of use.
+     * Permitted workers of a wide step, when some of their tickets are about to expire. A new ticket takes half a second, in which others
+     * use the resources, so such steps hold valid tickets all the time while they wait.
      */
     #runningOut(step: Step, permits: StepPermits, policy: AdvicePolicy, now: Milliseconds): WorkerState[] {
         if (
@@ -96,18 +96,18 @@
         return isRunningOut ? permitted : [];
     }
 
-    /** Whether the answer to a question that waits to be asked is still of use. */
+    /** Whether the answer to a waiting question would still be of use. */
     isWanted(address: string): boolean {
         const step = this.#asked.get(address);
         return step !== undefined && !step.job.isOver && step.hasWaitingTask;
     }
 
-    /** A question, or a part of one, is not asked. */
+    /** A question, or a part of one, was discarded without being asked. */
     drop(address: string, workers: readonly WorkerId[]): void {
         this.#settle(address, workers);
     }
 
-    /** Room for a step is expected: tickets that will have run out by then are asked for, so that they come in time. */
+    /** Renews the tickets of a plan that will have expired by its start, just in time. */
     wantTickets(step: Step, plan: RoomPlan, roomOf: RoomOf): void {
         const { permits } = step;
         const { terms } = step.job;
@@ -126,7 +126,7 @@
         }
     }
 
-    /** What the service says of a worker holds for its life: of the next one nothing is known. */
+    /** Advice is valid for one incarnation of a worker, so it is dropped when a worker is gone or was started again. */
     forgetWorker(worker: WorkerId): void {
         for (const job of this.context.table.jobs.values()) {
             for (const { steps } of job.occurrences.values()) {
@@ -135,7 +135,7 @@
         }
     }
 
-    /** Takes an answer in. `cause`: why there was none, for the log. */
+    /** Applies an answer of the service. `cause`: why there was none, for the log. */
     take(address: string, named: readonly WorkerId[], answer: AdviceAnswer | undefined, cause: string): void {
         const permits = this.#asked.get(address)?.permits;
         const asked = named.filter(worker => permits?.isOfPresentLife(worker) !== false);
@@ -158,7 +158,7 @@
         });
     }
 
-    /** Permitted workers with room whose tickets ran out; where there are none, workers that were not asked about. */
+    /** Permitted workers with capacity whose tickets have expired or, without any, workers that were not asked about yet. */
     #wantedForTasks(step: Step, permits: StepPermits, count: number, roomOf: RoomOf): WorkerState[] {
         const now = this.context.now();
         const stale = this.#permitted(step, permits).filter(worker =>
@@ -168,8 +168,8 @@
     }
 
     /**
-     * Tickets of a gang run out while it waits for room, so they are asked for only once there is enough of it, and kept
-     * fresh as long as there is; before that it learns of more workers. Tickets for room that is kept come with its plan.
+     * A gang asks about more workers until the permitted ones have enough capacity. Only then does it ask for tickets, which would
+     * expire meanwhile, and renews them together. Tickets for reservations are requested with their plan.
      */
     #wantedForGang(
         step: Step,
@@ -192,8 +192,8 @@
     }
 
     /**
-     * Permitted workers with the most room, with some to choose from: all members' tickets have to hold at one moment, a
-     * call takes most of its time whatever it names, and some of the room is gone by the time of the answer.
+     * Permitted workers with the most capacity, more than needed: some of it will be gone by the time of the answer, and further workers
+     * add little to the duration of a call.
      */
     #roomyOf(step: Step, permits: StepPermits, count: number, roomOf: RoomOf): WorkerState[] {
         const chosen: WorkerState[] = [];
@@ -214,7 +214,7 @@
             .filter(worker => isEligible(worker, step, step.job.terms.service, now));
     }
 
-    /** Workers that were not asked about yet, those with the most room first: as many as are likely to be enough. */
+    /** Workers that were not asked about yet: as many as are likely to be enough, given the share that is usually permitted. */
     #notAsked(step: Step, count: number): WorkerState[] {
         const { isGang } = step.definition;
         const share = this.#permittedShares.get(step.job.queue) ?? firstPermittedShare;
@@ -241,8 +241,8 @@
     }
 
     /**
-     * Workers in the order in which a step's question names them: the emptiest first for a gang; for others those with room
-     * in turn, as hundreds of steps that are asked about at once, each of the same few workers, would mostly find these full.
+     * Workers in the order in which they are asked about: the emptiest first for a gang. Other steps rotate among the workers with
+     * capacity, as hundreds of steps asking about the same few workers at once would mostly find these full.
      */
     #inTurn({ definition: { isGang, size } }: Step): readonly WorkerState[] {
         const { emptiestFirst, fullestFirst } = this.#index;
@@ -259,7 +259,7 @@
         ];
     }
 
-    /** Learns what share of the workers may run steps of a queue, from those that were asked about for the first time. */
+    /** Learns the share of workers that may run steps of a queue from those that were asked about for the first time. */
     #noteShare({ job, permits }: Step, asked: readonly WorkerId[], permitted: readonly Permit[]): void {
         const fresh = new Set(asked.filter(worker => permits?.wasAsked(worker) !== true));
         if (fresh.size === 0) {
@@ -289,7 +289,7 @@
         this.context.options.log.log(logEvents.stepAsked, { step: address, workers: named.length });
     }
 
-    /** A question, or a part of one, is over; the step it was about, if that is still known. */
+    /** Ends a question or a part of one. Returns its step if that is still known. */
     #settle(address: string, workers: readonly WorkerId[]): Step | undefined {
         const step = this.#asked.get(address);
         step?.permits?.settle(workers);
@@ -300,7 +300,6 @@
     }
 }
 
-/** Workers with more room first. */
 const byRoom = (left: WorkerState, right: WorkerState): number => right.freeProcessor - left.freeProcessor;
 
 const sumOf = (workers: readonly WorkerState[], roomOf: RoomOf): number =>
--- a/packages/cell/src/advising/advice-dispatcher.ts
+++ b/packages/cell/src/advising/advice-dispatcher.ts
@@ -1,65 +1,64 @@
-/**
- * Deals the questions to the advice service out over the VMs.
- *
- * The service answers one call at a time for each VM that asks, so a quick question must not wait behind a slow one:
- * some VMs never get slow ones while there are others. A slow question that names many workers is put in parts to VMs that
- * are free, so that its answers come in little more than the time of one call and all of its tickets hold at one moment.
- */
+/** Distribution of questions to the advice service over VMs. */
 import type { Milliseconds, WorkerId } from "@pebbledale/core";
 import { type AdvicePolicy, callDuration, mostAdviceWorkers } from "../advice/index.js";
 import type { AdviceCommand } from "../state/index.js";
 
-/** Questions that take longer than this are slow ones: half of what an urgent job can lose without being late. */
+/** Questions that take longer than this are slow. */
 const slowQuestion: Milliseconds = 150;
-/**
- * VMs that get no slow questions: so many, and this share of all. Some of them are to be free at any moment.
- */
+/** VMs reserved for quick questions: this many, */
 const fewestQuick = 2;
+/** and this share of all VMs. */
 const quickShare = 0.06;
-/** A question waits behind one that is this much younger for each step that the other is more urgent. */
+/** Delay in the order of waiting questions for each level of urgency. */
 const headStart: Milliseconds = 300;
-/** Most quick questions of one VM that are on their way at once. */
+/** Upper bound of quick questions in flight for each VM. */
 const mostOnTheirWay = 8;
 
 /**
- * A part of a slow question names at least so many workers that naming them takes this share of what the call takes
- * whatever it names: smaller parts keep more VMs busy and are hardly answered sooner.
+ * The per-worker time of a part of a slow question is at least this share of the constant time of a call: smaller parts would occupy more
+ * VMs and be answered hardly sooner.
  */
 const leastNamingShare = 1 / 3;
-/** Share of the free VMs that one question is put to at once: others come within the same turn. */
+/** Share of the free VMs that one question may use, leaving others to the questions that follow. */
 const shareOfFree = 1 / 2;
 
-/** Whose questions are dealt out. */
+/** Where the questions come from. */
 export interface Questioner {
-    /** Whether the answer to a question about a step is still of use. */
+    /** Whether the answer to a question about a step would still be of use. */
     isAdviceWanted(step: string): boolean;
-    /** The question about a step and workers is not asked: its answer would be of no use. */
+    /** Told that a question was discarded, as its answer would be of no use. */
     dropAdvice(step: string, workers: readonly WorkerId[]): void;
 }
 
-/** One VM that can ask. */
+/** A VM that can call the advice service. */
 interface Asker {
     readonly name: string;
     readonly ask: (question: number, command: AdviceCommand, duration: Milliseconds) => void;
     readonly onTheirWay: Set<number>;
-    /** When the service will have answered all of this VM's questions. */
+    /** When the service is expected to have answered all of this VM's questions. */
     busyUntil: Milliseconds;
 }
 
-/** A question, or what is left of one, that waits to be dealt out. */
+/** A question, or the remainder of one, that waits for a free VM. */
 interface WaitingQuestion {
     readonly command: AdviceCommand;
-    /** Questions are dealt in this order: when it was asked, put off by how little urgent it is. */
+    /** When it was asked, with a delay by its urgency; lower goes first. */
     readonly turn: Milliseconds;
 }
 
-/** A question, or a part of one, that a VM has. */
+/** A question, or a part of one, that was sent to a VM. */
 interface DealtQuestion extends WaitingQuestion {
     readonly number: number;
     readonly asker: Asker;
 }
 
-/** See the module's comment. */
+/**
+ * Distributes questions to the advice service over the VMs that can call it.
+ *
+ * The service answers one call at a time for each VM. Some VMs are therefore reserved for quick questions, which must not wait
+ * behind slow ones. A slow question about many workers is split over several free VMs, so that all of its tickets are obtained in little
+ * more than the time of one call and are valid together.
+ */
 export class AdviceDispatcher {
     readonly #askers = new Map<string, Asker>();
     readonly #dealt = new Map<number, DealtQuestion>();
@@ -68,13 +67,13 @@
 
     constructor(private readonly now: () => Milliseconds, private readonly questioner: Questioner) {}
 
-    /** A VM can ask from now on. */
+    /** Adds a VM. */
     join(name: string, ask: Asker["ask"]): void {
         this.#askers.set(name, { name, ask, onTheirWay: new Set(), busyUntil: 0 });
         this.#deal();
     }
 
-    /** A VM is gone; its questions are dealt out again. */
+    /** Removes a VM. Its unanswered questions are sent to others. */
     leave(name: string): void {
         const asker = this.#askers.get(name);
         this.#askers.delete(name);
@@ -88,14 +87,14 @@
         this.#deal();
     }
 
-    /** Asks, now or once VMs are free for it. */
+    /** Sends questions, now or once VMs are free for them. */
     ask(...commands: readonly AdviceCommand[]): void {
         const now = this.now();
         commands.forEach(command => this.#waiting.push({ command, turn: now + command.urgency * headStart }));
         this.#deal();
     }
 
-    /** A question was answered, or failed; resolves to what was asked. */
+    /** Ends a question that was answered or failed. Returns the command, or undefined for an unknown number. */
     answered(number: number): AdviceCommand | undefined {
         const question = this.#dealt.get(number);
         this.#dealt.delete(number);
@@ -114,8 +113,8 @@
     }
 
     /**
-     * Goes through what waits as far as VMs are free. Hundreds of questions wait after a change of owner, and each answer
-     * leads here: while all of them were looked at each time, a new owner took in 35 answers in 0.3 s and did little else.
+     * Sends waiting questions as far as VMs are free. Questions without a free VM are skipped cheaply: this runs after each answer, and
+     * hundreds may wait after a change of owner.
      */
     #deal(): void {
         this.#waiting.sort((left, right) => left.turn - right.turn);
@@ -135,7 +134,7 @@
         this.#waiting = left;
     }
 
-    /** Whether the answer to a question is of no use any more. */
+    /** Discards a question whose answer would be of no use; false when it is still wanted. */
     #dropUnwanted({ command: { step, workers } }: WaitingQuestion): boolean {
         if (this.questioner.isAdviceWanted(step)) {
             return false;
@@ -144,7 +143,7 @@
         return true;
     }
 
-    /** Puts a question to free VMs, in parts; returns what is left of it. */
+    /** Sends a question to free VMs, in parts. Returns the remainder, if any. */
     #put(question: WaitingQuestion): WaitingQuestion[] {
         const { command, turn } = question;
         const size = this.#partSize(command);
@@ -173,7 +172,7 @@
         return true;
     }
 
-    /** How many workers a part of a question names. */
+    /** Number of workers in a part of a question. */
     #partSize(command: AdviceCommand): number {
         const { workers, policy } = command;
         if (!isSlow(command)) {
@@ -184,7 +183,7 @@
         return Math.min(mostAdviceWorkers, size);
     }
 
-    /** VMs that may get a question of its kind now; for quick ones those that never get slow ones come first. */
+    /** VMs that may be sent a slow or a quick question now. For quick ones, the VMs reserved for them come first. */
     #freeFor(isSlowOne: boolean): Asker[] {
         const all = [...this.#askers.values()];
         const quick = Math.min(Math.floor(all.length / 2), Math.floor(fewestQuick + all.length * quickShare));
--- a/packages/cell/src/advising/constants.ts
+++ b/packages/cell/src/advising/constants.ts
@@ -1,27 +1,24 @@
-/** Times, sizes and weights of questions to the advice service that are not settings. Times are in milliseconds. */
-/** Fewest workers that a first question names: the room of a few may be gone by the time of the answer. */
+/** Tuning constants of questions to the advice service. Times are in milliseconds. */
+/** Lower bound of workers in a first question, as the capacity of a few may be gone by the time of the answer. */
 export const fewestAdviceWorkers = 24;
-/** A first question names workers whose free room is this many times what the permitted ones of them need to have. */
+/** Factor by which the capacity of the workers asked about exceeds the demand, beyond the share that is usually permitted. */
 export const roomMargin = 1.5;
-/**
- * The same for a gang, whose members need room at one moment: some of it is gone by the time of the answer, and a second
- * question takes most of a second more.
- */
+/** The same for a gang, whose members need their resources at one moment. */
 export const gangRoomMargin = 3;
-/** A step has enough permitted workers once these, were they empty, hold it this many times: it can wait for some. */
+/** A question names enough workers once the permitted ones are expected to hold the step this many times when empty. */
 export const choiceMargin = 2.5;
-/** Share of workers that is taken to be permitted before a queue's first answer. */
+/** Share of workers assumed to be permitted before a queue's first answer. */
 export const firstPermittedShare = 0.3;
-/** Least share that is believed, so that a queue whose answers were poor still asks. */
+/** Lower bound of the learned share, so that questions of a queue with poor answers stay bounded. */
 export const leastPermittedShare = 0.1;
-/** Weight of one answer in the share that is learned for its queue. */
+/** Weight of one answer in the moving average of its queue's share. */
 export const shareWeight = 0.2;
-/** A step that found no room is asked about again at most this often. */
+/** Minimum interval between questions about a step that could not be placed. */
 export const adviceInterval = 40;
-/** Tickets for room that is expected are asked for this much earlier than the question takes. */
+/** Tickets are requested this much earlier than the expected duration of the question requires. */
 export const ticketLead = 80;
 /**
- * Of a gang's tickets those that hold for less than this share of their time are renewed with the first that runs out. Asked for one by
- * one, they hardly ever hold at one moment, and other steps wait behind the questions.
+ * When the first ticket of a gang has to be renewed, so are all that are valid for less than this share of their lifetime. Renewed one by
+ * one, they would hardly ever be valid together.
  */
 export const renewedShare = 0.5;
