--- a/packages/cell/test/advising/advice-dispatcher.test.ts
+++ b/packages/cell/test/advising/advice-dispatcher.test.ts
@@ -25,7 +25,7 @@
 };
 
 describe("questions to the advice service", () => {
-    it("are spread: a quick one never waits behind a slow one while there are other VMs", () => {
+    it("are distributed so that a quick one never waits behind a slow one while there are other VMs", () => {
         const { asked, ask } = make("a", "b", "c");
         ["s1", "s2", "s3", "s4"].forEach(step => ask(step, 800));
         ask("quick", 10, 0);
@@ -35,7 +35,7 @@
         expect(slow.some(entry => entry.vm === vmOfQuick)).toEqual(false);
     });
 
-    it("go on with one VM alone", () => {
+    it("are sent one after the other with a single VM", () => {
         const { dispatcher, asked, ask } = make("a");
         ask("slow", 800);
         ask("next", 800);
@@ -44,7 +44,7 @@
         expect(asked.map(entry => entry.step)).toEqual(["slow", "next"]);
     });
 
-    it("of a VM that is gone are asked by another", () => {
+    it("are sent to another VM when theirs is gone", () => {
         const { dispatcher, asked, ask } = make("a", "b");
         ask("step", 10);
         dispatcher.leave(asked[0].vm);
@@ -53,7 +53,7 @@
         expect(dispatcher.answered(asked[1].question)?.step).toEqual("step");
     });
 
-    it("wait in the order of their urgency", () => {
+    it("are sent in the order of their urgency", () => {
         const { dispatcher, asked, ask } = make("a");
         ask("first", 800, 2);
         ask("patient", 800, 2);
@@ -62,7 +62,7 @@
         expect(asked[1].step).toEqual("urgent");
     });
 
-    it("are not put off for ever by urgent ones that keep coming", () => {
+    it("are not starved by more urgent ones that keep arriving", () => {
         const { dispatcher, asked, ask, clock } = make("a");
         ask("first", 800, 1);
         ask("patient", 800, 6);
@@ -74,7 +74,7 @@
         expect(asked.some(entry => entry.step === "patient")).toEqual(true);
     });
 
-    it("are dropped once their answers are of no use", () => {
+    it("are discarded once their answers are of no use", () => {
         const { dispatcher, asked, ask, unwanted, dropped } = make("a");
         ["first", "cancelled", "next"].forEach(step => ask(step, 800));
         unwanted.add("cancelled");
@@ -86,7 +86,7 @@
 
 const workersOf = (count: number) => Array.from({ length: count }, (_, index) => workerId(`w${index}`));
 
-/** As many VMs, and what each was asked. */
+/** A dispatcher with this many VMs, and the questions that each was sent. */
 const makeMany = (vms: number) => {
     const asked: { vm: string; question: number; workers: number; duration: number; }[] = [];
     const questioner = { isAdviceWanted: () => true, dropAdvice: () => undefined };
@@ -105,23 +105,23 @@
     const policy = { decision: 600, eachWorker: 8.6, validity: 1_500 };
     const question = (workers: number) => ({ step: "s", workers: workersOf(workers), urgency: 1, policy });
 
-    it("goes in parts to half of the VMs that are free", () => {
+    it("is split over half of the free VMs", () => {
         const { dispatcher, asked } = makeMany(40);
         dispatcher.ask(question(240));
         expect(new Set(asked.map(({ vm }) => vm)).size).toEqual(asked.length);
         expect(asked.length).toEqual(10);
         expect(asked.reduce((sum, { workers }) => sum + workers, 0)).toEqual(240);
-        // One VM alone would take 600 ms and 8.6 ms a worker for each 100 of them, one after the other.
+        // A single VM would need three calls in a row of 600 ms each, plus 8.6 ms for each worker.
         expect(Math.max(...asked.map(({ duration }) => duration))).toBeLessThan(850);
     });
 
-    it("names at least so many workers a part that naming them is worth a call", () => {
+    it("is not split into parts too small to be worth a call", () => {
         const { dispatcher, asked } = makeMany(90);
         dispatcher.ask(question(50));
         expect(asked.map(({ workers }) => workers)).toEqual([24, 24, 2]);
     });
 
-    it("waits with what no VM is free for, and goes on as answers come", () => {
+    it("waits with the remainder until VMs are free", () => {
         const { dispatcher, asked } = makeMany(4);
         dispatcher.ask(question(240));
         expect(asked.map(({ workers }) => workers)).toEqual([100, 100]);
@@ -129,7 +129,7 @@
         expect(asked.map(({ workers }) => workers)).toEqual([100, 100, 40]);
     });
 
-    it("keeps its parts when a VM that had one is gone", () => {
+    it("has a part sent to another VM when its VM is gone", () => {
         const { dispatcher, asked } = makeMany(6);
         dispatcher.ask(question(60));
         const parts = asked.length;
@@ -140,10 +140,10 @@
     });
 });
 
-describe("a thousand questions that wait, as after a change of owner", () => {
+describe("a thousand waiting questions, as after a change of owner", () => {
     const policy = { decision: 16, eachWorker: 0.23, validity: 1_500 };
 
-    it("are looked at only as far as VMs are free: an answer costs no look at all of them", () => {
+    it("are examined only as far as VMs are free, not all of them for each answer", () => {
         let looks = 0;
         const questioner = { isAdviceWanted: () => ++looks > 0, dropAdvice: () => undefined };
         const dispatcher = new AdviceDispatcher(() => 0, questioner);
--- a/packages/cell/test/headroom/peak-demand.test.ts
+++ b/packages/cell/test/headroom/peak-demand.test.ts
@@ -3,14 +3,14 @@
 import { PeakDemand } from "../../src/headroom/index.js";
 
 describe("PeakDemand", () => {
-    it("rises at once", () => {
+    it("follows rising demand at once", () => {
         const demand = new PeakDemand();
         demand.note(10, 0);
         demand.note(50, 10);
         expect(demand.expected).toEqual(50);
     });
 
-    it("forgets slowly, and comes down to what there is", () => {
+    it("decays slowly towards falling demand", () => {
         const demand = new PeakDemand();
         demand.note(50, 0);
         demand.note(10, 1_000);
--- a/packages/cell/test/headroom/urgent-headroom.test.ts
+++ b/packages/cell/test/headroom/urgent-headroom.test.ts
@@ -10,7 +10,7 @@
 const jobOf = (queue: string, id: string, ...steps: JobDefinition["steps"]): JobDefinition =>
     makeJob(id, steps, { queue: queueName(queue) });
 
-/** Two workers of eight cores each, on which urgent tasks of so many cores in all have just ended. */
+/** Two workers of eight cores each, on which `taskCount` urgent tasks of one core have just ended. */
 const afterUrgent = (taskCount: number, changes = {}): CellDriver => {
     const driver = new CellDriver(undefined, makeConfiguration(1, queues));
     driver.addWorkers(makeWorker("w1"), makeWorker("w2"));
@@ -26,20 +26,20 @@
 const patientStarts = (driver: CellDriver): number =>
     driver.run().starts.filter(({ task }) => task.startsWith("patient")).length;
 
-describe("patient work that can wait, beside urgent work of few cores", () => {
-    it("leaves as much room as urgent work had lately", () => {
+describe("deferrable work beside urgent narrow work", () => {
+    it("leaves as much capacity free as urgent work used recently", () => {
         const driver = afterUrgent(2);
         driver.cell.submit(jobOf("patient", "patient", patientStep));
         expect(patientStarts(driver)).toEqual(14);
     });
 
-    it("leaves a fifth of the room at most", () => {
+    it("leaves at most a fifth of the capacity free", () => {
         const driver = afterUrgent(12);
         driver.cell.submit(jobOf("patient", "patient", patientStep));
         expect(patientStarts(driver)).toEqual(13);
     });
 
-    it("is told of in the summary, and in the log once it is a change", () => {
+    it("shows the headroom in the summary, and logs considerable changes", () => {
         const driver = new CellDriver(undefined, makeConfiguration(1, queues));
         driver.addWorkers(...Array.from({ length: 8 }, (_, index) => makeWorker(`w${index}`)));
         driver.cell.submit(jobOf("urgent", "urgent", makeStep({ taskCount: 12, estimate: 300 })));
@@ -55,7 +55,7 @@
         expect(lines.map(({ fields }) => fields["keptTasks"])).toEqual([12]);
     });
 
-    it("takes the room once no urgent work has come for a while", () => {
+    it("uses the headroom once no urgent work has arrived for a while", () => {
         const driver = afterUrgent(3);
         driver.cell.submit(jobOf("patient", "patient", patientStep));
         patientStarts(driver);
@@ -63,19 +63,19 @@
         expect(patientStarts(driver)).toEqual(3);
     });
 
-    it("takes the room where its job would be late otherwise", () => {
+    it("uses the headroom where its job would be late otherwise", () => {
         const driver = afterUrgent(3);
         driver.cell.submit(jobOf("patient", "patient", { ...patientStep, estimate: 100 }));
         expect(patientStarts(driver)).toEqual(16);
     });
 
-    it("takes the room where gangs share the service: room adds up for these otherwise", () => {
+    it("uses the headroom where gangs share the service", () => {
         const driver = afterUrgent(3, { isGang: true });
         driver.cell.submit(jobOf("patient", "patient", patientStep));
         expect(patientStarts(driver)).toEqual(16);
     });
 
-    it("does not count room that holds no urgent task", () => {
+    it("does not count free resources that fit no urgent task", () => {
         const driver = new CellDriver(undefined, makeConfiguration(1, queues));
         driver.addWorkers(makeWorker("w1"), makeWorker("w2"));
         const twoCores = { processorThousandths: 2_000, memoryMebibytes: 1_024, accelerators: 0 };
@@ -83,7 +83,7 @@
         const [start] = driver.run().starts;
         driver.confirm(start);
         driver.end(start);
-        // One core is left on each worker, which is as much as an urgent task wants but no place for one.
+        // If one core stayed free on each worker, that would add up to an urgent task but fit none.
         driver.cell.submit(jobOf("patient", "patient", makeStep({ taskCount: 14, estimate: 10_000 })));
         const starts = driver.run().starts.filter(({ task }) => task.startsWith("patient"));
         expect(starts.length).toEqual(14);
--- a/packages/cell/test/headroom/urgent-stops.test.ts
+++ b/packages/cell/test/headroom/urgent-stops.test.ts
@@ -27,7 +27,7 @@
 const jobOf = (queue: string, id: string, step = urgentStep, changes: Partial<JobDefinition> = {}): JobDefinition =>
     makeJob(id, [step], { queue: queueName(queue), ...changes });
 
-/** Two workers that patient tasks fill, each of which has done a quarter. */
+/** Two workers filled by deferrable tasks, each of which is a quarter done. */
 const filled = (
     step = patientStep,
     organisations: readonly Organisation[] = [],
@@ -43,7 +43,7 @@
     return { driver, starts };
 };
 
-/** Looks at all workers. */
+/** Polls all workers. */
 const showAll = (
     driver: CellDriver,
     starts: readonly StartCommand[],
@@ -57,8 +57,8 @@
 const runOf = (starts: readonly StartCommand[], task: string): StartCommand =>
     starts.find(start => start.task === task)!;
 
-describe("an urgent step of few cores that finds no room", () => {
-    it("gets that of one patient run whose progress is saved, and no more than it needs", () => {
+describe("an urgent narrow step that does not fit", () => {
+    it("preempts one deferrable run whose progress is saved, and no more than it needs", () => {
         const { driver, starts } = filled();
         driver.cell.submit(jobOf("urgent", "urgent", { ...urgentStep, taskCount: 2 }));
         const { stops } = driver.run();
@@ -67,7 +67,7 @@
         expect(driver.run().starts.map(({ task }) => task.split("/")[0])).toEqual(["urgent", "urgent"]);
     });
 
-    it("waits for what is about to end by itself", () => {
+    it("waits for a run that is about to end", () => {
         const { driver, starts } = filled();
         driver.clock.advance(500);
         showAll(driver, starts, start => start === starts[0] ? 97 : 26);
@@ -75,7 +75,7 @@
         expect(driver.run().stops).toEqual([]);
     });
 
-    it("stops nothing whose progress would be lost, and nothing whose job would be late", () => {
+    it("preempts no run whose progress would be lost or whose job would be late", () => {
         for (const step of [{ ...patientStep, savesProgress: false }, { ...patientStep, estimate: 300 }]) {
             const { driver } = filled(step);
             driver.cell.submit(jobOf("urgent", "urgent"));
@@ -83,7 +83,7 @@
         }
     });
 
-    it("stops nothing where gangs share the service", () => {
+    it("preempts nothing where gangs share the service", () => {
         const { driver } = filled();
         driver.cell.submit(jobOf("urgent", "gang", { ...urgentStep, isGang: true, requiredLabel: "elsewhere" }));
         driver.cell.submit(jobOf("urgent", "urgent"));
@@ -91,8 +91,8 @@
     });
 });
 
-describe("a stop for urgent work", () => {
-    it("is ordered once, however often its end is awaited", () => {
+describe("a preemption for urgent work", () => {
+    it("is ordered once while its end is awaited", () => {
         const { driver } = filled();
         driver.cell.submit(jobOf("urgent", "urgent"));
         expect(driver.run().stops.length).toEqual(1);
@@ -100,7 +100,7 @@
         expect(driver.run().stops).toEqual([]);
     });
 
-    it("whose worker falls silent frees nothing: another is made", () => {
+    it("is replaced by another when its worker stops answering", () => {
         const { driver } = filled();
         driver.cell.submit(jobOf("urgent", "urgent"));
         const [first] = driver.run().stops;
@@ -110,7 +110,7 @@
         expect(stops[0].worker).not.toEqual(first.worker);
     });
 
-    it("is neither lost nor doubled when its owner is lost", () => {
+    it("is neither lost nor repeated after a change of owner", () => {
         const { driver, starts } = filled();
         driver.cell.submit(jobOf("urgent", "urgent"));
         const { stops: [stop] } = driver.run();
@@ -134,7 +134,7 @@
         expect([again.task, again.checkpoint]).toEqual([stop.task, "saved"]);
     });
 
-    it("is not made for work that its organisation's limit has no place for, once that has fallen", () => {
+    it("is not ordered for work that exceeds its organisation's lowered limit", () => {
         const north = { organisation: organisationName("north") };
         const { driver } = filled(patientStep, [makeOrganisation("north", 24)], north);
         driver.cell.configure(makeConfiguration(2, queues, [makeOrganisation("north", 12)]));
--- a/packages/cell/test/load/hold-back.test.ts
+++ b/packages/cell/test/load/hold-back.test.ts
@@ -6,7 +6,7 @@
 
 const sizeOf = (processorThousandths: number) => ({ processorThousandths, memoryMebibytes: 1, accelerators: 0 });
 const patient = { queue: queueName("patient") };
-/** A gang that needs six of eight cores at two workers at once. */
+/** A gang that needs six of eight cores on two workers at once. */
 const gang = makeStep({ taskCount: 2, isGang: true, size: sizeOf(6_000), estimate: 30_000 });
 const small = makeStep({ size: sizeOf(1_000), estimate: 2_000 });
 
@@ -21,7 +21,7 @@
     return driver;
 };
 
-/** Workers with two of eight cores free each; a gang has waited for room for a while. */
+/** Workers with two of eight cores free each, and a gang that has been blocked for a while. */
 const shortOfRoom = (waiting = gang): { driver: CellDriver; holders: readonly StartCommand[]; } => {
     const driver = makeDriver(2);
     driver.cell.submit(makeJob("holder", [makeStep({ taskCount: 2, size: sizeOf(6_000), estimate: 60_000 })]));
@@ -35,26 +35,26 @@
 
 const startedJobs = (driver: CellDriver): string[] => driver.run().starts.map(start => start.task.split("/")[0]);
 
-describe("patient work, while a gang of a more urgent queue is short of room", () => {
-    it("leaves the room that there is, so that it adds up", () => {
+describe("deferrable work while a gang of a more urgent queue is blocked", () => {
+    it("leaves free resources unused, so that they accumulate", () => {
         const { driver } = shortOfRoom();
         driver.cell.submit(makeJob("small", [small], patient));
         expect(startedJobs(driver)).toEqual([]);
         expect(driver.cell.summary().heldBack).toEqual(1);
     });
 
-    it("starts once its job could no longer be on time otherwise", () => {
+    it("starts once its job would be late otherwise", () => {
         const { driver } = shortOfRoom();
         driver.cell.submit(makeJob("small", [small], patient));
         driver.run();
-        // Its objective is 13 s, its work 2 s, and 5 s are kept for a start that takes a while.
+        // Its objective is 13 s, its work 2 s, and 5 s are the slack below which a step is not deferrable.
         driver.clock.advance(5_900);
         expect(startedJobs(driver)).toEqual([]);
         driver.clock.advance(200);
         expect(startedJobs(driver)).toEqual(["small"]);
     });
 
-    it("starts as before where the gang has waited for less than a question takes", () => {
+    it("starts where the gang has only just become ready", () => {
         const driver = makeDriver(2);
         driver.cell.submit(makeJob("holder", [makeStep({ taskCount: 2, size: sizeOf(6_000), estimate: 60_000 })]));
         driver.confirm(...driver.run().starts);
@@ -63,9 +63,9 @@
         expect(startedJobs(driver)).toEqual(["small"]);
     });
 
-    it("starts as before where the room is not what is short", () => {
+    it("starts where capacity is not what blocks the gang", () => {
         const driver = makeDriver(4);
-        // No worker of the service holds a member: the gang waits, however much is free.
+        // No worker of the service can hold a member, however much is free.
         driver.cell.submit(makeJob("gang", [{ ...gang, size: sizeOf(9_000) }]));
         driver.run();
         driver.clock.advance(1_600);
@@ -73,19 +73,19 @@
         expect(startedJobs(driver)).toEqual(["small"]);
     });
 
-    it("starts as before where the gang would not fit the workers that may run it, were they empty", () => {
+    it("starts where the gang would not even fit empty workers", () => {
         const { driver } = shortOfRoom({ ...gang, taskCount: 3 });
         driver.cell.submit(makeJob("small", [small], patient));
         expect(startedJobs(driver)).toEqual(["small"]);
     });
 
-    it("of a queue that is as urgent starts as before", () => {
+    it("starts where its queue is as urgent as the gang's", () => {
         const { driver } = shortOfRoom();
         driver.cell.submit(makeJob("small", [small]));
         expect(startedJobs(driver)).toEqual(["small"]);
     });
 
-    /** Accelerators of which half are taken, by tasks of so many thousandths of a processor; a gang that wants all has waited for a while. */
+    /** Half of the accelerators are used by tasks of this size, and a gang that wants all has been blocked for a while. */
     const shortOfAccelerators = (processorThousandths: number): CellDriver => {
         const driver = new CellDriver(undefined, configuration);
         const capacity = { processorThousandths: 8_000, memoryMebibytes: 32_768, accelerators: 4 };
@@ -108,14 +108,14 @@
     };
     const smallAccelerated = makeStep({ size: { ...sizeOf(1_000), accelerators: 1 }, estimate: 2_000 });
 
-    it("leaves accelerators that are short, also with more processors free than a gang could want", () => {
+    it("leaves scarce accelerators free, also with more processors free than the gang needs", () => {
         // Three of eight processors are free on each worker.
         const driver = shortOfAccelerators(5_000);
         driver.cell.submit(makeJob("small", [smallAccelerated], patient));
         expect(startedJobs(driver)).toEqual([]);
     });
 
-    it("starts in a service most of which is free, however short accelerators are", () => {
+    it("starts in a service with most processors free, however scarce accelerators are", () => {
         const driver = shortOfAccelerators(1_000);
         driver.cell.submit(makeJob("small", [smallAccelerated], patient));
         expect(startedJobs(driver)).toEqual(["small"]);
--- a/packages/cell/test/load/lost-gangs.test.ts
+++ b/packages/cell/test/load/lost-gangs.test.ts
@@ -2,7 +2,7 @@
 import { describe, it } from "node:test";
 import { CellDriver, makeJob, makeStep, makeWorker, running } from "../support/index.js";
 
-/** A gang whose two members need a worker each, at work on two of three workers, seen at so much progress after a second. */
+/** A running gang of two members, each of which fills a worker, at this progress after a second. */
 const gangAtWork = (percent: number, estimate: number): CellDriver => {
     const driver = new CellDriver();
     driver.addWorkers(makeWorker("w1"), makeWorker("w2"));
@@ -15,23 +15,23 @@
     return driver;
 };
 
-/** What is stopped once a worker says that it leaves after a while. */
+/** Number of runs that are stopped once a worker announces that it leaves. */
 const stopsWhenOneLeaves = (driver: CellDriver, leavesIn: number): number => {
     driver.cell.changeWorkers([makeWorker("w1", { isDraining: true, leavesIn })], []);
     driver.cell.tick();
     return driver.run().stops.length;
 };
 
-describe("a gang that saves nothing, one of whose workers leaves", () => {
-    it("is stopped when it would be lost with it, so that it starts again the sooner", () => {
+describe("a gang without saved progress, one of whose workers leaves", () => {
+    it("is stopped when it would be lost, so that it starts again sooner", () => {
         expect(stopsWhenOneLeaves(gangAtWork(10, 10_000), 3_000)).toEqual(1);
     });
 
-    it("goes on when it will have ended by then", () => {
+    it("continues when it will have ended by then", () => {
         expect(stopsWhenOneLeaves(gangAtWork(50, 2_000), 3_000)).toEqual(0);
     });
 
-    it("goes on when it may have ended by then, as workers often leave later than they say", () => {
+    it("continues when it may have ended by then, as workers often leave later than announced", () => {
         expect(stopsWhenOneLeaves(gangAtWork(10, 5_000), 3_200)).toEqual(0);
     });
 });
--- a/packages/cell/test/load/replays.test.ts
+++ b/packages/cell/test/load/replays.test.ts
@@ -17,7 +17,7 @@
 
 const meanOf = (values: readonly number[]): number => values.reduce((sum, value) => sum + value, 0) / values.length;
 
-/** What callers of wide gangs had of each outcome, as a share of what they asked for. */
+/** The share of their demand that wide gangs were served in each outcome. */
 const wideShares = (outcomes: readonly Outcome[]): readonly number[] =>
     outcomes.map(({ queues }) => queues["wide"].all.share);
 
@@ -27,26 +27,26 @@
     expect(broken).toEqual([]);
 };
 
-describe("load of urgent jobs, patient ones, and wide gangs that a quarter of the workers may run", () => {
-    it("at three quarters of the room: gangs learn in time which workers may run them", () => {
+describe("load of urgent jobs, deferrable jobs, and wide gangs that a quarter of the workers may run", () => {
+    it("serves gangs at three quarters of the capacity", () => {
         const outcome = play(steadyLoad, 2);
         expect(outcome.queues["wide"].all.share).toBeGreaterThan(0.93);
         expectOthersServed(outcome);
     });
 
-    it("with bursts, and workers that leave: patient work leaves room for gangs, and those that are lost start again", () => {
+    it("serves gangs during bursts and while workers leave", () => {
         const outcomes = [play(worstLoad, 1), play(worstLoad, 2)];
         expect(meanOf(wideShares(outcomes))).toBeGreaterThan(0.85);
         outcomes.forEach(expectOthersServed);
     });
 
-    it("with bursts on 245 workers: patient work leaves room for gangs while it has time", () => {
+    it("serves gangs during bursts on 245 workers", () => {
         const outcomes = [play(grownLoad, 1), play(grownLoad, 2)];
         expect(meanOf(wideShares(outcomes))).toBeGreaterThan(0.82);
         outcomes.forEach(expectOthersServed);
     });
 
-    it("after three seconds without an owner: hundreds of steps are not all asked about at the same workers", () => {
+    it("spreads questions about hundreds of steps over the workers after three seconds without an owner", () => {
         const outcomes = [play(backlogLoad, 1), play(backlogLoad, 2)];
         expect(meanOf(outcomes.map(({ questions }) => questions))).toBeLessThan(5_500);
         expect(meanOf(outcomes.map(({ queues }) => queues["urgent"].all.share))).toBeGreaterThan(0.755);
@@ -54,17 +54,16 @@
     });
 });
 
-describe("load of twenty organisations, each under its limit, one of which sends eight times its usual urgent jobs", () => {
-    it("serves urgent jobs beside patient ones of the same organisation, and never more than a limit holds", () => {
+describe("load of twenty organisations with limits, one of which sends eight times its usual urgent jobs", () => {
+    it("serves urgent jobs beside deferrable ones of the same organisation, and never exceeds a limit", () => {
         const outcomes = [play(sharedLoad, 1), play(sharedLoad, 2)];
         outcomes.forEach(({ broken }) => expect(broken).toEqual([]));
         expect(meanOf(outcomes.map(({ queues }) => queues["urgent"].all.share))).toBeGreaterThan(0.95);
     });
 });
 
-describe("load of a small cell with tasks that crash their workers, while workers also crash for reasons of their own", () => {
-    // Without trials and a limit such a task crashes one worker after the other until the end.
-    it("gives each of these tasks up after three workers, nothing else, and goes on serving urgent jobs", () => {
+describe("load of a small cell with tasks that crash their workers, while workers also crash for other reasons", () => {
+    it("gives up only these tasks, each after at most three workers, and continues to serve urgent jobs", () => {
         const outcomes = [play(crashingLoad, 1), play(crashingLoad, 2)];
         for (const { queues, broken, mostCrashes } of outcomes) {
             expect(broken).toEqual([]);
@@ -76,8 +75,8 @@
     });
 });
 
-describe("load of twenty organisations, the largest of which sends three and a half times its usual of all for sixteen seconds", () => {
-    it("serves what each is owed within 0.03 of what it has when nobody sends more than that", () => {
+describe("load of twenty organisations, the largest of which sends three and a half times its usual for sixteen seconds", () => {
+    it("serves entitled jobs within 0.03 of what they get without the surplus", () => {
         const differences = [3, 4].map(seed => {
             const alone = play({ ...hotLoad, isWithoutSurplus: true }, seed);
             return alone.total - play(hotLoad, seed).total;
--- a/packages/cell/test/load/urgent-work.test.ts
+++ b/packages/cell/test/load/urgent-work.test.ts
@@ -6,8 +6,8 @@
 
 const meanOf = (values: readonly number[]): number => values.reduce((sum, value) => sum + value, 0) / values.length;
 
-describe("load of urgent narrow jobs on a service that patient work would fill", () => {
-    it("serves urgent jobs, also those of a burst, while patient ones are on time", () => {
+describe("load of urgent narrow jobs on a service that deferrable work would fill", () => {
+    it("serves urgent jobs, also those of a burst, while deferrable ones are on time", () => {
         const outcomes = [play(1), play(2)];
         expect(meanOf(outcomes.map(({ queues }) => queues["urgent"].all.share))).toBeGreaterThan(0.95);
         outcomes.forEach(({ queues, broken }) => {
--- a/packages/cell/test/organisations/limits.test.ts
+++ b/packages/cell/test/organisations/limits.test.ts
@@ -1,4 +1,4 @@
-/** Organisations at their limits: what starts, what waits, and what that takes from others. */
+/** Organisations at their limits: which of their work starts, which waits, and that others are not affected. */
 import { organisationName } from "@pebbledale/core";
 import { expect } from "earl";
 import { describe, it } from "node:test";
@@ -31,7 +31,7 @@
 const jobsOf = (starts: readonly StartCommand[]): string[] => starts.map(({ task }) => task.split("/")[0]);
 
 describe("an organisation at its limit", () => {
-    it("starts as many tasks as its limit holds, and more as they end", () => {
+    it("starts as many tasks as its limit allows, and more as they end", () => {
         const driver = makeDriver(makeOrganisation("north", 5));
         driver.cell.submit(makeJob("n", [makeStep({ taskCount: 9 })], { organisation: north }));
         const { starts } = driver.run();
@@ -41,7 +41,7 @@
         expect(driver.run().starts.length).toEqual(1);
     });
 
-    it("is told of with what it has, what it may have and what waits", () => {
+    it("is listed in the summary with its usage, its limit and its waiting tasks", () => {
         const driver = makeDriver(makeOrganisation("north", 2), makeOrganisation("south", 24));
         driver.cell.submit(makeJob("n", [makeStep({ taskCount: 20 })], { organisation: north }));
         driver.run();
@@ -49,7 +49,7 @@
         expect(driver.cell.summary().atLimit).toEqual([{ organisation: north, tasks: 18, ...told }]);
     });
 
-    it("takes nothing from others", () => {
+    it("does not affect others", () => {
         const driver = makeDriver(makeOrganisation("north", 2), makeOrganisation("south", 24));
         driver.cell.submit(makeJob("n", [makeStep({ taskCount: 20 })], { organisation: north }));
         driver.cell.submit(makeJob("s", [makeStep({ taskCount: 20 })], { organisation: south }));
@@ -57,14 +57,14 @@
         expect([jobs.filter(job => job === "n").length, jobs.filter(job => job === "s").length]).toEqual([2, 20]);
     });
 
-    it("asks no advice for what can't start", () => {
+    it("asks no advice for tasks that can't start", () => {
         const driver = makeDriver(makeOrganisation("north", 1));
         const job = makeJob("n", [makeStep({ taskCount: 3, isGang: true })], { organisation: north });
         driver.cell.submit({ ...job, queue: queues[1].name });
         expect(driver.run().questions).toEqual([]);
     });
 
-    it("counts runs whose stop was ordered until their end is seen", () => {
+    it("counts runs that are being stopped until their end is reported", () => {
         const driver = makeDriver(makeOrganisation("north", 2));
         const first = makeJob("first", [makeStep({ taskCount: 2 })], { organisation: north });
         driver.cell.submit(first);
@@ -77,7 +77,7 @@
         expect(jobsOf(driver.run().starts)).toEqual(["second"]);
     });
 
-    it("counts runs at a worker that is not heard until its leases are over", () => {
+    it("counts runs on a worker that does not answer until its leases have expired", () => {
         const driver = makeDriver(makeOrganisation("north", 2));
         driver.cell.submit(makeJob("n", [makeStep({ taskCount: 4 })], { organisation: north }));
         const { starts } = driver.run();
@@ -92,7 +92,7 @@
         expect(driver.run().starts.length).toEqual(2);
     });
 
-    it("starts nothing more once its limit falls, and stops nothing", () => {
+    it("starts nothing more once its limit is lowered, and stops nothing", () => {
         const driver = makeDriver(makeOrganisation("north", 8));
         driver.cell.submit(makeJob("n", [makeStep({ taskCount: 12 })], { organisation: north }));
         const { starts } = driver.run();
@@ -106,7 +106,7 @@
     });
 });
 
-describe("patient work of an organisation", () => {
+describe("deferrable work of an organisation", () => {
     const [urgent, patient] = [makeQueue("urgent", { priority: 0 }), makeQueue("patient", { priority: 2 })];
     const begin = (): CellDriver => {
         const all = [makeOrganisation("north", 10)];
@@ -117,7 +117,7 @@
         return driver;
     };
 
-    it("leaves a fifth of its limit to urgent jobs, which start at once", () => {
+    it("leaves a fifth of the limit to urgent jobs, which start at once", () => {
         const driver = begin();
         expect(driver.run().starts.length).toEqual(8);
         driver.cell.submit(
@@ -126,7 +126,7 @@
         expect(jobsOf(driver.run().starts)).toEqual(["urgent", "urgent"]);
     });
 
-    it("starts even if one task takes more than that of the limit, while its organisation has less than half of it", () => {
+    it("starts even where one task exceeds its share of the limit, while less than half of the limit is used", () => {
         const small = makeOrganisation("north", 10, {
             limit: { processorThousandths: 9_000, memoryMebibytes: 0, accelerators: 0 },
         });
@@ -138,7 +138,7 @@
         expect(fresh.run().starts.length).toEqual(1);
     });
 
-    it("is all that there is where its queue is the only one", () => {
+    it("may use the whole limit where its queue is the only one", () => {
         const driver = makeDriver(makeOrganisation("north", 10));
         driver.cell.submit(makeJob("n", [makeStep({ taskCount: 20 })], { organisation: north }));
         expect(driver.run().starts.length).toEqual(10);
@@ -149,7 +149,7 @@
     const gang = (id: string, taskCount: number) =>
         makeJob(id, [makeStep({ taskCount, isGang: true })], { organisation: north });
 
-    it("starts whole or not at all", () => {
+    it("starts as a whole or not at all", () => {
         const driver = makeDriver(makeOrganisation("north", 6));
         driver.cell.submit(gang("first", 4));
         driver.cell.submit(gang("second", 4));
@@ -160,7 +160,7 @@
         expect(driver.run().starts.length).toEqual(4);
     });
 
-    it("gets its limit free of less urgent work of its organisation in the end, others' work goes on", () => {
+    it("blocks less urgent work of its organisation until it fits, while others' work continues", () => {
         const driver = makeDriver(makeOrganisation("north", 6), makeOrganisation("south", 6));
         driver.cell.submit(makeJob("small", [makeStep({ taskCount: 4 })], { organisation: north }));
         const before = driver.run().starts;
@@ -175,7 +175,7 @@
         expect(jobsOf(driver.run().starts)).toEqual(Array(6).fill("gang"));
     });
 
-    it("that its limit can never hold keeps nobody waiting", () => {
+    it("blocks nothing if the limit can never hold it", () => {
         const driver = makeDriver(makeOrganisation("north", 6));
         driver.cell.submit(gang("gang", 7));
         driver.run();
@@ -189,7 +189,7 @@
     const names = ["w1", "w2", "w3"];
     const listAgain = (driver: CellDriver, ...others: WorkerEntry[]): void =>
         driver.cell.listWorkers([...names.map(name => makeWorker(name)), ...others]);
-    /** Each worker answers its first look with what was started there. */
+    /** Each worker answers its first poll with the runs that were started there. */
     const lookAtAll = (driver: CellDriver, starts: readonly StartCommand[]): void =>
         names.forEach(name =>
             driver.look(name, starts.filter(({ worker }) => worker as string === name).map(start => running(start)))
@@ -202,7 +202,7 @@
         return { driver, starts };
     };
 
-    it("counts what a former owner ordered, before it has seen the workers", () => {
+    it("counts runs that an earlier owner ordered, before it has polled the workers", () => {
         const { driver, starts } = begin();
         driver.takeOver();
         const idle = makeWorker("w4");
@@ -214,7 +214,7 @@
         expect(driver.run().starts).toEqual([]);
     });
 
-    it("keeps the limit of the record while it knows no configuration", () => {
+    it("applies the recorded limit while it knows no configuration", () => {
         const { driver, starts } = begin();
         driver.takeOver(undefined, false);
         listAgain(driver);
@@ -224,7 +224,7 @@
         expect(driver.run().starts.length).toEqual(1);
     });
 
-    it("counts what is being stopped of a cancelled job, also when it took over a snapshot", () => {
+    it("counts runs of a cancelled job that are being stopped, also after recovery from a snapshot", () => {
         const { driver, starts } = begin();
         const [job] = driver.cell.jobs.keys();
         driver.cell.cancel(job);
@@ -242,7 +242,7 @@
         expect(jobsOf(driver.run().starts)).toEqual(Array(4).fill("next"));
     });
 
-    it("has what runs of a cancelled job stopped once it sees it", () => {
+    it("stops runs of a cancelled job once workers report them", () => {
         const { driver, starts } = begin();
         const [job] = driver.cell.jobs.keys();
         driver.cell.cancel(job);
@@ -254,7 +254,7 @@
         expect(driver.run().stops.length).toEqual(4);
     });
 
-    it("knows whose a job was that is over", () => {
+    it("knows the organisation of a job that has ended", () => {
         const { driver } = begin();
         const [job] = driver.cell.jobs.keys();
         driver.cell.cancel(job);
--- a/packages/cell/test/organisations/usage-book.test.ts
+++ b/packages/cell/test/organisations/usage-book.test.ts
@@ -1,4 +1,4 @@
-/** What organisations have at work and may have. */
+/** Usage and limits of organisations, and their keys. */
 import { organisationName } from "@pebbledale/core";
 import { expect } from "earl";
 import { describe, it } from "node:test";
@@ -13,7 +13,7 @@
 });
 
 describe("an organisation's usage", () => {
-    it("leaves as many tasks as its tightest limit holds", () => {
+    it("allows as many tasks as the tightest dimension of its limit", () => {
         const book = new UsageBook();
         book.configure([makeOrganisation("north", 10, { limit: sizeOf(10_000, 4_000) })]);
         expect(book.countLeft(name, sizeOf(1_000, 1_000))).toEqual(4);
@@ -22,7 +22,7 @@
         expect(book.countWhenIdle(name, sizeOf(1_000, 1_000))).toEqual(4);
     });
 
-    it("leaves nothing, not less, under a limit that has fallen, and counts what ends", () => {
+    it("allows zero tasks, never fewer, after its limit was lowered, until enough runs have ended", () => {
         const book = new UsageBook();
         book.configure([makeOrganisation("north", 10)]);
         [1, 2, 3, 4].forEach(() => book.add(name, sizeOf(2_000)));
@@ -32,14 +32,14 @@
         expect(book.countLeft(name, sizeOf(1_000))).toEqual(2);
     });
 
-    it("leaves nothing to one whose limit is not known yet, and takes 0 for no limit", () => {
+    it("allows nothing while its limit is not known, and treats 0 as no limit", () => {
         const book = new UsageBook();
         expect(book.countLeft(name, sizeOf(1))).toEqual(0);
         book.configure([makeOrganisation("north", 0)]);
         expect(book.countLeft(name, sizeOf(1_000_000))).toEqual(Infinity);
     });
 
-    it("keeps the last limit of one that is no longer configured", () => {
+    it("stays under its last limit when it is no longer configured", () => {
         const book = new UsageBook();
         book.configure([makeOrganisation("north", 3)]);
         book.configure([]);
@@ -50,12 +50,12 @@
 describe("a key ring", () => {
     const ring = new KeyRing([makeOrganisation("north", 1, { keys: [digestOf("one"), digestOf("two")] })]);
 
-    it("knows each key of each organisation and no other", () => {
+    it("finds each key of each organisation and no other", () => {
         expect(["one", "two", "three", "", "One"].map(key => ring.holderOf(key)))
             .toEqual([name, name, undefined, undefined, undefined]);
     });
 
-    it("does not look at keys that are longer than any", () => {
+    it("rejects keys beyond the maximum length", () => {
         const long = "k".repeat(longestKey + 1);
         const holder = new KeyRing([makeOrganisation("north", 1, { keys: [digestOf(long)] })]);
         expect(holder.holderOf(long)).toEqual(undefined);
--- a/packages/cell/test/shares/hand-in-rate.test.ts
+++ b/packages/cell/test/shares/hand-in-rate.test.ts
@@ -1,4 +1,4 @@
-/** What organisations are owed, by the jobs a second that they hand in. */
+/** Entitlements of organisations by their rate of submitted jobs. */
 import { type OrganisationName, organisationName, queueName, serviceName } from "@pebbledale/core";
 import { expect } from "earl";
 import fc from "fast-check";
@@ -26,28 +26,28 @@
 };
 const { Owed, Surplus } = Entitlement;
 
-describe("the rate at which an organisation hands jobs in", () => {
-    it("owes it the first jobs of each second, in the order of their acceptance", () => {
+describe("the rate at which an organisation submits jobs", () => {
+    it("entitles it to the first jobs of each second, in the order of their acceptance", () => {
         const rate = new HandInRate(() => 2);
         const first = [0, 10, 20, 30, 900].map(at => jobAt(at));
         expect(judged(rate, first)).toEqual([Owed, Owed, Owed, Owed, Surplus]);
         expect(judged(rate, [1_000, 1_001, 1_002].map(at => jobAt(at)))).toEqual([Owed, Owed, Surplus]);
     });
 
-    it("adds what the second before left unused, and no more", () => {
+    it("adds the unused entitlement of the second before, and no more", () => {
         const rate = new HandInRate(() => 2);
         judged(rate, [jobAt(4_000)]);
         expect(judged(rate, [5_000, 5_001, 5_002, 5_003].map(at => jobAt(at)))).toEqual([Owed, Owed, Owed, Surplus]);
     });
 
-    it("counts a job once, whenever it is noted again", () => {
+    it("counts a job once, however often it is reported", () => {
         const rate = new HandInRate(() => 1);
         const [first, second] = [jobAt(0), jobAt(1)];
         judged(rate, [first, first, first, second]);
         expect(rate.of(second)).toEqual(Owed);
     });
 
-    it("follows a rate that changes, also for jobs that it has counted", () => {
+    it("applies a changed rate to jobs that were already counted", () => {
         let weight = 1;
         const rate = new HandInRate(() => weight);
         const jobs = [1_000, 1_001, 1_002].map(at => jobAt(at));
@@ -56,7 +56,7 @@
         expect(jobs.map(job => rate.of(job))).toEqual([Owed, Owed, Owed]);
     });
 
-    it("owes everything where no organisation or no rate is known", () => {
+    it("classifies all jobs as entitled where no organisation or no rate is known", () => {
         const rate = new HandInRate(() => undefined);
         expect(judged(rate, [jobAt(0), jobAt(0), jobAt(0)])).toEqual([Owed, Owed, Owed]);
         const nobody = Array.from(
@@ -66,13 +66,13 @@
         expect(judged(new HandInRate(() => 1), nobody)).toEqual([Owed, Owed, Owed]);
     });
 
-    it("starts anew when the time of day is set back", () => {
+    it("starts again when the time of day is set back", () => {
         const rate = new HandInRate(() => 1);
         judged(rate, [9_000, 9_001, 9_002].map(at => jobAt(at)));
         expect(judged(rate, [jobAt(3_000)])).toEqual([Owed]);
     });
 
-    it("never counts a job within what is owed as surplus, whatever the others hand in", () => {
+    it("never classifies a job within the entitlement as surplus, whatever others submit", () => {
         const hour = 3_600_000;
         fc.assert(fc.property(
             fc.array(fc.record({ at: fc.nat(5_000), isNorth: fc.boolean() }), { maxLength: 60 }),
--- a/packages/cell/test/shares/owed-first.test.ts
+++ b/packages/cell/test/shares/owed-first.test.ts
@@ -1,4 +1,4 @@
-/** Organisations that share a cell which is full: what each is owed goes first, and no room stays idle. */
+/** Organisations that share a full cell: entitled work goes first, and no capacity stays idle. */
 import { logEvents, organisationName } from "@pebbledale/core";
 import { expect } from "earl";
 import fc from "fast-check";
@@ -36,7 +36,7 @@
 };
 const jobsOf = (starts: readonly StartCommand[]): string[] => starts.map(({ task }) => task.split("/")[0]);
 
-/** Jobs in the order in which they start, each once those before it have ended. */
+/** Jobs in the order in which they start while earlier ones end. */
 const inTurn = (driver: CellDriver): string[] => {
     const order: string[] = [];
     for (let { starts } = driver.run(); starts.length > 0; { starts } = driver.run()) {
@@ -47,20 +47,20 @@
     return order;
 };
 
-describe("an organisation that hands in more than it is owed", () => {
-    it("has its surplus wait behind what others are owed, though it came earlier", () => {
+describe("an organisation that submits more than it is entitled to", () => {
+    it("has its surplus wait behind others' entitled jobs, though it was submitted earlier", () => {
         const driver = makeDriver(3);
         ["h1", "h2", "h3", "h4", "h5"].forEach(name => submit(driver, name, hot));
         submit(driver, "s1", small);
         const { starts } = driver.run();
-        // Four are owed: of this second and of the one before, in which nothing came.
+        // It is entitled to four: two of this second and two unused ones of the second before.
         expect(jobsOf(starts)).toEqual(["h1", "h2", "h3"]);
         driver.confirm(...starts);
         starts.slice(0, 2).forEach(start => driver.end(start));
         expect(jobsOf(driver.run().starts)).toEqual(["h4", "s1"]);
     });
 
-    it("can be told from the others by the lines of its jobs", () => {
+    it("can be identified by the log lines of its jobs", () => {
         const driver = makeDriver(1);
         ["h1", "h2", "h3", "h4", "h5"].forEach(name => submit(driver, name, hot));
         const owed = driver.logged
@@ -69,7 +69,7 @@
         expect(owed).toEqual([true, true, true, true, false]);
     });
 
-    it("is counted the same by a new owner", () => {
+    it("is treated the same by a new owner", () => {
         const driver = new CellDriver(undefined, configurationOf(1, weights));
         ["h1", "h2", "h3", "h4", "h5"].forEach(name => submit(driver, name, hot));
         submit(driver, "s1", small);
@@ -79,7 +79,7 @@
         expect(inTurn(driver)).toEqual(["h1", "h2", "h3", "h4", "s1", "h5"]);
     });
 
-    it("goes by the new weights once the configuration changes them", () => {
+    it("is treated by the new weights once the configuration changes", () => {
         const driver = makeDriver(1);
         ["h1", "h2", "h3"].forEach(name => submit(driver, name, hot));
         submit(driver, "s1", small);
@@ -87,7 +87,7 @@
         expect(inTurn(driver)).toEqual(["h1", "h2", "s1", "h3"]);
     });
 
-    it("leaves no room idle: whatever mix is handed in, as much starts as fits", () => {
+    it("leaves no capacity idle: whatever mix is submitted, as much starts as fits", () => {
         fc.assert(fc.property(
             fc.array(fc.boolean(), { maxLength: 30 }),
             fc.integer({ min: 1, max: 20 }),
--- a/packages/cell/test/speeds/speed-book.test.ts
+++ b/packages/cell/test/speeds/speed-book.test.ts
@@ -4,10 +4,10 @@
 import { RunEnd, type StartCommand } from "../../src/index.js";
 import { CellDriver, idOf, makeConfiguration, makeJob, makeQueue, makeStep, makeWorker } from "../support/index.js";
 
-/** What others learn meanwhile moves a worker's speed by less than this. */
+/** Tolerance for shifts of an estimate by what is learned of other workers. */
 const rounding = 0.01;
 const ids = ["w1", "w2", "w3", "w4"];
-/** A task that takes all of a worker, so that each worker has one of a job. */
+/** The size of a whole worker, so that each worker gets one task of a job. */
 const whole = { processorThousandths: 8_000, memoryMebibytes: 1_024, accelerators: 0 };
 
 const makeDriver = (): CellDriver => {
@@ -17,7 +17,7 @@
     return driver;
 };
 
-/** Plays jobs with a task at each worker that takes the worker's time, however much the callers' estimates are off. */
+/** Plays jobs with a task on each worker that takes that worker's time, with estimates that are off by up to e squared. */
 const playJobs = (driver: CellDriver, count: number, timeOf: (worker: string) => number, seed = 1): void => {
     const random = new SeededRandom(seed);
     for (let index = 0; index < count; index++) {
@@ -42,8 +42,8 @@
 const slownessOf = (driver: CellDriver, id: string): number => driver.cell.workers.get(idOf(id))!.slowness;
 const firstFast = (id: string): number => id === "w1" ? 500 : 1_000;
 
-describe("what is learned of workers' speeds", () => {
-    it("is nothing where they are alike, however much estimates are off and tasks of a step differ", () => {
+describe("the estimate of workers' speeds", () => {
+    it("stays neutral where workers are alike, however much estimates are off and tasks of a step differ", () => {
         const driver = makeDriver();
         const random = new SeededRandom(7);
         const times = new Map<string, number>();
@@ -54,7 +54,7 @@
         expect(ids.map(id => slownessOf(driver, id))).toEqual([1, 1, 1, 1]);
     });
 
-    it("is never more than what was measured, and grows with the evidence", () => {
+    it("never exceeds the real difference, and approaches it with more samples", () => {
         for (const seed of [1, 2, 3, 4, 5, 6]) {
             const driver = makeDriver();
             let former = 1;
@@ -64,19 +64,19 @@
                 expect(slowness <= former + rounding && slowness >= 0.5).toEqual(true);
                 former = slowness;
             }
-            // At least half of the difference is known by then.
+            // At least half of the difference, on a logarithmic scale, is learned by then.
             expect(former).toBeLessThan(Math.SQRT1_2);
             expect(ids.slice(1).map(id => slownessOf(driver, id))).toEqual([1, 1, 1]);
         }
     });
 
-    it("is bounded, whatever a task takes", () => {
+    it("is bounded, however long a task takes", () => {
         const driver = makeDriver();
         playJobs(driver, 40, id => id === "w1" ? 100_000 : 1_000);
         expect(slownessOf(driver, "w1")).toBeLessThan(4.01);
     });
 
-    it("is forgotten once the worker's tasks take what others' do", () => {
+    it("returns to neutral once the worker's tasks take as long as others'", () => {
         const driver = makeDriver();
         playJobs(driver, 20, firstFast);
         expect(slownessOf(driver, "w1")).toBeLessThan(0.7);
@@ -84,7 +84,7 @@
         expect(slownessOf(driver, "w1")).toEqual(1);
     });
 
-    it("is nothing for the next life of a worker, and for the next owner", () => {
+    it("starts neutral for a restarted worker and for a new owner", () => {
         const driver = makeDriver();
         playJobs(driver, 20, firstFast);
         driver.cell.takeRestart(workerId("w1"), workerLife(2));
@@ -96,7 +96,7 @@
 });
 
 describe("tasks on workers of uneven speed", () => {
-    it("go to the fast ones if they are urgent, and leave these to others if they are patient", () => {
+    it("go to fast workers if they are urgent, and leave these to others if they are deferrable", () => {
         const driver = makeDriver();
         playJobs(driver, 20, firstFast);
         driver.cell.submit(makeJob("patient", [makeStep()], { queue: queueName("patient") }));
--- a/packages/cell/test/upkeep/wave-planner.test.ts
+++ b/packages/cell/test/upkeep/wave-planner.test.ts
@@ -5,7 +5,7 @@
 
 const upkeepTime = 2_000;
 
-/** VMs of a test, each with the worker that lives there. */
+/** VMs of a test, each with the worker that it hosts. */
 class Vms {
     readonly clock = new ManualClock();
     readonly workers = new Map<WorkerId, PlannedWorker>();
@@ -43,7 +43,7 @@
 const waveOf = (mostDown: number, ...names: string[]) => ({ wave: 1, vms: names.map(vmId), within: 20_000, mostDown });
 
 describe("a wave of upkeep", () => {
-    it("takes no more VMs down at once than it allows, and is completed once each was down and is up", () => {
+    it("takes no more VMs down at once than allowed, and is completed once all are up again", () => {
         const vms = new Vms("a", "b");
         vms.planner.add(waveOf(1, "a", "b"));
         expect(vms.plan().begin).toEqual(["a"]);
@@ -60,7 +60,7 @@
         expect(vms.plan().state).toEqual(WaveState.Completed);
     });
 
-    it("counts a VM as down whose order had no answer, until it is seen not to have been carried out", () => {
+    it("counts a VM as down whose order had no answer, until the order is found not to be carried out", () => {
         const vms = new Vms("a", "b");
         vms.planner.add(waveOf(1, "a", "b"));
         vms.plan();
@@ -70,11 +70,8 @@
         expect(vms.plan().begin).toEqual(["a"]);
     });
 
-    /*
-     * Another worker on a VM was taken for proof that its upkeep was carried out. A worker that crashes is followed by another one too, under
-     * another id or its own, so a wave could be told to be completed with a VM that stayed.
-     */
-    it("asks again for a VM with another worker whose order had no answer, and takes it for done once that is answered", () => {
+    // A new worker on a VM is no proof of its upkeep, as a crashed worker is replaced too.
+    it("repeats an unanswered order to a VM with a new worker, and counts it as done once that is answered", () => {
         const vms = new Vms("a");
         vms.planner.add(waveOf(1, "a"));
         vms.plan();
@@ -88,7 +85,7 @@
         expect(vms.plan().state).toEqual(WaveState.Completed);
     });
 
-    it("lets work end first, while there is time", () => {
+    it("lets work end first while there is time", () => {
         const vms = new Vms("a", "b");
         vms.workers.set(workerId("a-worker-1"), { runs: 3, holdsNeeded: false });
         vms.planner.add(waveOf(1, "a", "b"));
@@ -99,7 +96,7 @@
         expect(vms.plan().begin).toEqual(["a"]);
     });
 
-    it("never takes down what would take too many lasting tasks away", () => {
+    it("never takes down a VM whose loss would exceed the disruption budget of a long-running step", () => {
         const vms = new Vms("a");
         vms.workers.set(workerId("a-worker-1"), { runs: 1, holdsNeeded: true });
         vms.planner.add(waveOf(1, "a"));
@@ -108,7 +105,7 @@
         expect(vms.plan().begin).toEqual([]);
     });
 
-    it("goes on where an earlier owner left off", () => {
+    it("continues where an earlier owner left off", () => {
         const vms = new Vms("a", "b");
         vms.set("a", VmCondition.Upkeep);
         vms.planner.add(waveOf(1, "a", "b"));
@@ -117,7 +114,7 @@
         expect(vms.plan().begin).toEqual(["b"]);
     });
 
-    it("that was completed is not begun again", () => {
+    it("is not repeated after an earlier owner completed it", () => {
         const vms = new Vms("a");
         vms.planner.noteCompleted(1);
         vms.planner.add(waveOf(1, "a"));
--- a/packages/cell/test/watching/slow-workers.test.ts
+++ b/packages/cell/test/watching/slow-workers.test.ts
@@ -4,13 +4,13 @@
 import { Fleet, type FleetTerms } from "../support/index.js";
 
 const seeds = [1, 2, 3, 4, 5, 6];
-/** A slow worker is found within this time. */
+/** Time within which a slow worker must be detected. */
 const foundWithin: Milliseconds = 1_500;
-/** Where fewer tasks are at work, one whose work is larger than its step's others can't be told from a slow worker. */
+/** With fewer tasks on a worker, a single larger task can't be distinguished from a slow worker. */
 const fewestTasks = 4;
-/** Tasks that began no earlier were never seen at full speed. */
+/** Tasks must have run for this long for their full speed to be known. */
 const knownFor: Milliseconds = 1_000;
-/** Estimates are off by up to two and a half times, sound workers by up to two and a half times in speed. */
+/** Estimates are off by up to two and a half times, and healthy workers differ by as much in speed. */
 const usual: FleetTerms = {
     seed: 1,
     speeds: [0.55, 1.2, 1, 1.3, 1.2],
@@ -21,7 +21,7 @@
 };
 const narrow: FleetTerms = { ...usual, width: [1, 6], work: [300, 1_200] };
 
-/** Those of some workers that were judged slow in time, as a share. */
+/** Share of some workers that were detected in time. */
 const foundShare = (fleet: Fleet, slow: readonly WorkerId[], since: Milliseconds): number =>
     slow.filter(id => (fleet.judgedAt.get(id) ?? Infinity) <= since + foundWithin).length / slow.length;
 
@@ -46,40 +46,40 @@
 const none = seeds.map(() => 0);
 const all = seeds.map(() => 1);
 
-describe("sound workers of uneven speed", () => {
-    it("are not taken for slow while estimates are off by two and a half times", () => {
+describe("healthy workers of uneven speed", () => {
+    it("do not count as slow while estimates are off by two and a half times", () => {
         expect(judgedOf(usual)).toEqual(none);
     });
 
-    it("are not taken for slow while estimates are off tenfold", () => {
+    it("do not count as slow while estimates are off tenfold", () => {
         expect(judgedOf({ ...usual, estimateError: 2.3 })).toEqual(none);
     });
 
-    it("are not taken for slow under short tasks", () => {
+    it("do not count as slow with short tasks", () => {
         expect(judgedOf({ ...narrow, estimateError: 2.3 })).toEqual(none);
     });
 });
 
-describe("workers that turn slow while estimates are off tenfold", () => {
+describe("workers that become slow while estimates are off tenfold", () => {
     const terms = { ...usual, estimateError: 2.3 };
 
     const oneIn = (count: number) => (fleet: Fleet): readonly WorkerId[] =>
         fleet.withTasks(fewestTasks, knownFor).filter((_, index) => index % count === 0);
 
-    it("are found in time at a quarter of their speed", () => {
+    it("are detected in time at a quarter of their speed", () => {
         expect(foundOf(terms, 4, oneIn(terms.workers))).toEqual(all);
     });
 
-    it("are found in time when they stand still", () => {
+    it("are detected in time when they stall", () => {
         expect(foundOf(terms, Infinity, oneIn(terms.workers))).toEqual(all);
     });
 
-    it("are found in time when a sixth of all turns slow at once", () => {
+    it("are detected in time when a sixth of all become slow at once", () => {
         expect(foundOf(terms, 4, oneIn(6))).toEqual(all);
         expect(foundOf(terms, 8, oneIn(6))).toEqual(all);
     });
 
-    it("are found in time when they have all tasks of a job", () => {
+    it("are detected in time when they run all tasks of a job", () => {
         const hasEnough = (fleet: Fleet) =>
             fleet.ofOneJob(12).filter(id => fleet.withTasks(fewestTasks, knownFor).includes(id));
         expect(foundOf(terms, 4, hasEnough)).toEqual(all);
