--- a/packages/cell/src/headroom/room-maker.ts
+++ b/packages/cell/src/headroom/room-maker.ts
@@ -42,7 +42,7 @@
             if (missing <= 0 || stops >= mostStops) {
                 break;
             }
-            this.stopper.stop(run, "urgent work that is short of room");
+            this.stopper.stop(run, "urgent work that did not fit");
             missing -= gain;
             stops++;
         }
--- a/packages/cell/src/moving/mover.ts
+++ b/packages/cell/src/moving/mover.ts
@@ -11,7 +11,7 @@
 const servingPercent = 100;
 
 /**
- * Stops runs on workers that are slow, about to have their upkeep or about to leave, where little work is lost and another worker
+ * Stops runs on workers that are slow, about to begin their upkeep or about to leave, where little work is lost and another worker
  * fits them. Stopped tasks are placed again by the next cycle.
  */
 export class Mover {
@@ -65,7 +65,7 @@
             const { savesProgress, isGang, isLasting } = step.definition;
             const isCheap = isLasting ? mayLoseOne(step) : savesProgress && !isGang;
             if (isCheap && isMovable(run) && this.#hasPlace(run, now)) {
-                this.runs.stop(run, "its VM is about to have its upkeep");
+                this.runs.stop(run, "its VM is about to begin its upkeep");
             }
         }
     }
--- a/packages/cell/src/yielding/run-stopper.ts
+++ b/packages/cell/src/yielding/run-stopper.ts
@@ -10,7 +10,7 @@
     /** `by`: what needs its resources, for the log. */
     stop(run: TaskRun, by: string): void {
         run.task.preemptions++;
-        this.runs.stop(run, "more urgent work needs its room");
+        this.runs.stop(run, "preempted by more urgent work");
         this.context.options.log.log(logEvents.runPreempted, {
             task: run.task.address,
             run: run.run,
