--- a/packages/cell/src/advice/index.ts
+++ b/packages/cell/src/advice/index.ts
@@ -35,9 +35,9 @@
     | { readonly kind: "busy"; };
 
 /** Upper bound of workers in one call. */
-export const mostAdviceWorkers = 100;
+export const maxAdviceWorkers = 100;
 /** Calls of one VM that the service queues; it rejects further ones. */
-export const mostAdviceCalls = 32;
+export const maxAdviceCalls = 32;
 
 /** Client of the advice service. */
 export interface AdviceClient {
--- a/packages/cell/src/advising/advice-dispatcher.ts
+++ b/packages/cell/src/advising/advice-dispatcher.ts
@@ -1,29 +1,29 @@
 /** Distribution of questions to the advice service over VMs. */
 import type { Milliseconds, WorkerId } from "@pebbledale/core";
-import { type AdvicePolicy, callDuration, mostAdviceWorkers } from "../advice/index.js";
-import type { AdviceCommand } from "../state/index.js";
+import { type AdvicePolicy, callDuration, maxAdviceWorkers } from "../advice/index.js";
+import type { AdviceRequest } from "../state/index.js";
 
 /** Questions that take longer than this are slow. */
-const slowQuestion: Milliseconds = 150;
+const slowQuestionTime: Milliseconds = 150;
 /** VMs reserved for quick questions: this many, */
-const fewestQuick = 2;
+const minQuickVms = 2;
 /** and this share of all VMs. */
-const quickShare = 0.06;
+const quickVmShare = 0.06;
 /** Delay in the order of waiting questions for each level of urgency. */
-const headStart: Milliseconds = 300;
+const urgencyOffset: Milliseconds = 300;
 /** Upper bound of quick questions in flight for each VM. */
-const mostOnTheirWay = 8;
+const maxInFlight = 8;
 
 /**
  * The per-worker time of a part of a slow question is at least this share of the constant time of a call: smaller parts would occupy more
  * VMs and be answered hardly sooner.
  */
-const leastNamingShare = 1 / 3;
+const minNamingShare = 1 / 3;
 /** Share of the free VMs that one question may use, leaving others to the questions that follow. */
-const shareOfFree = 1 / 2;
+const freeVmShare = 1 / 2;
 
 /** Where the questions come from. */
-export interface Questioner {
+export interface AdviceRequester {
     /** Whether the answer to a question about a step would still be of use. */
     isAdviceWanted(step: string): boolean;
     /** Told that a question was discarded, as its answer would be of no use. */
@@ -31,25 +31,25 @@
 }
 
 /** A VM that can call the advice service. */
-interface Asker {
+interface AskingVm {
     readonly name: string;
-    readonly ask: (question: number, command: AdviceCommand, duration: Milliseconds) => void;
-    readonly onTheirWay: Set<number>;
+    readonly ask: (question: number, command: AdviceRequest, duration: Milliseconds) => void;
+    readonly inFlight: Set<number>;
     /** When the service is expected to have answered all of this VM's questions. */
     busyUntil: Milliseconds;
 }
 
 /** A question, or the remainder of one, that waits for a free VM. */
 interface WaitingQuestion {
-    readonly command: AdviceCommand;
+    readonly command: AdviceRequest;
     /** When it was asked, with a delay by its urgency; lower goes first. */
-    readonly turn: Milliseconds;
+    readonly sortTime: Milliseconds;
 }
 
 /** A question, or a part of one, that was sent to a VM. */
-interface DealtQuestion extends WaitingQuestion {
+interface InFlightQuestion extends WaitingQuestion {
     readonly number: number;
-    readonly asker: Asker;
+    readonly vm: AskingVm;
 }
 
 /**
@@ -60,54 +60,54 @@
  * more than the time of one call and are valid together.
  */
 export class AdviceDispatcher {
-    readonly #askers = new Map<string, Asker>();
-    readonly #dealt = new Map<number, DealtQuestion>();
+    readonly #vms = new Map<string, AskingVm>();
+    readonly #inFlight = new Map<number, InFlightQuestion>();
     #waiting: WaitingQuestion[] = [];
-    #next = 1;
+    #nextNumber = 1;
 
-    constructor(private readonly now: () => Milliseconds, private readonly questioner: Questioner) {}
+    constructor(private readonly now: () => Milliseconds, private readonly requester: AdviceRequester) {}
 
     /** Adds a VM. */
-    join(name: string, ask: Asker["ask"]): void {
-        this.#askers.set(name, { name, ask, onTheirWay: new Set(), busyUntil: 0 });
-        this.#deal();
+    join(name: string, ask: AskingVm["ask"]): void {
+        this.#vms.set(name, { name, ask, inFlight: new Set(), busyUntil: 0 });
+        this.#dispatchWaiting();
     }
 
     /** Removes a VM. Its unanswered questions are sent to others. */
     leave(name: string): void {
-        const asker = this.#askers.get(name);
-        this.#askers.delete(name);
-        for (const number of asker?.onTheirWay ?? []) {
-            const question = this.#dealt.get(number);
+        const asker = this.#vms.get(name);
+        this.#vms.delete(name);
+        for (const number of asker?.inFlight ?? []) {
+            const question = this.#inFlight.get(number);
             if (question !== undefined) {
-                this.#dealt.delete(number);
+                this.#inFlight.delete(number);
                 this.#waiting.unshift(question);
             }
         }
-        this.#deal();
+        this.#dispatchWaiting();
     }
 
     /** Sends questions, now or once VMs are free for them. */
-    ask(...commands: readonly AdviceCommand[]): void {
+    ask(...commands: readonly AdviceRequest[]): void {
         const now = this.now();
-        commands.forEach(command => this.#waiting.push({ command, turn: now + command.urgency * headStart }));
-        this.#deal();
+        commands.forEach(command => this.#waiting.push({ command, sortTime: now + command.urgency * urgencyOffset }));
+        this.#dispatchWaiting();
     }
 
     /** Ends a question that was answered or failed. Returns the command, or undefined for an unknown number. */
-    answered(number: number): AdviceCommand | undefined {
-        const question = this.#dealt.get(number);
-        this.#dealt.delete(number);
+    complete(number: number): AdviceRequest | undefined {
+        const question = this.#inFlight.get(number);
+        this.#inFlight.delete(number);
         if (question !== undefined) {
-            this.#free(question);
+            this.#release(question);
         }
-        this.#deal();
+        this.#dispatchWaiting();
         return question?.command;
     }
 
-    #free({ asker, number }: DealtQuestion): void {
-        asker.onTheirWay.delete(number);
-        if (asker.onTheirWay.size === 0) {
+    #release({ vm: asker, number }: InFlightQuestion): void {
+        asker.inFlight.delete(number);
+        if (asker.inFlight.size === 0) {
             asker.busyUntil = 0;
         }
     }
@@ -116,9 +116,9 @@
      * Sends waiting questions as far as VMs are free. Questions without a free VM are skipped cheaply: this runs after each answer, and
      * hundreds may wait after a change of owner.
      */
-    #deal(): void {
-        this.#waiting.sort((left, right) => left.turn - right.turn);
-        const hasFree = { slow: this.#freeFor(true).length > 0, quick: this.#freeFor(false).length > 0 };
+    #dispatchWaiting(): void {
+        this.#waiting.sort((left, right) => left.sortTime - right.sortTime);
+        const hasFree = { slow: this.#vmsFreeFor(true).length > 0, quick: this.#vmsFreeFor(false).length > 0 };
         const left: WaitingQuestion[] = [];
         for (const question of this.#waiting) {
             const kind = isSlow(question.command) ? "slow" : "quick";
@@ -126,8 +126,8 @@
                 left.push(question);
             }
             else if (!this.#dropUnwanted(question)) {
-                const rest = this.#put(question);
-                hasFree[kind] = rest.length === 0 && this.#freeFor(kind === "slow").length > 0;
+                const rest = this.#send(question);
+                hasFree[kind] = rest.length === 0 && this.#vmsFreeFor(kind === "slow").length > 0;
                 left.push(...rest);
             }
         }
@@ -136,68 +136,68 @@
 
     /** Discards a question whose answer would be of no use; false when it is still wanted. */
     #dropUnwanted({ command: { step, workers } }: WaitingQuestion): boolean {
-        if (this.questioner.isAdviceWanted(step)) {
+        if (this.requester.isAdviceWanted(step)) {
             return false;
         }
-        this.questioner.dropAdvice(step, workers);
+        this.requester.dropAdvice(step, workers);
         return true;
     }
 
     /** Sends a question to free VMs, in parts. Returns the remainder, if any. */
-    #put(question: WaitingQuestion): WaitingQuestion[] {
-        const { command, turn } = question;
+    #send(question: WaitingQuestion): WaitingQuestion[] {
+        const { command, sortTime: turn } = question;
         const size = this.#partSize(command);
         for (let next = 0; next < command.workers.length; next += size) {
             const part = { ...command, workers: command.workers.slice(next, next + size) };
-            if (!this.#putPart(part, turn)) {
-                return [{ command: { ...command, workers: command.workers.slice(next) }, turn }];
+            if (!this.#sendPart(part, turn)) {
+                return [{ command: { ...command, workers: command.workers.slice(next) }, sortTime: turn }];
             }
         }
         return [];
     }
 
-    #putPart(command: AdviceCommand, turn: Milliseconds): boolean {
-        const free = this.#freeFor(isSlow(command));
+    #sendPart(command: AdviceRequest, turn: Milliseconds): boolean {
+        const free = this.#vmsFreeFor(isSlow(command));
         if (free.length === 0) {
             return false;
         }
         const now = this.now();
         const asker = free.reduce((best, other) => waitOf(other, now) < waitOf(best, now) ? other : best);
         const duration = callDuration(command.policy, command.workers.length);
-        const number = this.#next++;
-        this.#dealt.set(number, { number, command, turn, asker });
-        asker.onTheirWay.add(number);
+        const number = this.#nextNumber++;
+        this.#inFlight.set(number, { number, command, sortTime: turn, vm: asker });
+        asker.inFlight.add(number);
         asker.busyUntil = Math.max(asker.busyUntil, now) + duration;
         asker.ask(number, command, duration);
         return true;
     }
 
     /** Number of workers in a part of a question. */
-    #partSize(command: AdviceCommand): number {
+    #partSize(command: AdviceRequest): number {
         const { workers, policy } = command;
         if (!isSlow(command)) {
-            return mostAdviceWorkers;
+            return maxAdviceWorkers;
         }
-        const parts = Math.max(1, Math.floor(this.#freeFor(true).length * shareOfFree));
-        const size = Math.max(leastPartSize(policy), Math.ceil(workers.length / parts));
-        return Math.min(mostAdviceWorkers, size);
+        const parts = Math.max(1, Math.floor(this.#vmsFreeFor(true).length * freeVmShare));
+        const size = Math.max(minPartSize(policy), Math.ceil(workers.length / parts));
+        return Math.min(maxAdviceWorkers, size);
     }
 
     /** VMs that may be sent a slow or a quick question now. For quick ones, the VMs reserved for them come first. */
-    #freeFor(isSlowOne: boolean): Asker[] {
-        const all = [...this.#askers.values()];
-        const quick = Math.min(Math.floor(all.length / 2), Math.floor(fewestQuick + all.length * quickShare));
+    #vmsFreeFor(isSlowOne: boolean): AskingVm[] {
+        const all = [...this.#vms.values()];
+        const quick = Math.min(Math.floor(all.length / 2), Math.floor(minQuickVms + all.length * quickVmShare));
         const candidates = !isSlowOne || all.length === 1 ? all : all.slice(quick);
         return candidates.filter(asker => isFreeFor(asker, isSlowOne));
     }
 }
 
-const isSlow = ({ policy, workers }: AdviceCommand): boolean => callDuration(policy, workers.length) > slowQuestion;
+const isSlow = ({ policy, workers }: AdviceRequest): boolean => callDuration(policy, workers.length) > slowQuestionTime;
 
-const leastPartSize = ({ decision, eachWorker }: AdvicePolicy): number =>
-    eachWorker === 0 ? mostAdviceWorkers : Math.ceil(decision * leastNamingShare / eachWorker);
+const minPartSize = ({ decision, eachWorker }: AdvicePolicy): number =>
+    eachWorker === 0 ? maxAdviceWorkers : Math.ceil(decision * minNamingShare / eachWorker);
 
-const isFreeFor = (asker: Asker, isSlowOne: boolean): boolean =>
-    isSlowOne ? asker.onTheirWay.size === 0 : asker.onTheirWay.size < mostOnTheirWay;
+const isFreeFor = (asker: AskingVm, isSlowOne: boolean): boolean =>
+    isSlowOne ? asker.inFlight.size === 0 : asker.inFlight.size < maxInFlight;
 
-const waitOf = (asker: Asker, now: Milliseconds): Milliseconds => Math.max(0, asker.busyUntil - now);
+const waitOf = (asker: AskingVm, now: Milliseconds): Milliseconds => Math.max(0, asker.busyUntil - now);
--- a/packages/cell/src/advising/constants.ts
+++ b/packages/cell/src/advising/constants.ts
@@ -1,16 +1,16 @@
 /** Tuning constants of questions to the advice service. Times are in milliseconds. */
 /** Lower bound of workers in a first question, as the capacity of a few may be gone by the time of the answer. */
-export const fewestAdviceWorkers = 24;
+export const minAdviceWorkers = 24;
 /** Factor by which the capacity of the workers asked about exceeds the demand, beyond the share that is usually permitted. */
-export const roomMargin = 1.5;
+export const capacityMargin = 1.5;
 /** The same for a gang, whose members need their resources at one moment. */
-export const gangRoomMargin = 3;
+export const gangCapacityMargin = 3;
 /** A question names enough workers once the permitted ones are expected to hold the step this many times when empty. */
 export const choiceMargin = 2.5;
 /** Share of workers assumed to be permitted before a queue's first answer. */
-export const firstPermittedShare = 0.3;
+export const initialPermittedShare = 0.3;
 /** Lower bound of the learned share, so that questions of a queue with poor answers stay bounded. */
-export const leastPermittedShare = 0.1;
+export const minPermittedShare = 0.1;
 /** Weight of one answer in the moving average of its queue's share. */
 export const shareWeight = 0.2;
 /** Minimum interval between questions about a step that could not be placed. */
@@ -21,4 +21,4 @@
  * When the first ticket of a gang has to be renewed, so are all that are valid for less than this share of their lifetime. Renewed one by
  * one, they would hardly ever be valid together.
  */
-export const renewedShare = 0.5;
+export const renewalShare = 0.5;
--- a/packages/cell/src/choosing/index.ts
+++ b/packages/cell/src/choosing/index.ts
@@ -1,5 +1,5 @@
 /** Inputs of placement: the ranking of steps, expected ends of runs, forecasts of free resources and candidate workers. */
-export { stopTime } from "./constants.js";
+export { stopDuration as stopTime } from "./constants.js";
 export * from "./expected-end.js";
 export * from "./room-forecast.js";
 export * from "./room-index.js";
--- a/packages/cell/src/choosing/room-index.ts
+++ b/packages/cell/src/choosing/room-index.ts
@@ -8,7 +8,7 @@
  * With hundreds of ready steps and workers, as after a change of owner, a scan of all workers for each step would block the owner
  * for tenths of a second. Free resources only shrink within a cycle, so workers below a step's size at its start can be skipped.
  */
-export class RoomIndex {
+export class CapacityIndex {
     /** By the processors that were free when the index was built. */
     readonly fullestFirst: readonly WorkerState[];
     readonly emptiestFirst: readonly WorkerState[];
@@ -28,7 +28,7 @@
     }
 
     /** Position in {@link fullestFirst} of the first worker with at least this much free. */
-    firstWith(processorThousandths: number): number {
+    firstIndexWith(processorThousandths: number): number {
         let low = 0;
         let high = this.#free.length;
         while (low < high) {
--- a/packages/cell/src/choosing/worker-choice.ts
+++ b/packages/cell/src/choosing/worker-choice.ts
@@ -1,40 +1,40 @@
 /** Selects workers for the tasks of one step. */
 import type { Milliseconds, ServiceName } from "@pebbledale/core";
 import type { Step, StepPermits, WorkerState } from "../state/index.js";
-import { choiceFactor, fewestCandidates, servingCost, slownessCost, wideTasksPerWorker } from "./constants.js";
-import type { RoomIndex } from "./room-index.js";
+import { candidateFactor, maxWideTasksPerWorker, minCandidates, servingWorkerCost, slownessCost } from "./constants.js";
+import type { CapacityIndex } from "./room-index.js";
 
 /** A number of a step's tasks at one worker, with the advice service's ticket where one is needed. */
-export interface Share {
+export interface Allocation {
     readonly worker: WorkerState;
     readonly count: number;
     readonly ticket: string | undefined;
 }
 
 /** A worker that can take tasks of a step now, and how many. */
-interface Candidate extends Share {
+interface Candidate extends Allocation {
     /** Lower is better. */
     readonly cost: number;
     /** Whether its cost contains a penalty. */
-    readonly isDoubted: boolean;
+    readonly isPenalised: boolean;
 }
 
 /** Parameters of a search for candidate workers. */
-export interface ChoiceInput {
+export interface CandidateQuery {
     readonly step: Step;
     readonly service: ServiceName;
-    readonly index: RoomIndex;
+    readonly index: CapacityIndex;
     readonly now: Milliseconds;
     /** Upper bound of tasks on a worker, so that reservations and headroom are respected. */
-    readonly limit: (worker: WorkerState) => number;
+    readonly limitFor: (worker: WorkerState) => number;
     /** Whether the step prefers fast workers, or leaves these to others. */
     readonly prefersFast: boolean;
     /** Added to a worker's cost. */
-    readonly doubt: (worker: WorkerState) => number;
+    readonly penaltyOf: (worker: WorkerState) => number;
 }
 
 /** Cost of a worker on another rack than the step's data: it exceeds all other costs, as remote access slows the tasks down. */
-const farCost = 1_000;
+const remoteDataCost = 1_000;
 
 /** Cost of an accelerator that stays free, in processors. High, so that whole workers stay free for tasks that need all accelerators. */
 const acceleratorCost = 10;
@@ -51,7 +51,7 @@
 export const isWide = (step: Step, workers: Iterable<WorkerState>): boolean => {
     const { service } = step.job.terms;
     for (const worker of workers) {
-        if (worker.entry?.service === service && worker.countWhenEmpty(step) > wideTasksPerWorker) {
+        if (worker.entry?.service === service && worker.countWhenEmpty(step) > maxWideTasksPerWorker) {
             return false;
         }
     }
@@ -59,35 +59,37 @@
 };
 
 /** Workers that can take tasks of a step now, lowest cost first. May leave out others once enough are found for `most` tasks. */
-export const candidatesFor = (input: ChoiceInput, most: number): Share[] => {
+export const findCandidates = (input: CandidateQuery, most: number): Allocation[] => {
     const { permits } = input.step;
-    const candidates = permits === undefined ? freeCandidates(input, most) : ticketedCandidates(input, permits, most);
+    const candidates = permits === undefined
+        ? unrestrictedCandidates(input, most)
+        : ticketedCandidates(input, permits, most);
     return candidates.sort((left, right) => left.cost - right.cost);
 };
 
-const freeCandidates = (input: ChoiceInput, most: number): Candidate[] => {
+const unrestrictedCandidates = (input: CandidateQuery, most: number): Candidate[] => {
     const { step, index } = input;
     const { size, fills } = step.definition;
-    const enough = isFullestBest(step) ? most * choiceFactor : Infinity;
+    const enough = prefersFullest(step) ? most * candidateFactor : Infinity;
     const candidates: Candidate[] = [];
     let undoubted = 0;
-    for (let at = fills ? 0 : index.firstWith(size.processorThousandths); at < index.fullestFirst.length; at++) {
-        if (undoubted >= enough && candidates.length >= fewestCandidates) {
+    for (let at = fills ? 0 : index.firstIndexWith(size.processorThousandths); at < index.fullestFirst.length; at++) {
+        if (undoubted >= enough && candidates.length >= minCandidates) {
             break;
         }
         const candidate = candidateAt(index.fullestFirst[at], undefined, input, most);
         if (candidate !== undefined) {
             candidates.push(candidate);
-            undoubted += candidate.isDoubted ? 0 : candidate.count;
+            undoubted += candidate.isPenalised ? 0 : candidate.count;
         }
     }
     return candidates;
 };
 
 /** For steps that need advice: only workers with a valid ticket. */
-const ticketedCandidates = (input: ChoiceInput, permits: StepPermits, most: number): Candidate[] => {
+const ticketedCandidates = (input: CandidateQuery, permits: StepPermits, most: number): Candidate[] => {
     const candidates: Candidate[] = [];
-    for (const [id, ticket] of permits.ticketsAt(input.now)) {
+    for (const [id, ticket] of permits.validTickets(input.now)) {
         const worker = input.index.get(id);
         const candidate = worker && candidateAt(worker, ticket, input, most);
         if (candidate !== undefined) {
@@ -100,7 +102,7 @@
 const candidateAt = (
     worker: WorkerState,
     ticket: string | undefined,
-    { step, service, now, limit, prefersFast, doubt }: ChoiceInput,
+    { step, service, now, limitFor: limit, prefersFast, penaltyOf: doubt }: CandidateQuery,
     most: number,
 ): Candidate | undefined => {
     // The cheapest check, and under load the one that most workers fail, comes first.
@@ -114,11 +116,11 @@
     }
     const doubted = doubt(worker);
     const cost = costOf(worker, step, count) + slownessCostOf(worker, step, prefersFast) + doubted;
-    return { worker, count, ticket, cost, isDoubted: doubted > 0 };
+    return { worker, count, ticket, cost, isPenalised: doubted > 0 };
 };
 
 /** Whether best fit decides among workers for a step, so that the fullest come first. */
-const isFullestBest = ({ definition: { fills, size, dataRack, wantsOneRack } }: Step): boolean =>
+const prefersFullest = ({ definition: { fills, size, dataRack, wantsOneRack } }: Step): boolean =>
     !fills && size.accelerators === 0 && dataRack === undefined && !wantsOneRack;
 
 /** Best fit: the less stays free the better, so that large free blocks remain elsewhere for wide tasks. */
@@ -127,11 +129,12 @@
     const isFar = dataRack !== undefined && !worker.labels.includes(dataRack);
     if (fills) {
         // Filler tasks use what others leave: the emptiest worker without latency-sensitive tasks is best.
-        return (isFar ? farCost : 0) + (worker.hasServingRun ? servingCost : 0) - worker.freeProcessor / 1_000;
+        return (isFar ? remoteDataCost : 0) + (worker.hasServingRun ? servingWorkerCost : 0)
+            - worker.freeProcessor / 1_000;
     }
     const processorsLeft = (worker.freeProcessor - count * size.processorThousandths) / 1_000;
     const acceleratorsLeft = size.accelerators === 0 ? 0 : worker.freeAccelerators - count * size.accelerators;
-    return (isFar ? farCost : 0) + processorsLeft + acceleratorsLeft * acceleratorCost;
+    return (isFar ? remoteDataCost : 0) + processorsLeft + acceleratorsLeft * acceleratorCost;
 };
 
 /** Zero for gangs, which are as fast as their slowest member, and for filler tasks. */
@@ -141,8 +144,8 @@
         : (prefersFast ? 1 : -1) * Math.log(slowness) * slownessCost;
 
 /** Allocates `count` tasks to candidates in their order; undefined when they do not all fit. */
-export const dealAll = (candidates: readonly Share[], count: number): Share[] | undefined => {
-    const shares: Share[] = [];
+export const allocate = (candidates: readonly Allocation[], count: number): Allocation[] | undefined => {
+    const shares: Allocation[] = [];
     let left = count;
     for (const candidate of candidates) {
         if (left === 0) {
@@ -156,14 +159,14 @@
 };
 
 /** Allocates `count` tasks within the rack that fits them most tightly; undefined when none holds all. */
-export const dealInOneRack = (candidates: readonly Share[], count: number): Share[] | undefined => {
-    const racks = new Map<string, Share[]>();
+export const allocateInOneRack = (candidates: readonly Allocation[], count: number): Allocation[] | undefined => {
+    const racks = new Map<string, Allocation[]>();
     for (const candidate of candidates) {
         const rack = candidate.worker.entry?.rack ?? "";
         racks.set(rack, [...racks.get(rack) ?? [], candidate]);
     }
-    const roomOf = (shares: readonly Share[]): number => shares.reduce((sum, share) => sum + share.count, 0);
+    const roomOf = (shares: readonly Allocation[]): number => shares.reduce((sum, share) => sum + share.count, 0);
     const large = [...racks.values()].filter(shares => roomOf(shares) >= count);
     large.sort((left, right) => roomOf(left) - roomOf(right));
-    return large.length === 0 ? undefined : dealAll(large[0], count);
+    return large.length === 0 ? undefined : allocate(large[0], count);
 };
--- a/packages/cell/src/configuration/queue-directory.ts
+++ b/packages/cell/src/configuration/queue-directory.ts
@@ -13,16 +13,16 @@
 export class QueueDirectory {
     readonly keys: KeyRing;
     /** The lowest number among the queues' priorities. */
-    readonly mostUrgent: number;
+    readonly mostUrgentPriority: number;
     readonly #byHost = new Map<string, QueueConfiguration[]>();
     readonly #byName = new Map<QueueName, QueueConfiguration>();
     /** Jobs per second, by organisation. */
-    readonly #rates: ReadonlyMap<OrganisationName, number>;
+    readonly #jobRates: ReadonlyMap<OrganisationName, number>;
 
     constructor(readonly configuration: CellConfiguration) {
         this.keys = new KeyRing(configuration.organisations);
-        this.#rates = new Map(configuration.organisations.map(({ name, weight }) => [name, weight]));
-        this.mostUrgent = Math.min(...configuration.queues.map(({ priority }) => priority));
+        this.#jobRates = new Map(configuration.organisations.map(({ name, weight }) => [name, weight]));
+        this.mostUrgentPriority = Math.min(...configuration.queues.map(({ priority }) => priority));
         for (const queue of configuration.queues) {
             this.#byName.set(queue.name, queue);
             const atHost = this.#byHost.get(queue.host) ?? [];
@@ -40,12 +40,12 @@
         return queue === undefined ? undefined : { queue, rest: path.slice(queue.pathPrefix.length) };
     }
 
-    named(name: QueueName): QueueConfiguration | undefined {
+    byName(name: QueueName): QueueConfiguration | undefined {
         return this.#byName.get(name);
     }
 
     /** Jobs per second that an organisation is entitled to; undefined when it is not configured. */
-    rateOf(organisation: OrganisationName): number | undefined {
-        return this.#rates.get(organisation);
+    jobRateOf(organisation: OrganisationName): number | undefined {
+        return this.#jobRates.get(organisation);
     }
 }
--- a/packages/cell/src/configuration/types.ts
+++ b/packages/cell/src/configuration/types.ts
@@ -49,7 +49,7 @@
 }
 
 /** Configuration and upkeep waves, whole or as changed since a cursor. */
-export interface OperatorNews {
+export interface OperatorUpdate {
     /** Undefined when there is none, or when it has not changed since the cursor. */
     readonly configuration: CellConfiguration | undefined;
     /** Upkeep waves that are new or changed. */
@@ -61,7 +61,7 @@
 /** Reads and follows the operators' configuration. Calls reject with `PlatformUnavailableError` when no answer arrives. */
 export interface ConfigurationFeed {
     /** Reads everything. */
-    read(signal: AbortSignal): Promise<OperatorNews>;
+    read(signal: AbortSignal): Promise<OperatorUpdate>;
     /** Waits for a change. Undefined when the history since `cursor` is gone and everything must be read again. */
-    follow(cursor: string, wait: Milliseconds, signal: AbortSignal): Promise<OperatorNews | undefined>;
+    follow(cursor: string, wait: Milliseconds, signal: AbortSignal): Promise<OperatorUpdate | undefined>;
 }
--- a/packages/cell/src/headroom/constants.ts
+++ b/packages/cell/src/headroom/constants.ts
@@ -2,18 +2,18 @@
 import type { Milliseconds } from "@pebbledale/core";
 
 /** Time constant of the decay of expected urgent demand: bursts come back, and resources take seconds to come free. */
-export const demandMemory: Milliseconds = 4_000;
+export const demandDecayTime: Milliseconds = 4_000;
 /** Time constant of the moving average of urgent tasks' sizes. */
-export const sizeMemory: Milliseconds = 5_000;
+export const sizeAveragingTime: Milliseconds = 5_000;
 /** No headroom is kept while more than this share of a service's processors is free: capacity is not what is short then. */
-export const mostFreeShare = 0.35;
+export const maxFreeShare = 0.35;
 /** Upper bound of headroom as a share of a service's processors. */
-export const mostKeptShare = 0.2;
+export const maxHeadroomShare = 0.2;
 /** A change of headroom is logged only if it is at least this many typical urgent tasks, */
-export const leastLoggedChange = 4;
+export const minLoggedChange = 4;
 /** and at least this share of what was logged last. */
-export const loggedShare = 0.5;
+export const minLoggedShare = 0.5;
 /** Minimum interval between such log lines of a service. */
-export const loggedEvery: Milliseconds = 500;
+export const logInterval: Milliseconds = 500;
 /** Runs of a service that one cycle preempts at most, so that their effect is seen before more are stopped. */
-export const mostStops = 8;
+export const maxStopsPerCycle = 8;
--- a/packages/cell/src/headroom/peak-demand.ts
+++ b/packages/cell/src/headroom/peak-demand.ts
@@ -1,6 +1,6 @@
 /** Forecast of urgent demand by its recent peak. */
 import type { Milliseconds } from "@pebbledale/core";
-import { demandMemory } from "./constants.js";
+import { demandDecayTime } from "./constants.js";
 import type { DemandForecast } from "./types.js";
 
 /** A peak detector: the forecast follows rising demand at once and decays exponentially towards falling demand. */
@@ -12,10 +12,10 @@
         return this.#expected;
     }
 
-    note(processor: number, now: Milliseconds): void {
+    observe(processor: number, now: Milliseconds): void {
         const passed = now - (this.#notedAt ?? now);
         this.#notedAt = now;
         const above = Math.max(0, this.#expected - processor);
-        this.#expected = processor + above * Math.exp(-passed / demandMemory);
+        this.#expected = processor + above * Math.exp(-passed / demandDecayTime);
     }
 }
--- a/packages/cell/src/headroom/room-maker.ts
+++ b/packages/cell/src/headroom/room-maker.ts
@@ -1,10 +1,17 @@
 /** Preempts runs for urgent work that found no resources. */
 import type { Milliseconds } from "@pebbledale/core";
-import { expectedEnd, type Room, roomOf, roomOfRun, stopTime, sumOf } from "../choosing/index.js";
+import {
+    addAmounts,
+    expectedEnd,
+    freeResourcesOf,
+    type ResourceAmounts,
+    resourcesOfRun,
+    stopTime,
+} from "../choosing/index.js";
 import { RunPhase, type TaskRun, type WorkerState } from "../state/index.js";
-import type { RunStopper, YieldPolicy } from "../yielding/index.js";
-import { mostStops } from "./constants.js";
-import type { ServiceRoom } from "./service-room.js";
+import type { PreemptionPolicy, RunPreemptor } from "../yielding/index.js";
+import { maxStopsPerCycle } from "./constants.js";
+import type { ServiceHeadroom } from "./service-room.js";
 
 /** A run that may be preempted. */
 interface Victim {
@@ -12,20 +19,20 @@
     /** How many more typical urgent tasks fit its worker without it. */
     readonly gain: number;
     /** The gain for each thousandth of a processor that the run holds. */
-    readonly worth: number;
+    readonly gainPerProcessor: number;
 }
 
 /**
  * Preempts runs of less urgent queues for urgent steps that found no resources, as far as the policy allows. Resources that come free
  * by themselves within the time of a stop are counted first.
  */
-export class RoomMaker {
-    constructor(private readonly policy: YieldPolicy, private readonly stopper: RunStopper) {}
+export class HeadroomPreemptor {
+    constructor(private readonly policy: PreemptionPolicy, private readonly stopper: RunPreemptor) {}
 
     /** Preempts until resources for `needed` typical urgent tasks of a priority are free or coming free. */
-    make(
+    preempt(
         workers: readonly WorkerState[],
-        room: ServiceRoom,
+        room: ServiceHeadroom,
         needed: number,
         priority: number,
         now: Milliseconds,
@@ -33,48 +40,56 @@
         let missing = needed;
         const victims: Victim[] = [];
         for (const worker of workers) {
-            const soon = roomSoon(worker, priority, now);
-            missing -= room.countUsual(soon);
+            const soon = resourcesSoon(worker, priority, now);
+            missing -= room.countTypicalIn(soon);
             victims.push(...this.#victimsAt(worker, soon, room, priority, now));
         }
         let stops = 0;
-        for (const { run, gain } of victims.sort(byWorth)) {
-            if (missing <= 0 || stops >= mostStops) {
+        for (const { run, gain } of victims.sort(byGainPerProcessor)) {
+            if (missing <= 0 || stops >= maxStopsPerCycle) {
                 break;
             }
-            this.stopper.stop(run, "urgent work that did not fit");
+            this.stopper.preempt(run, "urgent work that did not fit");
             missing -= gain;
             stops++;
         }
     }
 
     /** At most one run for each worker: the gain of a second one would depend on the first. */
-    #victimsAt(worker: WorkerState, soon: Room, room: ServiceRoom, priority: number, now: Milliseconds): Victim[] {
-        const fitting = room.countUsual(soon);
+    #victimsAt(
+        worker: WorkerState,
+        soon: ResourceAmounts,
+        room: ServiceHeadroom,
+        priority: number,
+        now: Milliseconds,
+    ): Victim[] {
+        const fitting = room.countTypicalIn(soon);
         return [...worker.runs.values()]
-            .filter(run => expectedEnd(run, now) > now + stopTime && this.policy.yieldsToPriority(run, priority, now))
+            .filter(run =>
+                expectedEnd(run, now) > now + stopTime && this.policy.mayPreemptForPriority(run, priority, now)
+            )
             .map(run => {
-                const freed = roomOfRun(run);
-                const gain = room.countUsual(sumOf(soon, freed)) - fitting;
-                return { run, gain, worth: gain / Math.max(1, freed.processor) };
+                const freed = resourcesOfRun(run);
+                const gain = room.countTypicalIn(addAmounts(soon, freed)) - fitting;
+                return { run, gain, gainPerProcessor: gain / Math.max(1, freed.processor) };
             })
             .filter(({ gain }) => gain > 0)
-            .sort(byWorth)
+            .sort(byGainPerProcessor)
             .slice(0, 1);
     }
 }
 
-const byWorth = (left: Victim, right: Victim): number =>
-    right.worth - left.worth || left.run.percent - right.run.percent;
+const byGainPerProcessor = (left: Victim, right: Victim): number =>
+    right.gainPerProcessor - left.gainPerProcessor || left.run.percent - right.run.percent;
 
 /**
  * Resources of a worker that are free or come free within the time of a stop. Ending urgent runs are left out, as further urgent work
  * follows them.
  */
-const roomSoon = (worker: WorkerState, priority: number, now: Milliseconds): Room =>
+const resourcesSoon = (worker: WorkerState, priority: number, now: Milliseconds): ResourceAmounts =>
     [...worker.runs.values()]
         .filter(run =>
             run.phase === RunPhase.Stopping
             || run.task.step.job.terms.priority > priority && expectedEnd(run, now) <= now + stopTime
         )
-        .reduce((sum, run) => sumOf(sum, roomOfRun(run)), roomOf(worker));
+        .reduce((sum, run) => addAmounts(sum, resourcesOfRun(run)), freeResourcesOf(worker));
--- a/packages/cell/src/headroom/service-room.ts
+++ b/packages/cell/src/headroom/service-room.ts
@@ -1,8 +1,8 @@
 /** Headroom of one service. */
 import type { Milliseconds } from "@pebbledale/core";
-import { type Room, roomOf, roomWithout } from "../choosing/index.js";
+import { freeResourcesOf, type ResourceAmounts, resourcesWithout } from "../choosing/index.js";
 import type { Step, WorkerState } from "../state/index.js";
-import { mostFreeShare, mostKeptShare, sizeMemory } from "./constants.js";
+import { maxFreeShare, maxHeadroomShare, sizeAveragingTime } from "./constants.js";
 import { PeakDemand } from "./peak-demand.js";
 import type { DemandForecast } from "./types.js";
 
@@ -23,26 +23,26 @@
  * Free capacity is counted worker by worker in typical urgent tasks, by processors and memory, as fragments that hold no task are of no
  * use.
  */
-export class ServiceRoom {
+export class ServiceHeadroom {
     /** Whether gangs were seen in the service. No headroom is kept there, as reservations free resources for gangs. */
     hasGangs = false;
     readonly #forecast: DemandForecast = new PeakDemand();
     /** Moving average of urgent tasks' sizes; undefined before the first task. */
-    #usual: Room | undefined;
-    #sizedAt: Milliseconds = 0;
+    #typicalTask: ResourceAmounts | undefined;
+    #sizeLearnedAt: Milliseconds = 0;
     #running = noLoad();
     #waiting = noLoad();
     /** Processors of waiting tasks that could not be placed. */
-    #shortProcessor = 0;
+    #unplacedProcessor = 0;
     #processor = 0;
     #freeProcessor = 0;
     /** How many typical urgent tasks fit the free capacity. */
     #fittingTasks = 0;
 
-    begin(): void {
+    beginCycle(): void {
         this.#running = noLoad();
         this.#waiting = noLoad();
-        this.#shortProcessor = 0;
+        this.#unplacedProcessor = 0;
         this.#processor = 0;
         this.#freeProcessor = 0;
         this.#fittingTasks = 0;
@@ -59,18 +59,18 @@
     }
 
     /** Adds tasks of an urgent step that could not be placed. */
-    addShort({ definition: { size } }: Step, count: number): void {
-        this.#shortProcessor += count * size.processorThousandths;
+    addUnplaced({ definition: { size } }: Step, count: number): void {
+        this.#unplacedProcessor += count * size.processorThousandths;
     }
 
     /** Demand that could not be placed, in typical urgent tasks. */
-    get shortTasks(): number {
-        return this.#shortProcessor / Math.max(1, this.#usual?.processor ?? 1);
+    get unplacedTasks(): number {
+        return this.#unplacedProcessor / Math.max(1, this.#typicalTask?.processor ?? 1);
     }
 
     /** Updates the forecast of demand. Called once all urgent tasks of a cycle are added. */
-    settleDemand(now: Milliseconds): void {
-        this.#forecast.note(this.#running.processor + this.#waiting.processor, now);
+    updateDemand(now: Milliseconds): void {
+        this.#forecast.observe(this.#running.processor + this.#waiting.processor, now);
         this.#learnSize(now);
     }
 
@@ -82,14 +82,14 @@
     }
 
     /** How many typical urgent tasks fit a worker, after `count` tasks of a step were placed there. */
-    fittingAt(worker: WorkerState, step?: Step, count = 0): number {
-        const free = roomOf(worker);
-        return this.countUsual(step === undefined ? free : roomWithout(free, step, count));
+    countTypicalAt(worker: WorkerState, step?: Step, count = 0): number {
+        const free = freeResourcesOf(worker);
+        return this.countTypicalIn(step === undefined ? free : resourcesWithout(free, step, count));
     }
 
     /** How many typical urgent tasks fit an amount of resources. */
-    countUsual({ processor, memory }: Room): number {
-        const usual = this.#usual;
+    countTypicalIn({ processor, memory }: ResourceAmounts): number {
+        const usual = this.#typicalTask;
         return usual === undefined
             ? 0
             : Math.max(
@@ -99,19 +99,19 @@
     }
 
     /** Accounts for tasks of a step that are about to be placed at a worker. */
-    take(worker: WorkerState, step: Step, count: number): void {
+    notePlaced(worker: WorkerState, step: Step, count: number): void {
         const { fills, size } = step.definition;
-        this.#fittingTasks -= this.fittingAt(worker) - this.fittingAt(worker, step, count);
+        this.#fittingTasks -= this.countTypicalAt(worker) - this.countTypicalAt(worker, step, count);
         this.#freeProcessor -= fills ? 0 : count * size.processorThousandths;
     }
 
     /** Whether the headroom is still free after placing `count` tasks of a step at a worker. */
-    leavesEnough(worker: WorkerState, step: Step, count: number): boolean {
+    leavesHeadroom(worker: WorkerState, step: Step, count: number): boolean {
         const { fills, size } = step.definition;
         const freeProcessor = this.#freeProcessor - (fills ? 0 : count * size.processorThousandths);
-        const lost = this.fittingAt(worker) - this.fittingAt(worker, step, count);
+        const lost = this.countTypicalAt(worker) - this.countTypicalAt(worker, step, count);
         return lost === 0
-            || freeProcessor > this.#processor * mostFreeShare
+            || freeProcessor > this.#processor * maxFreeShare
             || this.#fittingTasks - lost >= this.keptTasks;
     }
 
@@ -119,22 +119,22 @@
     get keptTasks(): number {
         const missing = Math.min(
             this.#forecast.expected - this.#running.processor,
-            this.#processor * mostKeptShare,
+            this.#processor * maxHeadroomShare,
         );
-        return Math.max(0, Math.round(missing / Math.max(1, this.#usual?.processor ?? 1)));
+        return Math.max(0, Math.round(missing / Math.max(1, this.#typicalTask?.processor ?? 1)));
     }
 
     /** Headroom to keep, in thousandths of a processor. */
     get keptProcessor(): number {
-        return Math.round(this.keptTasks * (this.#usual?.processor ?? 0));
+        return Math.round(this.keptTasks * (this.#typicalTask?.processor ?? 0));
     }
 
     /** Figures behind the decision, for the log: thousandths of a processor and numbers of typical urgent tasks. */
-    get figures(): Readonly<Record<string, number>> {
+    get logFields(): Readonly<Record<string, number>> {
         return {
             atWork: this.#running.processor,
             waiting: this.#waiting.processor,
-            shortProcessor: this.#shortProcessor,
+            shortProcessor: this.#unplacedProcessor,
             expected: Math.round(this.#forecast.expected),
             keptTasks: this.keptTasks,
             keptProcessor: this.keptProcessor,
@@ -149,10 +149,10 @@
         }
         const processor = (this.#running.processor + this.#waiting.processor) / tasks;
         const memory = (this.#running.memory + this.#waiting.memory) / tasks;
-        const known = this.#usual ?? { processor, memory, accelerators: 0 };
-        const weight = 1 - Math.exp(-(now - this.#sizedAt) / sizeMemory);
-        this.#sizedAt = now;
-        this.#usual = {
+        const known = this.#typicalTask ?? { processor, memory, accelerators: 0 };
+        const weight = 1 - Math.exp(-(now - this.#sizeLearnedAt) / sizeAveragingTime);
+        this.#sizeLearnedAt = now;
+        this.#typicalTask = {
             processor: known.processor + (processor - known.processor) * weight,
             memory: known.memory + (memory - known.memory) * weight,
             accelerators: 0,
--- a/packages/cell/src/headroom/types.ts
+++ b/packages/cell/src/headroom/types.ts
@@ -6,23 +6,23 @@
 /** Decides how much capacity deferrable work must leave free in each service, and preempts runs where urgent work lacks it. */
 export interface Headroom {
     /** Begins a cycle over the ready steps in their order. `open`: workers that accept new runs. */
-    begin(ranked: readonly RankedStep[], open: readonly WorkerState[], now: Milliseconds): void;
+    beginCycle(ranked: readonly RankedStep[], open: readonly WorkerState[], now: Milliseconds): void;
     /** Upper bound of a step's tasks on a worker, so that the headroom stays free. */
     limitFor(worker: WorkerState, step: Step): number;
     /** Accounts for tasks of a step that are about to be placed at a worker. */
-    take(worker: WorkerState, step: Step, count: number): void;
+    notePlaced(worker: WorkerState, step: Step, count: number): void;
     /** Reports tasks of a step that could not be placed in this cycle. */
-    noteShortage(ranked: RankedStep, count: number): void;
+    noteUnplaced(ranked: RankedStep, count: number): void;
     /** Ends a cycle: preempts runs for urgent tasks that could not be placed. */
-    end(now: Milliseconds): void;
+    endCycle(now: Milliseconds): void;
     /** Headroom of a service as of the last cycle, in thousandths of a processor. */
-    keptIn(service: ServiceName): number;
+    headroomOf(service: ServiceName): number;
 }
 
 /** Forecasts the urgent demand of a service, running and waiting, from earlier observations. */
 export interface DemandForecast {
     /** Takes the present demand, in thousandths of a processor. */
-    note(processor: number, now: Milliseconds): void;
+    observe(processor: number, now: Milliseconds): void;
     /** Demand to expect soon, in thousandths of a processor. */
     readonly expected: number;
 }
--- a/packages/cell/src/load/hold-back.ts
+++ b/packages/cell/src/load/hold-back.ts
@@ -1,18 +1,18 @@
 /** Deferral of work in favour of blocked gangs. */
 import type { Milliseconds, ServiceName } from "@pebbledale/core";
-import { countIn, hasSlack, Prospect, type RankedStep, roomOf } from "../choosing/index.js";
+import { countFittingIn, DeadlineStatus, freeResourcesOf, hasSlack, type RankedStep } from "../choosing/index.js";
 import type { Step, WorkerState } from "../state/index.js";
-import { gangPatience, mostFreeShare, mostIdleShare } from "./constants.js";
+import { blockedGangDelay, maxFreeShare, maxIdleShare } from "./constants.js";
 
 /** Capacity of one service in this cycle. */
-interface ServiceRoom {
+interface ServiceCapacity {
     readonly open: WorkerState[];
     processor: number;
     freeProcessor: number;
     /** Lowest share of free capacity among blocked gangs; 1 when there are none. */
     freeShare: number;
     /** The most urgent priority of a blocked gang; `Infinity` when there is none. */
-    shortPriority: number;
+    blockedPriority: number;
 }
 
 /**
@@ -22,16 +22,16 @@
  * require it. They wait as long as they have slack. Backfilling around the gang's reservation alone does not suffice, as resources
  * accumulate only where the gaps stay empty.
  */
-export class HoldBack {
-    readonly #services = new Map<ServiceName, ServiceRoom>();
+export class GangDeferral {
+    readonly #services = new Map<ServiceName, ServiceCapacity>();
 
     /** Begins a cycle. `open`: workers that accept new runs. */
-    begin(open: readonly WorkerState[]): void {
+    beginCycle(open: readonly WorkerState[]): void {
         this.#services.clear();
         for (const worker of open) {
             const { entry, freeProcessor } = worker;
             if (entry !== undefined) {
-                const room = this.#roomOf(entry.service);
+                const room = this.#capacityOf(entry.service);
                 room.open.push(worker);
                 room.processor += entry.capacity.processorThousandths;
                 room.freeProcessor += Math.max(0, freeProcessor);
@@ -40,28 +40,30 @@
     }
 
     /** Reports a gang that does not fit in this cycle. */
-    noteShortage({ step, prospect, priority }: RankedStep, now: Milliseconds): void {
-        const hasWaited = now - (step.readyAt ?? now) >= gangPatience;
-        if (hasWaited && prospect === Prospect.OnTime) {
-            const room = this.#roomOf(step.job.terms.service);
-            room.shortPriority = Math.min(room.shortPriority, priority);
+    noteBlockedGang({ step, deadlineStatus: prospect, priority }: RankedStep, now: Milliseconds): void {
+        const hasWaited = now - (step.readyAt ?? now) >= blockedGangDelay;
+        if (hasWaited && prospect === DeadlineStatus.OnTime) {
+            const room = this.#capacityOf(step.job.terms.service);
+            room.blockedPriority = Math.min(room.blockedPriority, priority);
             room.freeShare = Math.min(room.freeShare, freeShareFor(step, room));
         }
     }
 
     /** Whether tasks of a step must wait even where they fit. */
-    holds({ step, prospect, priority, latestStart }: RankedStep, now: Milliseconds): boolean {
-        const { shortPriority, freeShare, processor, freeProcessor } = this.#roomOf(step.job.terms.service);
-        return prospect === Prospect.OnTime
+    mustWait({ step, deadlineStatus: prospect, priority, latestStart }: RankedStep, now: Milliseconds): boolean {
+        const { blockedPriority: shortPriority, freeShare, processor, freeProcessor } = this.#capacityOf(
+            step.job.terms.service,
+        );
+        return prospect === DeadlineStatus.OnTime
             && priority > shortPriority
             && hasSlack(step, latestStart - now)
-            && freeShare <= mostFreeShare
-            && freeProcessor <= processor * mostIdleShare;
+            && freeShare <= maxFreeShare
+            && freeProcessor <= processor * maxIdleShare;
     }
 
-    #roomOf(service: ServiceName): ServiceRoom {
+    #capacityOf(service: ServiceName): ServiceCapacity {
         const room = this.#services.get(service)
-            ?? { open: [], processor: 0, freeProcessor: 0, freeShare: 1, shortPriority: Infinity };
+            ?? { open: [], processor: 0, freeProcessor: 0, freeShare: 1, blockedPriority: Infinity };
         this.#services.set(service, room);
         return room;
     }
@@ -71,7 +73,7 @@
  * Free share of a service's processors, or for a gang with accelerators the share of its tasks that fit now among those that would fit
  * idle workers.
  */
-const freeShareFor = (step: Step, { open, processor, freeProcessor }: ServiceRoom): number => {
+const freeShareFor = (step: Step, { open, processor, freeProcessor }: ServiceCapacity): number => {
     if (step.definition.size.accelerators === 0) {
         return freeProcessor / processor;
     }
@@ -79,7 +81,7 @@
     let free = 0;
     for (const worker of open) {
         places += worker.countWhenEmpty(step);
-        free += countIn(roomOf(worker), step);
+        free += countFittingIn(freeResourcesOf(worker), step);
     }
     return free / Math.max(1, places);
 };
--- a/packages/cell/src/organisations/key-ring.ts
+++ b/packages/cell/src/organisations/key-ring.ts
@@ -4,7 +4,7 @@
 import type { Organisation } from "./types.js";
 
 /** Longer keys, in characters, are rejected without computing a digest, which bounds the cost of a request. */
-export const longestKey = 512;
+export const maxKeyLength = 512;
 
 /**
  * Digest of a key. Keys are looked up and sent between VMs as digests only, so that neither the duration of a lookup nor a log or message
@@ -24,6 +24,6 @@
 
     /** The organisation that holds a key; undefined when there is none. */
     holderOf(key: string): OrganisationName | undefined {
-        return key === "" || key.length > longestKey ? undefined : this.#holders.get(digestOf(key));
+        return key === "" || key.length > maxKeyLength ? undefined : this.#holders.get(digestOf(key));
     }
 }
--- a/packages/cell/src/organisations/usage-book.ts
+++ b/packages/cell/src/organisations/usage-book.ts
@@ -5,9 +5,9 @@
 
 const dimensions = ["processorThousandths", "memoryMebibytes", "accelerators"] as const;
 
-type Room = { -readonly [dimension in keyof TaskSize]: number; };
+type Usage = { -readonly [dimension in keyof TaskSize]: number; };
 
-const noRoom = (): Room => ({ processorThousandths: 0, memoryMebibytes: 0, accelerators: 0 });
+const noUsage = (): Usage => ({ processorThousandths: 0, memoryMebibytes: 0, accelerators: 0 });
 
 /**
  * Accounts for the resources that each organisation uses, against its limit.
@@ -15,8 +15,8 @@
  * A run counts from its order until it has certainly ended, also while it is being stopped, while its worker does not answer, and if an
  * earlier owner ordered it. Lost or late messages therefore never bring an organisation over its limit.
  */
-export class UsageBook {
-    readonly #used = new Map<OrganisationName, Room>();
+export class UsageLedger {
+    readonly #used = new Map<OrganisationName, Usage>();
     readonly #limits = new Map<OrganisationName, TaskSize>();
 
     /** Applies the limits of a configuration. An organisation that is no longer configured keeps its last limit for its remaining jobs. */
@@ -43,7 +43,7 @@
 
     /** Resources that an organisation uses now. */
     usedBy(organisation: OrganisationName): TaskSize {
-        return this.#used.get(organisation) ?? noRoom();
+        return this.#used.get(organisation) ?? noUsage();
     }
 
     /** Undefined when no limit is known yet. */
@@ -52,14 +52,14 @@
     }
 
     /** Whether an organisation uses less than a share of its limit, in each dimension that has one. */
-    isBelow(organisation: OrganisationName, share: number): boolean {
+    isBelowShare(organisation: OrganisationName, share: number): boolean {
         const used = this.usedBy(organisation);
-        const limit = this.#limits.get(organisation) ?? noRoom();
+        const limit = this.#limits.get(organisation) ?? noUsage();
         return dimensions.every(dimension => limit[dimension] === 0 || used[dimension] < limit[dimension] * share);
     }
 
     /** How many more tasks of a size an organisation may run now, within a share of its limit. */
-    countLeft(organisation: OrganisationName | undefined, size: TaskSize, share = 1): number {
+    countRemaining(organisation: OrganisationName | undefined, size: TaskSize, share = 1): number {
         return organisation === undefined
             ? Infinity
             : this.#count(organisation, size, this.usedBy(organisation), share);
@@ -67,7 +67,7 @@
 
     /** How many tasks of a size an organisation may run with nothing else. */
     countWhenIdle(organisation: OrganisationName | undefined, size: TaskSize): number {
-        return organisation === undefined ? Infinity : this.#count(organisation, size, noRoom(), 1);
+        return organisation === undefined ? Infinity : this.#count(organisation, size, noUsage(), 1);
     }
 
     #count(organisation: OrganisationName, size: TaskSize, used: TaskSize, share: number): number {
@@ -89,7 +89,7 @@
         if (organisation === undefined) {
             return;
         }
-        const used = this.#used.get(organisation) ?? noRoom();
+        const used = this.#used.get(organisation) ?? noUsage();
         dimensions.forEach(dimension => used[dimension] += sign * size[dimension]);
         this.#used.set(organisation, used);
     }
--- a/packages/cell/src/placing/constants.ts
+++ b/packages/cell/src/placing/constants.ts
@@ -1,17 +1,17 @@
 /** Tuning constants of placement. Times are in milliseconds. */
 /** Runs are preempted for a step only if it can start this much earlier that way. */
-export const leastPreemptionGain = 600;
+export const minPreemptionGain = 600;
 /** A gang that wants one rack waits this long for one that fits it, then is spread over several, where it takes 1.5 to 2 times as long. */
-export const rackPatience = 1_500;
+export const rackTimeout = 1_500;
 /** Resources are reserved for wide tasks once they have waited for this long. */
-export const wideTaskPatience = 100;
+export const wideTaskReservationDelay = 100;
 /** Steps may reserve resources on several workers at once as long as they number no more than one for each this many workers. */
 export const workersPerReservation = 12;
 /** Lower bound of the number of steps that may hold such reservations, for small cells. */
-export const fewestReservations = 2;
+export const minReservations = 2;
 /** No further reservations are made once this share of the workers is reserved, so that the cell does not idle. */
-export const keptShare = 0.3;
+export const maxReservedShare = 0.3;
 /** Plans computed in a cycle for each reservation allowed: planning is the most expensive part of a cycle. */
 export const attemptsPerReservation = 4;
 /** A plan is replaced after this long, as runs on its workers have taken longer than expected. */
-export const planLife = 3_000;
+export const planLifetime = 3_000;
--- a/packages/cell/src/shares/hand-in-rate.ts
+++ b/packages/cell/src/shares/hand-in-rate.ts
@@ -5,7 +5,7 @@
 import { Entitlement, type Entitlements } from "./types.js";
 
 /** Jobs per second that an organisation is entitled to; undefined where the configuration does not say. */
-export type RateOf = (organisation: OrganisationName) => number | undefined;
+export type JobRateOf = (organisation: OrganisationName) => number | undefined;
 
 /** Jobs that an organisation submitted in one window and the one before. */
 interface Tally {
@@ -29,11 +29,11 @@
  * The unused entitlement of the second before is added, for random arrivals and for the burst after a change of owner. Seconds are taken
  * from the acceptance times in the journal, so a new owner arrives at the same result.
  */
-export class HandInRate implements Entitlements {
+export class SubmissionRate implements Entitlements {
     readonly #tallies = new Map<OrganisationName, Tally>();
     readonly #places = new WeakMap<Job, Place>();
 
-    constructor(private readonly rateOf: RateOf) {}
+    constructor(private readonly jobRateOf: JobRateOf) {}
 
     /** Jobs must come in the order of their acceptance. */
     noteJob(job: Job): void {
@@ -46,14 +46,14 @@
     }
 
     /** Uses the newest configuration: a changed rate applies to jobs accepted earlier, too. */
-    of(job: Job): Entitlement {
-        const rate = job.organisation && this.rateOf(job.organisation);
+    entitlementOf(job: Job): Entitlement {
+        const rate = job.organisation && this.jobRateOf(job.organisation);
         const found = this.#places.get(job);
         if (rate === undefined || found === undefined) {
-            return Entitlement.Owed;
+            return Entitlement.Entitled;
         }
         const unused = Math.max(0, rate - found.before);
-        return found.place <= rate + unused ? Entitlement.Owed : Entitlement.Surplus;
+        return found.place <= rate + unused ? Entitlement.Entitled : Entitlement.Surplus;
     }
 
     #tallyOf(organisation: OrganisationName, second: number): Tally {
--- a/packages/cell/src/shares/types.ts
+++ b/packages/cell/src/shares/types.ts
@@ -3,7 +3,7 @@
 
 /** Whether a job was submitted within its organisation's entitlement. */
 export enum Entitlement {
-    Owed = 0,
+    Entitled = 0,
     /** Beyond its rate of jobs: it gets the capacity that entitled work leaves. */
     Surplus = 1,
 }
@@ -12,11 +12,11 @@
 export interface Entitlements {
     /** Counts a job that was accepted or recovered from an earlier owner. A repeated call for the same job has no effect. */
     noteJob(job: Job): void;
-    of(job: Job): Entitlement;
+    entitlementOf(job: Job): Entitlement;
 }
 
 /** Orders steps of the same tier and priority between organisations. */
-export interface ShareOrder {
+export interface FairShareOrder {
     /** 0 within the organisation's entitlement, more for surplus; lower goes first. */
-    standingOf(step: Step): number;
+    entitlementOf(step: Step): number;
 }
--- a/packages/cell/src/upkeep/types.ts
+++ b/packages/cell/src/upkeep/types.ts
@@ -40,7 +40,7 @@
 }
 
 /** The issuer of an order to a VM. The platform checks the fencing token separately for each VM. */
-export interface VmOrderer {
+export interface VmOrderIssuer {
     readonly holder: string;
     readonly token: FencingToken;
 }
@@ -63,12 +63,12 @@
     /** Lists all VMs. */
     list(signal: AbortSignal): Promise<readonly VmEntry[]>;
     /** Begins a VM's upkeep: its runs are killed at once and it returns with a new worker. */
-    beginUpkeep(vm: VmId, wave: number, orderer: VmOrderer, signal: AbortSignal): Promise<VmOrderAnswer>;
+    beginUpkeep(vm: VmId, wave: number, orderer: VmOrderIssuer, signal: AbortSignal): Promise<VmOrderAnswer>;
 }
 
 /** Reports the status of waves to operators. Calls reject when no answer arrives. */
-export interface WaveBoard {
+export interface WaveStatusReporter {
     /** Waves that have been reported as completed. */
     completed(signal: AbortSignal): Promise<readonly number[]>;
-    tell(wave: number, state: WaveState): Promise<void>;
+    report(wave: number, state: WaveState): Promise<void>;
 }
--- a/packages/cell/src/upkeep/wave-planner.ts
+++ b/packages/cell/src/upkeep/wave-planner.ts
@@ -7,7 +7,7 @@
     /** Number of runs that have not ended. */
     readonly runs: number;
     /** Whether its loss would exceed the disruption budget of a long-running step. */
-    readonly holdsNeeded: boolean;
+    readonly isNeeded: boolean;
 }
 
 /** Actions that the planner asks for. */
@@ -47,7 +47,7 @@
 }
 
 /** Share of a wave's time after which VMs go down although work still runs there. */
-const patientShare = 0.5;
+const drainShare = 0.5;
 /** Added to the duration of an upkeep, in milliseconds, as the platform's list may be out of date. */
 const upkeepMargin: Milliseconds = 500;
 
@@ -90,14 +90,14 @@
     }
 
     /** Applies the platform's list of all VMs. */
-    takeList(entries: readonly VmEntry[]): void {
+    applyList(entries: readonly VmEntry[]): void {
         this.#vms = new Map(entries.map(entry => [entry.vm, entry]));
-        this.#waves.forEach(wave => wave.definition.vms.forEach(vm => this.#follow(wave, vm)));
+        this.#waves.forEach(wave => wave.definition.vms.forEach(vm => this.#updateVm(wave, vm)));
     }
 
     /** An order is issued. Its VM counts as down until the order is refused or found not to be carried out. */
     noteOrdered(wave: number, vm: VmId): void {
-        this.#waves.get(wave)?.begun.set(vm, this.#orderNow(false));
+        this.#waves.get(wave)?.begun.set(vm, this.#newOrder(false));
     }
 
     noteConfirmed(wave: number, vm: VmId): void {
@@ -156,23 +156,23 @@
         if (known === undefined || known.runs === 0) {
             return true;
         }
-        return !known.holdsNeeded && this.options.now() > wave.since + this.#patience(wave);
+        return !known.isNeeded && this.options.now() > wave.since + this.#maxDrainTime(wave);
     }
 
     /** How long VMs may drain, from the start of the wave: the rest of its time is needed for the upkeep itself. */
-    #patience({ definition, begun }: Wave): Milliseconds {
+    #maxDrainTime({ definition, begun }: Wave): Milliseconds {
         const rounds = Math.ceil((definition.vms.length - begun.size) / Math.max(1, definition.mostDown));
         const needed = rounds * (this.options.upkeepTime + upkeepMargin);
         const elapsedShare = begun.size / Math.max(1, definition.vms.length);
-        return Math.min(definition.within * (patientShare + elapsedShare), definition.within - needed);
+        return Math.min(definition.within * (drainShare + elapsedShare), definition.within - needed);
     }
 
-    #orderNow(isConfirmed: boolean): Order {
+    #newOrder(isConfirmed: boolean): Order {
         return { at: this.options.now(), isConfirmed };
     }
 
     /** Updates a VM's progress: it is finished once it is up again after its upkeep, or no longer listed. */
-    #follow(wave: Wave, vm: VmId): void {
+    #updateVm(wave: Wave, vm: VmId): void {
         const entry = this.#vms.get(vm);
         const order = wave.begun.get(vm);
         if (entry === undefined) {
@@ -181,7 +181,7 @@
         }
         if (entry.state === VmCondition.Upkeep) {
             // An earlier owner may have issued the order.
-            wave.begun.set(vm, { ...order ?? this.#orderNow(true), isConfirmed: true });
+            wave.begun.set(vm, { ...order ?? this.#newOrder(true), isConfirmed: true });
             wave.seenDown.add(vm);
             return;
         }
--- a/packages/cell/src/watching/constants.ts
+++ b/packages/cell/src/watching/constants.ts
@@ -1,36 +1,36 @@
 /** Tuning constants of the monitoring of workers. Times are in milliseconds. */
-import type { HealthLimits } from "@pebbledale/core";
+import type { HealthThresholds } from "@pebbledale/core";
 
 /** When a worker counts as faulty. Few failures suffice, as each one uses up one of the two or three attempts of a task. */
-export const workerLimits: HealthLimits = { rememberedOutcomes: 6, fewestFailures: 2, failingShare: 0.5 };
+export const workerHealthLimits: HealthThresholds = { outcomeWindow: 6, minFailedJobs: 2, minFailureShare: 0.5 };
 /** Duration of a worker's first quarantine; each consecutive one is twice as long. */
-export const firstQuarantine = 1_500;
+export const initialQuarantine = 1_500;
 /** Probation ends after this long without a run, as a gang that needs the worker would wait for ever where no other work comes. */
-export const probationLimit = 1_500;
+export const idleProbationTime = 1_500;
 /** Upper bound of the doublings of a quarantine. */
-export const quarantineDoublings = 3;
+export const maxQuarantineDoublings = 3;
 /** Upper bound of the share of workers in quarantine at once. */
-export const quarantineShare = 0.34;
+export const maxQuarantinedShare = 0.34;
 /** Minimum time between two samples of a run's progress. Polls report progress about twice a second. */
 export const progressInterval = 300;
 /** Progress for which a sample waits, in percent, because progress is reported in whole percent. */
-export const fewestPercentPerSample = 3;
+export const minPercentPerSample = 3;
 /** Maximum time for which a sample waits for progress. */
-export const longestSample = 700;
+export const maxSampleTime = 700;
 /** Progress assumed for a run that reports none, in percent, to allow for rounding. */
-export const leastProgress = 0.5;
+export const minProgress = 0.5;
 /** Progress in this time after a run's start is not sampled. */
 export const startingTime = 300;
 /** The same for a run that resumes from saved progress, which has to be restored first. */
 export const restoringTime = 900;
 /** Samples needed to compare a worker with its peers. */
-export const fewestSpeedSamples = 4;
+export const minPeerSamples = 4;
 /** Samples needed to compare a worker's runs with their own past, */
-export const fewestChangeSamples = 3;
+export const minChangeSamples = 3;
 /** or else samples of this many jobs. */
-export const fewestJobs = 2;
+export const minJobs = 2;
 /** Slowdown of a task away from its data, as a natural logarithm. */
-export const farPace = Math.log(1.75);
+export const remoteDataPace = Math.log(1.75);
 /** Variance of the natural logarithm of the error of callers' estimates. */
 export const estimateVariance = 1;
 /** Variance of a step's pace between healthy workers, by the workers' speeds and the tasks' work. */
@@ -44,12 +44,12 @@
 /** Lowest pace of a run on a healthy worker relative to its own past, as a natural logarithm. */
 export const slowestSteadyPace = Math.log(0.5);
 /** A worker counts as slow if it is this many standard deviations below the slowest healthy one. */
-export const certainDeviations = 2.5;
+export const slowDeviations = 2.5;
 /** Ratio of the standard error of a median to that of a mean. */
-export const middleFactor = 1.25;
+export const medianDeviationFactor = 1.25;
 /** Upper bound of workers whose paces are kept for a step. */
-export const mostPeers = 24;
+export const maxPeers = 24;
 /** How long a worker counts as slow after the last sample that shows it. */
-export const slowFor = 1_500;
+export const slowDuration = 1_500;
 /** Upper bound of the share of workers that count as slow at once. */
-export const slowShare = 0.4;
+export const maxSlowShare = 0.4;
--- a/packages/cell/src/watching/health-watch.ts
+++ b/packages/cell/src/watching/health-watch.ts
@@ -2,7 +2,13 @@
 import { logEvents, WorkerHealth } from "@pebbledale/core";
 import type { CellContext, Job, Step, TaskRun, WorkerState } from "../state/index.js";
 import { RunEnd } from "../task-worker/index.js";
-import { firstQuarantine, probationLimit, quarantineDoublings, quarantineShare, workerLimits } from "./constants.js";
+import {
+    idleProbationTime,
+    initialQuarantine,
+    maxQuarantineDoublings,
+    maxQuarantinedShare,
+    workerHealthLimits,
+} from "./constants.js";
 
 /** Cost added to a worker with a recent failure that is not attributed to the job. */
 const suspectCost = 20;
@@ -13,8 +19,8 @@
  * Keeps work away from workers on which runs fail that succeed elsewhere: suspects cost more, and faulty workers are quarantined, then put
  * on probation.
  */
-export class HealthWatch {
-    readonly #health = new WorkerHealth(workerLimits);
+export class HealthMonitor {
+    readonly #health = new WorkerHealth(workerHealthLimits);
 
     constructor(private readonly context: CellContext) {}
 
@@ -27,9 +33,9 @@
         }
         if (end === RunEnd.Done) {
             worker.isOnProbation = false;
-            this.#health.noteSuccess(worker.id, id);
+            this.#health.recordSuccess(worker.id, id);
         }
-        else if (end === RunEnd.Failed && this.#health.noteFailure(worker.id, id)) {
+        else if (end === RunEnd.Failed && this.#health.recordFailure(worker.id, id)) {
             this.#quarantine(worker);
         }
     }
@@ -38,7 +44,7 @@
     tick(): void {
         const now = this.context.now();
         for (const worker of this.context.workers.values()) {
-            const isUntried = worker.runs.size === 0 && now > worker.quarantinedUntil + probationLimit;
+            const isUntried = worker.runs.size === 0 && now > worker.quarantinedUntil + idleProbationTime;
             if (worker.isOnProbation && isUntried) {
                 worker.isOnProbation = false;
                 this.context.options.log.log(logEvents.workerTrusted, { worker: worker.id });
@@ -68,11 +74,11 @@
         const now = this.context.now();
         const all = [...this.context.workers.values()];
         const quarantined = all.filter(other => other.quarantinedUntil > now).length;
-        if (quarantined + 1 > all.length * quarantineShare) {
+        if (quarantined + 1 > all.length * maxQuarantinedShare) {
             return;
         }
         const count = this.#health.beginQuarantine(worker.id);
-        const duration = firstQuarantine * 2 ** Math.min(count - 1, quarantineDoublings);
+        const duration = initialQuarantine * 2 ** Math.min(count - 1, maxQuarantineDoublings);
         worker.quarantinedUntil = now + duration;
         worker.isOnProbation = true;
         this.context.options.log.log(logEvents.workerQuarantined, { worker: worker.id, count, duration });
--- a/packages/cell/src/watching/progress-watch.ts
+++ b/packages/cell/src/watching/progress-watch.ts
@@ -2,14 +2,14 @@
 import { logEvents, type Milliseconds } from "@pebbledale/core";
 import type { CellContext, Step, TaskRun, WorkerState } from "../state/index.js";
 import type { WorkerRun } from "../task-worker/index.js";
-import { slowFor, slowShare } from "./constants.js";
-import { middleOf } from "./middle.js";
-import { paceOfDone, type RunPace, sampleRun } from "./run-paces.js";
-import { findSpeed, isSlow, type SpeedFinding, type StepSamples } from "./slowness.js";
+import { maxSlowShare, slowDuration } from "./constants.js";
+import { medianOf } from "./middle.js";
+import { paceOfCompleted, type RunPace, sampleRun } from "./run-paces.js";
+import { assessSpeed, isSlow, type SpeedFinding, type StepSamples } from "./slowness.js";
 import { StepPaces } from "./step-paces.js";
 
 /** Detects workers on which runs stall or are slow. They accept no new runs, and their runs are migrated or copied where possible. */
-export class ProgressWatch {
+export class ProgressMonitor {
     readonly #paces = new StepPaces();
 
     constructor(private readonly context: CellContext) {}
@@ -25,8 +25,8 @@
                 samples.set(step, [...samples.get(step) ?? [], sample]);
             }
         }
-        const finding = findSpeed([...samples].map(([step, paces]) => this.#samplesOf(worker, step, paces)));
-        samples.forEach((paces, step) => this.#paces.note(step, worker.id, middleOf(paces.map(({ pace }) => pace))));
+        const finding = assessSpeed([...samples].map(([step, paces]) => this.#samplesOf(worker, step, paces)));
+        samples.forEach((paces, step) => this.#paces.note(step, worker.id, medianOf(paces.map(({ pace }) => pace))));
         if (finding !== undefined) {
             this.#judge(worker, finding, now);
         }
@@ -34,14 +34,14 @@
 
     /** Takes the duration of a completed run as a reference for tasks of its step elsewhere. */
     noteDone(run: TaskRun): void {
-        const pace = paceOfDone(run, this.context.now());
+        const pace = paceOfCompleted(run, this.context.now());
         if (pace !== undefined) {
             this.#paces.note(run.task.step, run.worker.id, pace);
         }
     }
 
     /** Whether a worker is slow or does not answer, so that its runs are worth copying. */
-    isHindered(worker: WorkerState, now: Milliseconds): boolean {
+    isDegraded(worker: WorkerState, now: Milliseconds): boolean {
         return worker.slowUntil > now || worker.silentSince !== undefined;
     }
 
@@ -52,9 +52,11 @@
             // Members of a gang may slow each other down.
             changes: step.definition.isGang
                 ? []
-                : paces.flatMap(({ pace, formerPace }) => formerPace === undefined ? [] : [pace - formerPace]),
+                : paces.flatMap(({ pace, earlierPace: formerPace }) =>
+                    formerPace === undefined ? [] : [pace - formerPace]
+                ),
             roundingVariance: Math.max(...paces.map(({ roundingVariance }) => roundingVariance)),
-            expected: this.#paces.expectedOf(step, worker.id),
+            expected: this.#paces.expectedPaceOf(step, worker.id),
         };
     }
 
@@ -63,25 +65,25 @@
         if (!isSlow(finding)) {
             worker.slowUntil = 0;
             if (wasSlow) {
-                this.context.options.log.log(logEvents.workerFast, { worker: worker.id, ...told(finding) });
+                this.context.options.log.log(logEvents.workerFast, { worker: worker.id, ...logFieldsOf(finding) });
             }
             return;
         }
         const all = [...this.context.workers.values()];
         const slow = all.filter(other => other !== worker && other.slowUntil > now).length;
-        if (slow + 1 > all.length * slowShare) {
+        if (slow + 1 > all.length * maxSlowShare) {
             // So many slow workers at once are no outliers.
             return;
         }
-        worker.slowUntil = now + slowFor;
+        worker.slowUntil = now + slowDuration;
         if (!wasSlow) {
             const { size: runs } = worker.runs;
-            this.context.options.log.log(logEvents.workerSlow, { worker: worker.id, ...told(finding), runs });
+            this.context.options.log.log(logEvents.workerSlow, { worker: worker.id, ...logFieldsOf(finding), runs });
         }
     }
 }
 
-const told = ({ ground, speed, deviations, samples }: SpeedFinding) => ({
+const logFieldsOf = ({ baseline: ground, speed, deviations, samples }: SpeedFinding) => ({
     ground,
     speed: Number(speed.toFixed(3)),
     deviations: Number(deviations.toFixed(1)),
--- a/packages/cell/src/watching/step-paces.ts
+++ b/packages/cell/src/watching/step-paces.ts
@@ -1,8 +1,8 @@
 /** Paces of steps' tasks by worker. */
 import type { WorkerId } from "@pebbledale/core";
 import type { Step } from "../state/index.js";
-import { estimateVariance, mostPeers, peerVariance } from "./constants.js";
-import { middleOf } from "./middle.js";
+import { estimateVariance, maxPeers, peerVariance } from "./constants.js";
+import { medianOf } from "./middle.js";
 
 /** The pace expected of a step's tasks on a healthy worker. */
 export interface ExpectedPace {
@@ -28,14 +28,14 @@
         const paces = this.#paces.get(step) ?? new Map<WorkerId, number>();
         this.#paces.set(step, paces);
         const former = paces.get(worker);
-        if (former === undefined && paces.size >= mostPeers) {
+        if (former === undefined && paces.size >= maxPeers) {
             return;
         }
         paces.set(worker, former === undefined ? pace : former + (pace - former) * newestWeight);
     }
 
     /** Combines the paces on other workers with the caller's estimate, which counts more the fewer these are. */
-    expectedOf(step: Step, worker: WorkerId): ExpectedPace {
+    expectedPaceOf(step: Step, worker: WorkerId): ExpectedPace {
         const others = [...this.#paces.get(step) ?? []].filter(([id]) => id !== worker).map(([, pace]) => pace);
         const peers = others.length;
         if (peers === 0) {
@@ -43,6 +43,6 @@
         }
         const precisionOfPeers = peers / peerVariance;
         const precision = precisionOfPeers + 1 / estimateVariance;
-        return { pace: middleOf(others) * precisionOfPeers / precision, variance: 1 / precision, peers };
+        return { pace: medianOf(others) * precisionOfPeers / precision, variance: 1 / precision, peers };
     }
 }
--- a/packages/cell/src/yielding/constants.ts
+++ b/packages/cell/src/yielding/constants.ts
@@ -1,7 +1,7 @@
 /** Tuning constants of preemption. Times are in milliseconds. */
 /** A run with less than this left, in percent, is not preempted, as it is about to end. */
-export const leastPercentLeft = 15;
+export const minPercentLeft = 15;
 /** Slack that a job must have for its run to be preempted: the run has to be stopped, placed again and restored. */
-export const leastSlackToYield = 2_500;
+export const minSlackToPreempt = 2_500;
 /** Upper bound of preemptions of one task. */
-export const mostPreemptions = 3;
+export const maxPreemptions = 3;
--- a/packages/cell/src/yielding/yield-policy.ts
+++ b/packages/cell/src/yielding/yield-policy.ts
@@ -1,39 +1,40 @@
 /** Policies of preemption. */
 import type { Milliseconds } from "@pebbledale/core";
-import { compareRanks, hasSlack, rank, type RankedStep } from "../choosing/index.js";
+import { compareRanks, hasSlack, type RankedStep, rankStep } from "../choosing/index.js";
 import { type CellContext, RunPhase, type Step, type TaskRun } from "../state/index.js";
-import { leastPercentLeft, leastSlackToYield, mostPreemptions } from "./constants.js";
+import { maxPreemptions, minPercentLeft, minSlackToPreempt } from "./constants.js";
 
 /** Decides which runs may be preempted for which work. */
-export interface YieldPolicy {
+export interface PreemptionPolicy {
     /** Whether a run may be stopped to free resources for tasks of a step. */
-    yieldsTo(run: TaskRun, step: Step, now: Milliseconds): boolean;
+    mayPreemptFor(run: TaskRun, step: Step, now: Milliseconds): boolean;
     /** Whether a run may be stopped for expected work of a priority. It requires more slack than preemption for a given step. */
-    yieldsToPriority(run: TaskRun, priority: number, now: Milliseconds): boolean;
+    mayPreemptForPriority(run: TaskRun, priority: number, now: Milliseconds): boolean;
 }
 
 /** Allows preemption of runs of less urgent queues whose progress is saved and whose jobs can still be on time. */
-export class SavedProgressYields implements YieldPolicy {
+export class SavedProgressPreemption implements PreemptionPolicy {
     constructor(private readonly context: CellContext) {}
 
-    yieldsTo(run: TaskRun, step: Step, now: Milliseconds): boolean {
-        return mayGiveWay(run, step.job.terms.priority) && this.#hasTime(run, step, now);
+    mayPreemptFor(run: TaskRun, step: Step, now: Milliseconds): boolean {
+        return isPreemptibleBy(run, step.job.terms.priority) && this.#isOutrankedInTime(run, step, now);
     }
 
-    yieldsToPriority(run: TaskRun, priority: number, now: Milliseconds): boolean {
+    mayPreemptForPriority(run: TaskRun, priority: number, now: Milliseconds): boolean {
         const { step } = run.task;
-        return mayGiveWay(run, priority) && hasSlack(step, slackOf(run, rank(this.context, step, now), now));
+        return isPreemptibleBy(run, priority) && hasSlack(step, slackOf(run, rankStep(this.context, step, now), now));
     }
 
     /** Whether the step ranks before the run's step, whose job can be on time nevertheless. */
-    #hasTime(run: TaskRun, step: Step, now: Milliseconds): boolean {
-        const victim = rank(this.context, run.task.step, now);
-        return slackOf(run, victim, now) > leastSlackToYield && compareRanks(rank(this.context, step, now), victim) < 0;
+    #isOutrankedInTime(run: TaskRun, step: Step, now: Milliseconds): boolean {
+        const victim = rankStep(this.context, run.task.step, now);
+        return slackOf(run, victim, now) > minSlackToPreempt
+            && compareRanks(rankStep(this.context, step, now), victim) < 0;
     }
 }
 
-const mayGiveWay = (run: TaskRun, priority: number): boolean =>
-    run.task.step.job.terms.priority > priority && isCheapToStop(run) && run.task.preemptions < mostPreemptions;
+const isPreemptibleBy = (run: TaskRun, priority: number): boolean =>
+    run.task.step.job.terms.priority > priority && isCheapToStop(run) && run.task.preemptions < maxPreemptions;
 
 /** The slack of a run's job if the run is stopped now with its progress saved. */
 const slackOf = ({ task, percent }: TaskRun, { latestStart }: RankedStep, now: Milliseconds): Milliseconds =>
@@ -43,6 +44,6 @@
     definition.savesProgress
     && !definition.isGang
     && !definition.isLasting
-    && phase === RunPhase.AtWork
+    && phase === RunPhase.Running
     && stopReason === undefined
-    && percent <= 100 - leastPercentLeft;
+    && percent <= 100 - minPercentLeft;
--- a/packages/cell/test/load/replays.test.ts
+++ b/packages/cell/test/load/replays.test.ts
@@ -21,7 +21,7 @@
 const wideShares = (outcomes: readonly Outcome[]): readonly number[] =>
     outcomes.map(({ queues }) => queues["wide"].all.share);
 
-const expectOthersServed = ({ queues, broken }: Outcome): void => {
+const expectOthersServed = ({ queues, violations: broken }: Outcome): void => {
     expect(queues["urgent"].all.share).toBeGreaterThan(0.97);
     expect(queues["patient"].all.share).toBeGreaterThan(0.98);
     expect(broken).toEqual([]);
@@ -57,7 +57,7 @@
 describe("load of twenty organisations with limits, one of which sends eight times its usual urgent jobs", () => {
     it("serves urgent jobs beside deferrable ones of the same organisation, and never exceeds a limit", () => {
         const outcomes = [play(sharedLoad, 1), play(sharedLoad, 2)];
-        outcomes.forEach(({ broken }) => expect(broken).toEqual([]));
+        outcomes.forEach(({ violations: broken }) => expect(broken).toEqual([]));
         expect(meanOf(outcomes.map(({ queues }) => queues["urgent"].all.share))).toBeGreaterThan(0.95);
     });
 });
@@ -65,10 +65,10 @@
 describe("load of a small cell with tasks that crash their workers, while workers also crash for other reasons", () => {
     it("gives up only these tasks, each after at most three workers, and continues to serve urgent jobs", () => {
         const outcomes = [play(crashingLoad, 1), play(crashingLoad, 2)];
-        for (const { queues, broken, mostCrashes } of outcomes) {
+        for (const { queues, violations: broken, mostCrashes } of outcomes) {
             expect(broken).toEqual([]);
             expect(mostCrashes <= 3).toEqual(true);
-            expect(queues["faulty"].all.asked > 0).toEqual(true);
+            expect(queues["faulty"].all.submitted > 0).toEqual(true);
             expect(queues["urgent"].all.share).toBeGreaterThan(0.88);
             expect(queues["patient"].all.share).toBeGreaterThan(0.9);
         }
@@ -78,7 +78,7 @@
 describe("load of twenty organisations, the largest of which sends three and a half times its usual for sixteen seconds", () => {
     it("serves entitled jobs within 0.03 of what they get without the surplus", () => {
         const differences = [3, 4].map(seed => {
-            const alone = play({ ...hotLoad, isWithoutSurplus: true }, seed);
+            const alone = play({ ...hotLoad, excludesSurplus: true }, seed);
             return alone.total - play(hotLoad, seed).total;
         });
         expect(meanOf(differences)).toBeLessThan(0.03);
--- a/packages/cell/test/organisations/usage-book.test.ts
+++ b/packages/cell/test/organisations/usage-book.test.ts
@@ -2,7 +2,7 @@
 import { organisationName } from "@pebbledale/core";
 import { expect } from "earl";
 import { describe, it } from "node:test";
-import { digestOf, KeyRing, longestKey, UsageBook } from "../../src/index.js";
+import { digestOf, KeyRing, maxKeyLength, UsageLedger } from "../../src/index.js";
 import { makeOrganisation } from "../support/index.js";
 
 const name = organisationName("north");
@@ -14,36 +14,36 @@
 
 describe("an organisation's usage", () => {
     it("allows as many tasks as the tightest dimension of its limit", () => {
-        const book = new UsageBook();
+        const book = new UsageLedger();
         book.configure([makeOrganisation("north", 10, { limit: sizeOf(10_000, 4_000) })]);
-        expect(book.countLeft(name, sizeOf(1_000, 1_000))).toEqual(4);
+        expect(book.countRemaining(name, sizeOf(1_000, 1_000))).toEqual(4);
         book.add(name, sizeOf(1_000, 1_000));
-        expect(book.countLeft(name, sizeOf(1_000, 1_000))).toEqual(3);
+        expect(book.countRemaining(name, sizeOf(1_000, 1_000))).toEqual(3);
         expect(book.countWhenIdle(name, sizeOf(1_000, 1_000))).toEqual(4);
     });
 
     it("allows zero tasks, never fewer, after its limit was lowered, until enough runs have ended", () => {
-        const book = new UsageBook();
+        const book = new UsageLedger();
         book.configure([makeOrganisation("north", 10)]);
         [1, 2, 3, 4].forEach(() => book.add(name, sizeOf(2_000)));
         book.configure([makeOrganisation("north", 4)]);
-        expect(book.countLeft(name, sizeOf(1_000))).toEqual(0);
+        expect(book.countRemaining(name, sizeOf(1_000))).toEqual(0);
         [1, 2, 3].forEach(() => book.remove(name, sizeOf(2_000)));
-        expect(book.countLeft(name, sizeOf(1_000))).toEqual(2);
+        expect(book.countRemaining(name, sizeOf(1_000))).toEqual(2);
     });
 
     it("allows nothing while its limit is not known, and treats 0 as no limit", () => {
-        const book = new UsageBook();
-        expect(book.countLeft(name, sizeOf(1))).toEqual(0);
+        const book = new UsageLedger();
+        expect(book.countRemaining(name, sizeOf(1))).toEqual(0);
         book.configure([makeOrganisation("north", 0)]);
-        expect(book.countLeft(name, sizeOf(1_000_000))).toEqual(Infinity);
+        expect(book.countRemaining(name, sizeOf(1_000_000))).toEqual(Infinity);
     });
 
     it("stays under its last limit when it is no longer configured", () => {
-        const book = new UsageBook();
+        const book = new UsageLedger();
         book.configure([makeOrganisation("north", 3)]);
         book.configure([]);
-        expect(book.countLeft(name, sizeOf(1_000))).toEqual(3);
+        expect(book.countRemaining(name, sizeOf(1_000))).toEqual(3);
     });
 });
 
@@ -56,7 +56,7 @@
     });
 
     it("rejects keys beyond the maximum length", () => {
-        const long = "k".repeat(longestKey + 1);
+        const long = "k".repeat(maxKeyLength + 1);
         const holder = new KeyRing([makeOrganisation("north", 1, { keys: [digestOf(long)] })]);
         expect(holder.holderOf(long)).toEqual(undefined);
     });
