--- a/packages/cell/src/choosing/worker-choice.ts
+++ b/packages/cell/src/choosing/candidates.ts
@@ -2,7 +2,7 @@
 import type { Milliseconds, ServiceName } from "@pebbledale/core";
 import type { Step, StepPermits, WorkerState } from "../state/index.js";
 import { candidateFactor, maxWideTasksPerWorker, minCandidates, servingWorkerCost, slownessCost } from "./constants.js";
-import type { CapacityIndex } from "./room-index.js";
+import type { CapacityIndex } from "./capacity-index.js";
 
 /** A number of a step's tasks at one worker, with the advice service's ticket where one is needed. */
 export interface Allocation {
--- a/packages/cell/src/choosing/index.ts
+++ b/packages/cell/src/choosing/index.ts
@@ -1,8 +1,8 @@
 /** Inputs of placement: the ranking of steps, expected ends of runs, forecasts of free resources and candidate workers. */
-export { stopDuration as stopTime } from "./constants.js";
+export { stopDuration } from "./constants.js";
 export * from "./expected-end.js";
-export * from "./room-forecast.js";
-export * from "./room-index.js";
-export * from "./room-plan.js";
-export * from "./urgency.js";
-export * from "./worker-choice.js";
+export * from "./capacity-forecast.js";
+export * from "./capacity-index.js";
+export * from "./reservation-plan.js";
+export * from "./ranking.js";
+export * from "./candidates.js";
--- a/packages/cell/src/headroom/headroom-log.ts
+++ b/packages/cell/src/headroom/headroom-log.ts
@@ -2,7 +2,7 @@
 import { logEvents, type Milliseconds, type ServiceName } from "@pebbledale/core";
 import type { DecisionLog } from "../state/index.js";
 import { logInterval, minLoggedChange, minLoggedShare } from "./constants.js";
-import type { ServiceHeadroom } from "./service-room.js";
+import type { ServiceHeadroom } from "./service-headroom.js";
 
 /** The headroom of a service that was logged last. */
 interface LoggedHeadroom {
--- a/packages/cell/src/headroom/room-maker.ts
+++ b/packages/cell/src/headroom/headroom-preemptor.ts
@@ -6,12 +6,12 @@
     freeResourcesOf,
     type ResourceAmounts,
     resourcesOfRun,
-    stopTime,
+    stopDuration,
 } from "../choosing/index.js";
 import { RunPhase, type TaskRun, type WorkerState } from "../state/index.js";
 import type { PreemptionPolicy, RunPreemptor } from "../yielding/index.js";
 import { maxStopsPerCycle } from "./constants.js";
-import type { ServiceHeadroom } from "./service-room.js";
+import type { ServiceHeadroom } from "./service-headroom.js";
 
 /** A run that may be preempted. */
 interface Victim {
@@ -66,7 +66,7 @@
         const fitting = room.countTypicalIn(soon);
         return [...worker.runs.values()]
             .filter(run =>
-                expectedEnd(run, now) > now + stopTime && this.policy.mayPreemptForPriority(run, priority, now)
+                expectedEnd(run, now) > now + stopDuration && this.policy.mayPreemptForPriority(run, priority, now)
             )
             .map(run => {
                 const freed = resourcesOfRun(run);
@@ -90,6 +90,6 @@
     [...worker.runs.values()]
         .filter(run =>
             run.phase === RunPhase.Stopping
-            || run.task.step.job.terms.priority > priority && expectedEnd(run, now) <= now + stopTime
+            || run.task.step.job.terms.priority > priority && expectedEnd(run, now) <= now + stopDuration
         )
         .reduce((sum, run) => addAmounts(sum, resourcesOfRun(run)), freeResourcesOf(worker));
--- a/packages/cell/src/headroom/urgent-headroom.ts
+++ b/packages/cell/src/headroom/urgent-headroom.ts
@@ -4,8 +4,8 @@
 import type { CellContext, Step, WorkerState } from "../state/index.js";
 import type { PreemptionPolicy, RunPreemptor } from "../yielding/index.js";
 import { HeadroomLog } from "./headroom-log.js";
-import { HeadroomPreemptor } from "./room-maker.js";
-import { ServiceHeadroom } from "./service-room.js";
+import { HeadroomPreemptor } from "./headroom-preemptor.js";
+import { ServiceHeadroom } from "./service-headroom.js";
 import type { Headroom } from "./types.js";
 
 /**
--- a/packages/cell/src/load/index.ts
+++ b/packages/cell/src/load/index.ts
@@ -1,3 +1,3 @@
 /** Admission of ready work when demand exceeds capacity. */
-export * from "./hold-back.js";
+export * from "./gang-deferral.js";
 export * from "./organisation-limits.js";
--- a/packages/cell/src/moving/index.ts
+++ b/packages/cell/src/moving/index.ts
@@ -1,2 +1,2 @@
 /** Migration of runs away from workers that are slow or about to leave. */
-export * from "./mover.js";
+export * from "./run-migrator.js";
--- a/packages/cell/src/pacing/index.ts
+++ b/packages/cell/src/pacing/index.ts
@@ -1,2 +1,2 @@
 /** Pacing of filler tasks beside latency-sensitive ones. */
-export * from "./pace-keeper.js";
+export * from "./filler-pace-controller.js";
--- a/packages/cell/src/placing/index.ts
+++ b/packages/cell/src/placing/index.ts
@@ -1,4 +1,4 @@
 /** Placement of ready steps: orders, reservations and preemption. */
 export * from "./placer.js";
-export * from "./preemption.js";
+export * from "./plan-preemptor.js";
 export * from "./reservations.js";
--- a/packages/cell/src/placing/placer.ts
+++ b/packages/cell/src/placing/placer.ts
@@ -24,7 +24,7 @@
 import type { HealthMonitor } from "../watching/index.js";
 import { type PreemptionPolicy, RunPreemptor } from "../yielding/index.js";
 import { rackTimeout, wideTaskReservationDelay } from "./constants.js";
-import { PlanPreemptor } from "./preemption.js";
+import { PlanPreemptor } from "./plan-preemptor.js";
 import { Reservations } from "./reservations.js";
 
 /** Components and policies that placement consults. */
--- a/packages/cell/src/placing/preemption.ts
+++ b/packages/cell/src/placing/plan-preemptor.ts
@@ -7,7 +7,7 @@
     type ReservationPlan,
     type ResourceAmounts,
     resourcesOfRun,
-    stopTime,
+    stopDuration,
 } from "../choosing/index.js";
 import { RunPhase, type Step, type TaskRun, type WorkerState } from "../state/index.js";
 import type { PreemptionPolicy, RunPreemptor } from "../yielding/index.js";
@@ -18,7 +18,7 @@
 
     /** Does nothing until the plan waits only for preempted runs and all its workers have tickets. */
     freeResources(step: Step, plan: ReservationPlan, now: Milliseconds): void {
-        if (plan.availableAt > now + stopTime || !this.#hasTickets(step, plan, now)) {
+        if (plan.availableAt > now + stopDuration || !this.#hasTickets(step, plan, now)) {
             return;
         }
         for (const [worker, tasks] of plan.tasksByWorker) {
@@ -28,7 +28,7 @@
 
     #hasTickets({ permits }: Step, { tasksByWorker: shares }: ReservationPlan, now: Milliseconds): boolean {
         return permits === undefined
-            || [...shares.keys()].every(worker => permits.ticketOf(worker.id, now + stopTime) !== undefined);
+            || [...shares.keys()].every(worker => permits.ticketOf(worker.id, now + stopDuration) !== undefined);
     }
 
     #freeResourcesAt(worker: WorkerState, step: Step, tasks: number, now: Milliseconds): void {
--- a/packages/cell/src/speeds/index.ts
+++ b/packages/cell/src/speeds/index.ts
@@ -1,3 +1,3 @@
 /** Estimates of workers' speeds. */
-export * from "./speed-book.js";
+export * from "./speed-estimator.js";
 export * from "./types.js";
--- a/packages/cell/src/watching/progress-watch.ts
+++ b/packages/cell/src/watching/progress-monitor.ts
@@ -3,7 +3,7 @@
 import type { CellContext, Step, TaskRun, WorkerState } from "../state/index.js";
 import type { WorkerRun } from "../task-worker/index.js";
 import { maxSlowShare, slowDuration } from "./constants.js";
-import { medianOf } from "./middle.js";
+import { medianOf } from "./median.js";
 import { paceOfCompleted, type RunPace, sampleRun } from "./run-paces.js";
 import { assessSpeed, isSlow, type SpeedFinding, type StepSamples } from "./slowness.js";
 import { StepPaces } from "./step-paces.js";
--- a/packages/cell/src/watching/slowness.ts
+++ b/packages/cell/src/watching/slowness.ts
@@ -16,7 +16,7 @@
     slowestSteadyPace,
     steadyVariance,
 } from "./constants.js";
-import { medianOf } from "./middle.js";
+import { medianOf } from "./median.js";
 import type { ExpectedPace } from "./step-paces.js";
 
 /** Samples of one step's runs on a worker. */
--- a/packages/cell/src/watching/step-paces.ts
+++ b/packages/cell/src/watching/step-paces.ts
@@ -2,7 +2,7 @@
 import type { WorkerId } from "@pebbledale/core";
 import type { Step } from "../state/index.js";
 import { estimateVariance, maxPeers, peerVariance } from "./constants.js";
-import { medianOf } from "./middle.js";
+import { medianOf } from "./median.js";
 
 /** The pace expected of a step's tasks on a healthy worker. */
 export interface ExpectedPace {
