--- a/packages/cell/src/advising/advice-dispatcher.ts
+++ b/packages/cell/src/advising/advice-dispatcher.ts
@@ -75,9 +75,9 @@
 
     /** Removes a VM. Its unanswered questions are sent to others. */
     leave(name: string): void {
-        const asker = this.#vms.get(name);
+        const vm = this.#vms.get(name);
         this.#vms.delete(name);
-        for (const number of asker?.inFlight ?? []) {
+        for (const number of vm?.inFlight ?? []) {
             const question = this.#inFlight.get(number);
             if (question !== undefined) {
                 this.#inFlight.delete(number);
@@ -105,10 +105,10 @@
         return question?.command;
     }
 
-    #release({ vm: asker, number }: InFlightQuestion): void {
-        asker.inFlight.delete(number);
-        if (asker.inFlight.size === 0) {
-            asker.busyUntil = 0;
+    #release({ vm, number }: InFlightQuestion): void {
+        vm.inFlight.delete(number);
+        if (vm.inFlight.size === 0) {
+            vm.busyUntil = 0;
         }
     }
 
@@ -126,9 +126,9 @@
                 left.push(question);
             }
             else if (!this.#dropUnwanted(question)) {
-                const rest = this.#send(question);
-                hasFree[kind] = rest.length === 0 && this.#vmsFreeFor(kind === "slow").length > 0;
-                left.push(...rest);
+                const remainder = this.#send(question);
+                hasFree[kind] = remainder.length === 0 && this.#vmsFreeFor(kind === "slow").length > 0;
+                left.push(...remainder);
             }
         }
         this.#waiting = left;
@@ -145,30 +145,30 @@
 
     /** Sends a question to free VMs, in parts. Returns the remainder, if any. */
     #send(question: WaitingQuestion): WaitingQuestion[] {
-        const { command, sortTime: turn } = question;
+        const { command, sortTime } = question;
         const size = this.#partSize(command);
         for (let next = 0; next < command.workers.length; next += size) {
             const part = { ...command, workers: command.workers.slice(next, next + size) };
-            if (!this.#sendPart(part, turn)) {
-                return [{ command: { ...command, workers: command.workers.slice(next) }, sortTime: turn }];
+            if (!this.#sendPart(part, sortTime)) {
+                return [{ command: { ...command, workers: command.workers.slice(next) }, sortTime }];
             }
         }
         return [];
     }
 
-    #sendPart(command: AdviceRequest, turn: Milliseconds): boolean {
+    #sendPart(command: AdviceRequest, sortTime: Milliseconds): boolean {
         const free = this.#vmsFreeFor(isSlow(command));
         if (free.length === 0) {
             return false;
         }
         const now = this.now();
-        const asker = free.reduce((best, other) => waitOf(other, now) < waitOf(best, now) ? other : best);
+        const vm = free.reduce((best, other) => waitOf(other, now) < waitOf(best, now) ? other : best);
         const duration = callDuration(command.policy, command.workers.length);
         const number = this.#nextNumber++;
-        this.#inFlight.set(number, { number, command, sortTime: turn, vm: asker });
-        asker.inFlight.add(number);
-        asker.busyUntil = Math.max(asker.busyUntil, now) + duration;
-        asker.ask(number, command, duration);
+        this.#inFlight.set(number, { number, command, sortTime, vm });
+        vm.inFlight.add(number);
+        vm.busyUntil = Math.max(vm.busyUntil, now) + duration;
+        vm.ask(number, command, duration);
         return true;
     }
 
@@ -184,11 +184,11 @@
     }
 
     /** VMs that may be sent a slow or a quick question now. For quick ones, the VMs reserved for them come first. */
-    #vmsFreeFor(isSlowOne: boolean): AskingVm[] {
+    #vmsFreeFor(isSlowQuestion: boolean): AskingVm[] {
         const all = [...this.#vms.values()];
         const quick = Math.min(Math.floor(all.length / 2), Math.floor(minQuickVms + all.length * quickVmShare));
-        const candidates = !isSlowOne || all.length === 1 ? all : all.slice(quick);
-        return candidates.filter(asker => isFreeFor(asker, isSlowOne));
+        const candidates = !isSlowQuestion || all.length === 1 ? all : all.slice(quick);
+        return candidates.filter(vm => isFreeFor(vm, isSlowQuestion));
     }
 }
 
@@ -197,7 +197,7 @@
 const minPartSize = ({ decision, eachWorker }: AdvicePolicy): number =>
     eachWorker === 0 ? maxAdviceWorkers : Math.ceil(decision * minNamingShare / eachWorker);
 
-const isFreeFor = (asker: AskingVm, isSlowOne: boolean): boolean =>
-    isSlowOne ? asker.inFlight.size === 0 : asker.inFlight.size < maxInFlight;
+const isFreeFor = (vm: AskingVm, isSlowQuestion: boolean): boolean =>
+    isSlowQuestion ? vm.inFlight.size === 0 : vm.inFlight.size < maxInFlight;
 
-const waitOf = (asker: AskingVm, now: Milliseconds): Milliseconds => Math.max(0, asker.busyUntil - now);
+const waitOf = (vm: AskingVm, now: Milliseconds): Milliseconds => Math.max(0, vm.busyUntil - now);
--- a/packages/cell/src/advising/advice-planner.ts
+++ b/packages/cell/src/advising/advice-planner.ts
@@ -61,9 +61,9 @@
 
     /**
      * Called when `count` tasks of a step could not be placed: asks for new tickets where there is capacity, or about more workers.
-     * `roomOf`: how many tasks of the step a worker could take now, regardless of tickets.
+     * `capacityOf`: how many tasks of the step a worker could take now, regardless of tickets.
      */
-    requestAdvice(step: Step, count: number, roomOf: CapacityOf): void {
+    requestAdvice(step: Step, count: number, capacityOf: CapacityOf): void {
         const { permits } = step;
         const { advice } = step.job.terms;
         const now = this.context.now();
@@ -71,10 +71,10 @@
             return;
         }
         if (step.definition.isGang) {
-            this.#ask(step, advice, this.#workersForGang(step, permits, advice, count, roomOf));
+            this.#ask(step, advice, this.#workersForGang(step, permits, advice, count, capacityOf));
         }
         else if (!permits.hasPendingQuestion) {
-            const workers = this.#workersForTasks(step, permits, count, roomOf);
+            const workers = this.#workersForTasks(step, permits, count, capacityOf);
             this.#ask(
                 step,
                 advice,
@@ -96,8 +96,8 @@
         }
         const permitted = this.#permitted(step, permits).slice(0, maxAdviceWorkers);
         const needed = now + callDuration(policy, permitted.length) + ticketLead;
-        const isRunningOut = permitted.some(worker => permits.ticketOf(worker.id, needed) === undefined);
-        return isRunningOut ? permitted : [];
+        const isExpiring = permitted.some(worker => permits.ticketOf(worker.id, needed) === undefined);
+        return isExpiring ? permitted : [];
     }
 
     /** Whether the answer to a waiting question would still be of use. */
@@ -112,7 +112,7 @@
     }
 
     /** Renews the tickets of a plan that will have expired by its start, just in time. */
-    requestTickets(step: Step, plan: ReservationPlan, roomOf: CapacityOf): void {
+    requestTickets(step: Step, plan: ReservationPlan, capacityOf: CapacityOf): void {
         const { permits } = step;
         const { terms } = step.job;
         const now = this.context.now();
@@ -121,10 +121,10 @@
         }
         const planned = [...plan.tasksByWorker.keys()];
         const lead = callDuration(terms.advice, planned.length) + ticketLead;
-        const isTime = now >= plan.availableAt - lead && now - permits.lastAskedAt >= adviceInterval;
+        const isDue = now >= plan.availableAt - lead && now - permits.lastAskedAt >= adviceInterval;
         const isMissing = planned.some(worker => permits.ticketOf(worker.id, plan.availableAt) === undefined);
-        if (isTime && isMissing) {
-            const others = this.#workersWithCapacity(step, permits, step.tasks.length, roomOf)
+        if (isDue && isMissing) {
+            const others = this.#workersWithCapacity(step, permits, step.tasks.length, capacityOf)
                 .filter(other => !plan.tasksByWorker.has(other));
             this.#ask(step, terms.advice, [...planned, ...others].slice(0, maxAdviceWorkers));
         }
@@ -140,10 +140,15 @@
     }
 
     /** Applies an answer of the service. `cause`: why there was none, for the log. */
-    applyAnswer(address: string, named: readonly WorkerId[], answer: AdviceAnswer | undefined, cause: string): void {
+    applyAnswer(
+        address: string,
+        workerIds: readonly WorkerId[],
+        answer: AdviceAnswer | undefined,
+        cause: string,
+    ): void {
         const permits = this.#pending.get(address)?.permits;
-        const asked = named.filter(worker => permits?.isAnswerCurrent(worker) !== false);
-        const step = this.#settle(address, named);
+        const asked = workerIds.filter(worker => permits?.isAnswerCurrent(worker) !== false);
+        const step = this.#settle(address, workerIds);
         if (step?.permits === undefined) {
             return;
         }
@@ -163,10 +168,10 @@
     }
 
     /** Permitted workers with capacity whose tickets have expired or, without any, workers that were not asked about yet. */
-    #workersForTasks(step: Step, permits: StepPermits, count: number, roomOf: CapacityOf): WorkerState[] {
+    #workersForTasks(step: Step, permits: StepPermits, count: number, capacityOf: CapacityOf): WorkerState[] {
         const now = this.context.now();
         const stale = this.#permitted(step, permits).filter(worker =>
-            permits.ticketOf(worker.id, now) === undefined && roomOf(worker) > 0
+            permits.ticketOf(worker.id, now) === undefined && capacityOf(worker) > 0
         );
         return stale.length > 0 ? stale.slice(0, maxAdviceWorkers) : this.#unaskedWorkers(step, count);
     }
@@ -180,32 +185,32 @@
         permits: StepPermits,
         policy: AdvicePolicy,
         count: number,
-        roomOf: CapacityOf,
+        capacityOf: CapacityOf,
     ): WorkerState[] {
-        const roomy = this.#workersWithCapacity(step, permits, count, roomOf);
-        if (totalCapacity(roomy, roomOf) < count) {
+        const candidates = this.#workersWithCapacity(step, permits, count, capacityOf);
+        if (totalCapacity(candidates, capacityOf) < count) {
             return permits.hasPendingQuestion ? [] : this.#unaskedWorkers(step, count);
         }
-        const needed = this.context.now() + callDuration(policy, roomy.length) + ticketLead;
+        const needed = this.context.now() + callDuration(policy, candidates.length) + ticketLead;
         const isFresh = (worker: WorkerState) => permits.ticketOf(worker.id, needed) !== undefined;
-        if (permits.hasPendingQuestion || roomy.every(isFresh)) {
+        if (permits.hasPendingQuestion || candidates.every(isFresh)) {
             return [];
         }
         const wanted = needed + policy.validity * renewalShare;
-        return roomy.filter(worker => permits.ticketOf(worker.id, wanted) === undefined);
+        return candidates.filter(worker => permits.ticketOf(worker.id, wanted) === undefined);
     }
 
     /**
      * Permitted workers with the most capacity, more than needed: some of it will be gone by the time of the answer, and further workers
      * add little to the duration of a call.
      */
-    #workersWithCapacity(step: Step, permits: StepPermits, count: number, roomOf: CapacityOf): WorkerState[] {
+    #workersWithCapacity(step: Step, permits: StepPermits, count: number, capacityOf: CapacityOf): WorkerState[] {
         const chosen: WorkerState[] = [];
         for (const worker of this.#permitted(step, permits).sort(byFreeProcessor)) {
-            if (totalCapacity(chosen, roomOf) >= count * capacityMargin) {
+            if (totalCapacity(chosen, capacityOf) >= count * capacityMargin) {
                 break;
             }
-            if (roomOf(worker) > 0) {
+            if (capacityOf(worker) > 0) {
                 chosen.push(worker);
             }
         }
@@ -224,21 +229,21 @@
         const share = this.#permittedShares.get(step.job.queue) ?? initialPermittedShare;
         const most = isGang ? Infinity : maxAdviceWorkers;
         const chosen: WorkerState[] = [];
-        let room = 0;
-        let whole = 0;
+        let capacity = 0;
+        let capacityWhenEmpty = 0;
         const now = this.context.now();
         for (const worker of this.#inQueryOrder(step)) {
             const isEnough = isGang
-                ? room * share >= count * gangCapacityMargin
-                : room * share >= count * capacityMargin || whole * share >= count * choiceMargin;
+                ? capacity * share >= count * gangCapacityMargin
+                : capacity * share >= count * capacityMargin || capacityWhenEmpty * share >= count * choiceMargin;
             if (chosen.length >= most || isEnough && chosen.length >= minAdviceWorkers) {
                 break;
             }
             const isFresh = step.permits?.wasAsked(worker.id) !== true;
             if (isFresh && isEligible(worker, step, step.job.terms.service, now)) {
                 chosen.push(worker);
-                room += worker.countFitting(step, count);
-                whole += worker.countWhenEmpty(step);
+                capacity += worker.countFitting(step, count);
+                capacityWhenEmpty += worker.countWhenEmpty(step);
             }
         }
         return chosen;
@@ -250,16 +255,16 @@
      */
     #inQueryOrder({ definition: { isGang, size } }: Step): readonly WorkerState[] {
         const { emptiestFirst, fullestFirst } = this.#index;
-        const withRoom = fullestFirst.length - this.#index.firstIndexWith(size.processorThousandths);
-        if (isGang || withRoom <= minAdviceWorkers) {
+        const withCapacity = fullestFirst.length - this.#index.firstIndexWith(size.processorThousandths);
+        if (isGang || withCapacity <= minAdviceWorkers) {
             return emptiestFirst;
         }
-        this.#rotation = (this.#rotation + minAdviceWorkers) % withRoom;
-        const turn = this.#rotation;
+        this.#rotation = (this.#rotation + minAdviceWorkers) % withCapacity;
+        const offset = this.#rotation;
         return [
-            ...emptiestFirst.slice(turn, withRoom),
-            ...emptiestFirst.slice(0, turn),
-            ...emptiestFirst.slice(withRoom),
+            ...emptiestFirst.slice(offset, withCapacity),
+            ...emptiestFirst.slice(0, offset),
+            ...emptiestFirst.slice(withCapacity),
         ];
     }
 
@@ -270,27 +275,27 @@
             return;
         }
         const share = permitted.filter(({ worker }) => fresh.has(worker)).length / fresh.size;
-        const known = this.#permittedShares.get(job.queue) ?? initialPermittedShare;
-        const learned = known + (share - known) * shareWeight;
+        const previous = this.#permittedShares.get(job.queue) ?? initialPermittedShare;
+        const learned = previous + (share - previous) * shareWeight;
         this.#permittedShares.set(job.queue, Math.max(minPermittedShare, learned));
     }
 
     #ask(step: Step, policy: AdvicePolicy, workers: readonly WorkerState[]): void {
         const { permits, address } = step;
-        const named = workers.map(worker => worker.id).filter(worker => permits?.isPending(worker) === false);
-        if (permits === undefined || named.length === 0) {
+        const workerIds = workers.map(worker => worker.id).filter(worker => permits?.isPending(worker) === false);
+        if (permits === undefined || workerIds.length === 0) {
             return;
         }
         const now = this.context.now();
-        permits.questionSent(named, now);
+        permits.questionSent(workerIds, now);
         this.#pending.set(address, step);
         this.context.outbox.ask({
             step: address,
-            workers: named,
+            workers: workerIds,
             urgency: adviceUrgencyOf(rankStep(this.context, step, now)),
             policy,
         });
-        this.context.options.log.log(logEvents.stepAsked, { step: address, workers: named.length });
+        this.context.options.log.log(logEvents.stepAsked, { step: address, workers: workerIds.length });
     }
 
     /** Ends a question or a part of one. Returns its step if that is still known. */
@@ -306,5 +311,5 @@
 
 const byFreeProcessor = (left: WorkerState, right: WorkerState): number => right.freeProcessor - left.freeProcessor;
 
-const totalCapacity = (workers: readonly WorkerState[], roomOf: CapacityOf): number =>
-    workers.reduce((sum, worker) => sum + roomOf(worker), 0);
+const totalCapacity = (workers: readonly WorkerState[], capacityOf: CapacityOf): number =>
+    workers.reduce((sum, worker) => sum + capacityOf(worker), 0);
--- a/packages/cell/src/choosing/candidates.ts
+++ b/packages/cell/src/choosing/candidates.ts
@@ -1,8 +1,8 @@
 /** Selects workers for the tasks of one step. */
 import type { Milliseconds, ServiceName } from "@pebbledale/core";
 import type { Step, StepPermits, WorkerState } from "../state/index.js";
-import { candidateFactor, maxWideTasksPerWorker, minCandidates, servingWorkerCost, slownessCost } from "./constants.js";
 import type { CapacityIndex } from "./capacity-index.js";
+import { candidateFactor, maxWideTasksPerWorker, minCandidates, servingWorkerCost, slownessCost } from "./constants.js";
 
 /** A number of a step's tasks at one worker, with the advice service's ticket where one is needed. */
 export interface Allocation {
@@ -59,39 +59,39 @@
 };
 
 /** Workers that can take tasks of a step now, lowest cost first. May leave out others once enough are found for `most` tasks. */
-export const findCandidates = (input: CandidateQuery, most: number): Allocation[] => {
-    const { permits } = input.step;
+export const findCandidates = (query: CandidateQuery, maxTasks: number): Allocation[] => {
+    const { permits } = query.step;
     const candidates = permits === undefined
-        ? unrestrictedCandidates(input, most)
-        : ticketedCandidates(input, permits, most);
+        ? unrestrictedCandidates(query, maxTasks)
+        : ticketedCandidates(query, permits, maxTasks);
     return candidates.sort((left, right) => left.cost - right.cost);
 };
 
-const unrestrictedCandidates = (input: CandidateQuery, most: number): Candidate[] => {
-    const { step, index } = input;
+const unrestrictedCandidates = (query: CandidateQuery, maxTasks: number): Candidate[] => {
+    const { step, index } = query;
     const { size, fills } = step.definition;
-    const enough = prefersFullest(step) ? most * candidateFactor : Infinity;
+    const enough = prefersFullest(step) ? maxTasks * candidateFactor : Infinity;
     const candidates: Candidate[] = [];
-    let undoubted = 0;
+    let unpenalised = 0;
     for (let at = fills ? 0 : index.firstIndexWith(size.processorThousandths); at < index.fullestFirst.length; at++) {
-        if (undoubted >= enough && candidates.length >= minCandidates) {
+        if (unpenalised >= enough && candidates.length >= minCandidates) {
             break;
         }
-        const candidate = candidateAt(index.fullestFirst[at], undefined, input, most);
+        const candidate = candidateAt(index.fullestFirst[at], undefined, query, maxTasks);
         if (candidate !== undefined) {
             candidates.push(candidate);
-            undoubted += candidate.isPenalised ? 0 : candidate.count;
+            unpenalised += candidate.isPenalised ? 0 : candidate.count;
         }
     }
     return candidates;
 };
 
 /** For steps that need advice: only workers with a valid ticket. */
-const ticketedCandidates = (input: CandidateQuery, permits: StepPermits, most: number): Candidate[] => {
+const ticketedCandidates = (query: CandidateQuery, permits: StepPermits, maxTasks: number): Candidate[] => {
     const candidates: Candidate[] = [];
-    for (const [id, ticket] of permits.validTickets(input.now)) {
-        const worker = input.index.get(id);
-        const candidate = worker && candidateAt(worker, ticket, input, most);
+    for (const [id, ticket] of permits.validTickets(query.now)) {
+        const worker = query.index.get(id);
+        const candidate = worker && candidateAt(worker, ticket, query, maxTasks);
         if (candidate !== undefined) {
             candidates.push(candidate);
         }
@@ -102,21 +102,21 @@
 const candidateAt = (
     worker: WorkerState,
     ticket: string | undefined,
-    { step, service, now, limitFor: limit, prefersFast, penaltyOf: doubt }: CandidateQuery,
-    most: number,
+    { step, service, now, limitFor, prefersFast, penaltyOf }: CandidateQuery,
+    maxTasks: number,
 ): Candidate | undefined => {
     // The cheapest check, and under load the one that most workers fail, comes first.
-    const fitting = worker.countFitting(step, most);
+    const fitting = worker.countFitting(step, maxTasks);
     if (fitting === 0 || !isEligible(worker, step, service, now)) {
         return undefined;
     }
-    const count = Math.min(fitting, limit(worker));
+    const count = Math.min(fitting, limitFor(worker));
     if (count <= 0) {
         return undefined;
     }
-    const doubted = doubt(worker);
-    const cost = costOf(worker, step, count) + slownessCostOf(worker, step, prefersFast) + doubted;
-    return { worker, count, ticket, cost, isPenalised: doubted > 0 };
+    const penalty = penaltyOf(worker);
+    const cost = costOf(worker, step, count) + slownessCostOf(worker, step, prefersFast) + penalty;
+    return { worker, count, ticket, cost, isPenalised: penalty > 0 };
 };
 
 /** Whether best fit decides among workers for a step, so that the fullest come first. */
@@ -145,17 +145,17 @@
 
 /** Allocates `count` tasks to candidates in their order; undefined when they do not all fit. */
 export const allocate = (candidates: readonly Allocation[], count: number): Allocation[] | undefined => {
-    const shares: Allocation[] = [];
+    const allocations: Allocation[] = [];
     let left = count;
     for (const candidate of candidates) {
         if (left === 0) {
             break;
         }
         const taken = Math.min(left, candidate.count);
-        shares.push({ ...candidate, count: taken });
+        allocations.push({ ...candidate, count: taken });
         left -= taken;
     }
-    return left === 0 ? shares : undefined;
+    return left === 0 ? allocations : undefined;
 };
 
 /** Allocates `count` tasks within the rack that fits them most tightly; undefined when none holds all. */
@@ -165,8 +165,9 @@
         const rack = candidate.worker.entry?.rack ?? "";
         racks.set(rack, [...racks.get(rack) ?? [], candidate]);
     }
-    const roomOf = (shares: readonly Allocation[]): number => shares.reduce((sum, share) => sum + share.count, 0);
-    const large = [...racks.values()].filter(shares => roomOf(shares) >= count);
-    large.sort((left, right) => roomOf(left) - roomOf(right));
-    return large.length === 0 ? undefined : allocate(large[0], count);
+    const capacityOf = (allocations: readonly Allocation[]): number =>
+        allocations.reduce((sum, allocation) => sum + allocation.count, 0);
+    const fitting = [...racks.values()].filter(allocations => capacityOf(allocations) >= count);
+    fitting.sort((left, right) => capacityOf(left) - capacityOf(right));
+    return fitting.length === 0 ? undefined : allocate(fitting[0], count);
 };
--- a/packages/cell/src/choosing/capacity-forecast.ts
+++ b/packages/cell/src/choosing/capacity-forecast.ts
@@ -52,53 +52,53 @@
         now: Milliseconds,
         isStopped?: StopPredicate,
     ): StartSlot[] {
-        const openings: StartSlot[] = [];
-        let room = freeResourcesOf(worker);
+        const slots: StartSlot[] = [];
+        let resources = freeResourcesOf(worker);
         const add = (at: Milliseconds) => {
-            const fitting = Math.min(count, countFittingIn(room, step));
-            while (openings.length < fitting) {
-                openings.push({ at, worker });
+            const fitting = Math.min(count, countFittingIn(resources, step));
+            while (slots.length < fitting) {
+                slots.push({ at, worker });
             }
         };
         add(now);
-        const endings = this.#releasesOf(worker, now);
-        for (const { run, at } of isStopped === undefined ? endings : withStops(endings, isStopped, now)) {
-            if (at === Infinity || openings.length >= count) {
+        const releases = this.#releasesOf(worker, now);
+        for (const { run, at } of isStopped === undefined ? releases : withStops(releases, isStopped, now)) {
+            if (at === Infinity || slots.length >= count) {
                 break;
             }
-            room = addAmounts(room, resourcesOfRun(run));
+            resources = addAmounts(resources, resourcesOfRun(run));
             add(at);
         }
-        return openings;
+        return slots;
     }
 
     /** The resources that a worker will have free at a time if nothing is started there until then. */
     resourcesAt(worker: WorkerState, at: Milliseconds, now: Milliseconds): ResourceAmounts {
         return this.#releasesOf(worker, now)
-            .filter(ending => ending.at <= at)
+            .filter(release => release.at <= at)
             .reduce<ResourceAmounts>((sum, { run }) => addAmounts(sum, resourcesOfRun(run)), freeResourcesOf(worker));
     }
 
     #releasesOf(worker: WorkerState, now: Milliseconds): readonly ResourceRelease[] {
-        let endings = this.#releases.get(worker);
-        if (endings === undefined) {
-            endings = [...worker.runs.values()]
+        let releases = this.#releases.get(worker);
+        if (releases === undefined) {
+            releases = [...worker.runs.values()]
                 .map(run => ({ run, at: expectedEnd(run, now) }))
                 .sort(byTime);
-            this.#releases.set(worker, endings);
+            this.#releases.set(worker, releases);
         }
-        return endings;
+        return releases;
     }
 }
 
 const byTime = (left: ResourceRelease, right: ResourceRelease): number => left.at - right.at;
 
 const withStops = (
-    endings: readonly ResourceRelease[],
+    releases: readonly ResourceRelease[],
     isStopped: StopPredicate,
     now: Milliseconds,
 ): readonly ResourceRelease[] =>
-    endings
+    releases
         .map(({ run, at }) => ({ run, at: at > now + stopDuration && isStopped(run) ? now + stopDuration : at }))
         .sort(byTime);
 
@@ -125,13 +125,13 @@
 
 /** What remains after `count` tasks of a step took their resources; negative where they did not fit. */
 export const resourcesWithout = (
-    room: ResourceAmounts,
+    resources: ResourceAmounts,
     { definition: { size, fills } }: Step,
     count: number,
 ): ResourceAmounts => ({
-    processor: room.processor - (fills ? 0 : count * size.processorThousandths),
-    memory: room.memory - count * size.memoryMebibytes,
-    accelerators: room.accelerators - count * size.accelerators,
+    processor: resources.processor - (fills ? 0 : count * size.processorThousandths),
+    memory: resources.memory - count * size.memoryMebibytes,
+    accelerators: resources.accelerators - count * size.accelerators,
 });
 
 /** How many tasks of a step fit an amount of resources. */
--- a/packages/cell/src/choosing/expected-end.ts
+++ b/packages/cell/src/choosing/expected-end.ts
@@ -18,12 +18,12 @@
     if (definition.isLasting) {
         return Infinity;
     }
-    const { firstProgress: firstSeen, percent, progressedAt } = run;
+    const { firstProgress, percent, progressedAt } = run;
     const left = 100 - percent;
-    const gained = firstSeen === undefined ? 0 : percent - firstSeen.percent;
-    if (firstSeen === undefined || gained < minObservedProgress) {
+    const gained = firstProgress === undefined ? 0 : percent - firstProgress.percent;
+    if (firstProgress === undefined || gained < minObservedProgress) {
         return Math.max(now + imminentEndDelay, progressedAt + definition.estimate * run.worker.slowness * left / 100);
     }
     // Progress made before the run was first seen, restored or reported under an earlier owner, is left out of its speed.
-    return Math.max(now + imminentEndDelay, progressedAt + left * (progressedAt - firstSeen.at) / gained);
+    return Math.max(now + imminentEndDelay, progressedAt + left * (progressedAt - firstProgress.at) / gained);
 };
--- a/packages/cell/src/choosing/ranking.ts
+++ b/packages/cell/src/choosing/ranking.ts
@@ -57,31 +57,31 @@
     return dueAt === undefined ? job.acceptedAtMonotonic : context.now() - (context.wallClock() - dueAt);
 };
 
-/** Computes the sort keys of a step. `standing`: 0 within its organisation's entitlement, more for surplus. */
-export const rankStep = (context: CellContext, step: Step, now: Milliseconds, standing = 0): RankedStep => {
+/** Computes the sort keys of a step. `entitlement`: 0 within its organisation's entitlement, more for surplus. */
+export const rankStep = (context: CellContext, step: Step, now: Milliseconds, entitlement = 0): RankedStep => {
     const { job, occurrence, definition } = step;
     const { extension, latencyTarget, priority } = job.terms;
-    const began = releaseTimeOf(context, job, occurrence);
+    const releaseTime = releaseTimeOf(context, job, occurrence);
     const objective = extension * occurrence.criticalPath + latencyTarget;
     const remaining = occurrence.criticalPaths[step.index];
-    const latestStart = began + objective - remaining;
+    const latestStart = releaseTime + objective - remaining;
     if (definition.isLasting) {
         return {
             step,
             deadlineStatus: DeadlineStatus.Lasting,
             tier: Tier.Lasting,
             priority,
-            entitlement: standing,
+            entitlement,
             latestStart,
             sortTime: latestStart,
         };
     }
     const isLate = now > latestStart;
-    const isOverdue = now > began + overdueFactor * objective - remaining;
-    const prospect = isOverdue ? DeadlineStatus.Overdue : isLate ? DeadlineStatus.Late : DeadlineStatus.OnTime;
-    const tier = tierOf(context, step, prospect, latestStart - now, standing);
-    const turn = latestStart + (isUrgentNarrow(context, step) ? sizePenaltyOf(step) : 0);
-    return { step, deadlineStatus: prospect, tier, priority, entitlement: standing, latestStart, sortTime: turn };
+    const isOverdue = now > releaseTime + overdueFactor * objective - remaining;
+    const deadlineStatus = isOverdue ? DeadlineStatus.Overdue : isLate ? DeadlineStatus.Late : DeadlineStatus.OnTime;
+    const tier = tierOf(context, step, deadlineStatus, latestStart - now, entitlement);
+    const sortTime = latestStart + (isUrgentNarrow(context, step) ? sizePenaltyOf(step) : 0);
+    return { step, deadlineStatus, tier, priority, entitlement, latestStart, sortTime };
 };
 
 /** Whether a step of the most urgent queues has independent tasks that end: no gang, not long-running. */
@@ -97,16 +97,16 @@
 const tierOf = (
     context: CellContext,
     step: Step,
-    prospect: DeadlineStatus,
+    deadlineStatus: DeadlineStatus,
     slack: Milliseconds,
-    standing: number,
+    entitlement: number,
 ): Tier => {
     const isUrgent = isUrgentNarrow(context, step);
-    switch (prospect) {
+    switch (deadlineStatus) {
         case DeadlineStatus.Lasting:
             return Tier.Lasting;
         case DeadlineStatus.OnTime:
-            return isUrgent ? urgentTier(step, slack, standing) : deferrableTier(context, step, slack);
+            return isUrgent ? urgentTier(step, slack, entitlement) : deferrableTier(context, step, slack);
         case DeadlineStatus.Late:
             return isUrgent ? Tier.LateUrgent : Tier.Late;
         case DeadlineStatus.Overdue:
@@ -115,15 +115,15 @@
 };
 
 /** Uncertain steps must not displace those that can surely be on time, nor surplus ones late steps within their entitlement. */
-const urgentTier = ({ occurrence, job }: Step, slack: Milliseconds, standing: number): Tier => {
-    const isDoubted = slack < uncertainSlackShare * (job.terms.extension - 1) * occurrence.criticalPath;
-    return isDoubted || standing > 0 ? Tier.LateUrgent : Tier.OnTime;
+const urgentTier = ({ occurrence, job }: Step, slack: Milliseconds, entitlement: number): Tier => {
+    const isUncertain = slack < uncertainSlackShare * (job.terms.extension - 1) * occurrence.criticalPath;
+    return isUncertain || entitlement > 0 ? Tier.LateUrgent : Tier.OnTime;
 };
 
 const deferrableTier = ({ queues }: CellContext, step: Step, slack: Milliseconds): Tier => {
     const { definition, job: { terms: { priority } } } = step;
-    const canWait = priority !== queues?.mostUrgentPriority && !definition.isGang && hasSlack(step, slack);
-    return canWait ? Tier.Deferrable : Tier.OnTime;
+    const isDeferrable = priority !== queues?.mostUrgentPriority && !definition.isGang && hasSlack(step, slack);
+    return isDeferrable ? Tier.Deferrable : Tier.OnTime;
 };
 
 /** Whether a step with this much time until its latest start is deferrable, allowing for estimates that are too short. */
@@ -141,9 +141,8 @@
 const prioritiesPerStatus = 4;
 
 /** Urgency of a step's questions to the advice service; lower goes first. */
-export const adviceUrgencyOf = ({ deadlineStatus: prospect, priority }: RankedStep): number =>
-    prospect * prioritiesPerStatus + priority;
+export const adviceUrgencyOf = ({ deadlineStatus, priority }: RankedStep): number =>
+    deadlineStatus * prioritiesPerStatus + priority;
 
 /** Whether a step can still earn its job's full value, so that its tickets are renewed before they expire. */
-export const needsFreshTickets = ({ deadlineStatus: prospect }: RankedStep): boolean =>
-    prospect <= DeadlineStatus.OnTime;
+export const needsFreshTickets = ({ deadlineStatus }: RankedStep): boolean => deadlineStatus <= DeadlineStatus.OnTime;
--- a/packages/cell/src/headroom/headroom-log.ts
+++ b/packages/cell/src/headroom/headroom-log.ts
@@ -6,11 +6,11 @@
 
 /** The headroom of a service that was logged last. */
 interface LoggedHeadroom {
-    readonly kept: number;
+    readonly tasks: number;
     readonly at: Milliseconds;
 }
 
-const neverLogged: LoggedHeadroom = { kept: 0, at: -Infinity };
+const neverLogged: LoggedHeadroom = { tasks: 0, at: -Infinity };
 
 /** Logs a service's headroom when it has changed considerably, at a limited rate. */
 export class HeadroomLog {
@@ -19,12 +19,12 @@
     constructor(private readonly log: DecisionLog) {}
 
     /** Called for each service at the end of a cycle. */
-    logChange(service: ServiceName, room: ServiceHeadroom, now: Milliseconds): void {
-        const { kept, at } = this.#logged.get(service) ?? neverLogged;
-        const change = Math.abs(room.keptTasks - kept);
-        if (change >= minLoggedChange && change >= kept * minLoggedShare && now - at >= logInterval) {
-            this.#logged.set(service, { kept: room.keptTasks, at: now });
-            this.log.log(logEvents.roomKept, { service, ...room.logFields });
+    logChange(service: ServiceName, headroom: ServiceHeadroom, now: Milliseconds): void {
+        const { tasks, at } = this.#logged.get(service) ?? neverLogged;
+        const change = Math.abs(headroom.headroomTasks - tasks);
+        if (change >= minLoggedChange && change >= tasks * minLoggedShare && now - at >= logInterval) {
+            this.#logged.set(service, { tasks: headroom.headroomTasks, at: now });
+            this.log.log(logEvents.roomKept, { service, ...headroom.logFields });
         }
     }
 }
--- a/packages/cell/src/headroom/headroom-preemptor.ts
+++ b/packages/cell/src/headroom/headroom-preemptor.ts
@@ -27,12 +27,12 @@
  * by themselves within the time of a stop are counted first.
  */
 export class HeadroomPreemptor {
-    constructor(private readonly policy: PreemptionPolicy, private readonly stopper: RunPreemptor) {}
+    constructor(private readonly policy: PreemptionPolicy, private readonly preemptor: RunPreemptor) {}
 
     /** Preempts until resources for `needed` typical urgent tasks of a priority are free or coming free. */
     preempt(
         workers: readonly WorkerState[],
-        room: ServiceHeadroom,
+        headroom: ServiceHeadroom,
         needed: number,
         priority: number,
         now: Milliseconds,
@@ -40,16 +40,16 @@
         let missing = needed;
         const victims: Victim[] = [];
         for (const worker of workers) {
-            const soon = resourcesSoon(worker, priority, now);
-            missing -= room.countTypicalIn(soon);
-            victims.push(...this.#victimsAt(worker, soon, room, priority, now));
+            const resources = resourcesSoon(worker, priority, now);
+            missing -= headroom.countTypicalIn(resources);
+            victims.push(...this.#victimsAt(worker, resources, headroom, priority, now));
         }
         let stops = 0;
         for (const { run, gain } of victims.sort(byGainPerProcessor)) {
             if (missing <= 0 || stops >= maxStopsPerCycle) {
                 break;
             }
-            this.stopper.preempt(run, "urgent work that did not fit");
+            this.preemptor.preempt(run, "urgent work that did not fit");
             missing -= gain;
             stops++;
         }
@@ -58,19 +58,19 @@
     /** At most one run for each worker: the gain of a second one would depend on the first. */
     #victimsAt(
         worker: WorkerState,
-        soon: ResourceAmounts,
-        room: ServiceHeadroom,
+        resources: ResourceAmounts,
+        headroom: ServiceHeadroom,
         priority: number,
         now: Milliseconds,
     ): Victim[] {
-        const fitting = room.countTypicalIn(soon);
+        const fitting = headroom.countTypicalIn(resources);
         return [...worker.runs.values()]
             .filter(run =>
                 expectedEnd(run, now) > now + stopDuration && this.policy.mayPreemptForPriority(run, priority, now)
             )
             .map(run => {
                 const freed = resourcesOfRun(run);
-                const gain = room.countTypicalIn(addAmounts(soon, freed)) - fitting;
+                const gain = headroom.countTypicalIn(addAmounts(resources, freed)) - fitting;
                 return { run, gain, gainPerProcessor: gain / Math.max(1, freed.processor) };
             })
             .filter(({ gain }) => gain > 0)
--- a/packages/cell/src/headroom/service-headroom.ts
+++ b/packages/cell/src/headroom/service-headroom.ts
@@ -89,12 +89,12 @@
 
     /** How many typical urgent tasks fit an amount of resources. */
     countTypicalIn({ processor, memory }: ResourceAmounts): number {
-        const usual = this.#typicalTask;
-        return usual === undefined
+        const typical = this.#typicalTask;
+        return typical === undefined
             ? 0
             : Math.max(
                 0,
-                Math.floor(Math.min(processor / Math.max(1, usual.processor), memory / Math.max(1, usual.memory))),
+                Math.floor(Math.min(processor / Math.max(1, typical.processor), memory / Math.max(1, typical.memory))),
             );
     }
 
@@ -112,11 +112,11 @@
         const lost = this.countTypicalAt(worker) - this.countTypicalAt(worker, step, count);
         return lost === 0
             || freeProcessor > this.#processor * maxFreeShare
-            || this.#fittingTasks - lost >= this.keptTasks;
+            || this.#fittingTasks - lost >= this.headroomTasks;
     }
 
     /** Headroom to keep, in typical urgent tasks. */
-    get keptTasks(): number {
+    get headroomTasks(): number {
         const missing = Math.min(
             this.#forecast.expected - this.#running.processor,
             this.#processor * maxHeadroomShare,
@@ -125,8 +125,8 @@
     }
 
     /** Headroom to keep, in thousandths of a processor. */
-    get keptProcessor(): number {
-        return Math.round(this.keptTasks * (this.#typicalTask?.processor ?? 0));
+    get headroomProcessor(): number {
+        return Math.round(this.headroomTasks * (this.#typicalTask?.processor ?? 0));
     }
 
     /** Figures behind the decision, for the log: thousandths of a processor and numbers of typical urgent tasks. */
@@ -136,8 +136,8 @@
             waiting: this.#waiting.processor,
             shortProcessor: this.#unplacedProcessor,
             expected: Math.round(this.#forecast.expected),
-            keptTasks: this.keptTasks,
-            keptProcessor: this.keptProcessor,
+            keptTasks: this.headroomTasks,
+            keptProcessor: this.headroomProcessor,
             fittingTasks: this.#fittingTasks,
         };
     }
--- a/packages/cell/src/headroom/urgent-headroom.ts
+++ b/packages/cell/src/headroom/urgent-headroom.ts
@@ -24,44 +24,44 @@
     readonly #log: HeadroomLog;
     #openWorkers: readonly WorkerState[] = [];
 
-    constructor(private readonly context: CellContext, policy: PreemptionPolicy, stopper: RunPreemptor) {
-        this.#preemptor = new HeadroomPreemptor(policy, stopper);
+    constructor(private readonly context: CellContext, policy: PreemptionPolicy, runPreemptor: RunPreemptor) {
+        this.#preemptor = new HeadroomPreemptor(policy, runPreemptor);
         this.#log = new HeadroomLog(context.options.log);
     }
 
-    beginCycle(ranked: readonly RankedStep[], open: readonly WorkerState[], now: Milliseconds): void {
+    beginCycle(ranked: readonly RankedStep[], openWorkers: readonly WorkerState[], now: Milliseconds): void {
         this.#restricted.clear();
-        this.#openWorkers = open;
-        this.#services.forEach(room => room.beginCycle());
+        this.#openWorkers = openWorkers;
+        this.#services.forEach(headroom => headroom.beginCycle());
         this.context.workers.forEach(worker => this.#addRuns(worker));
         ranked.forEach(entry => this.#addStep(entry, now));
-        this.#services.forEach(room => room.updateDemand(now));
-        for (const worker of open) {
-            const room = worker.entry && this.#services.get(worker.entry.service);
-            room?.addWorker(worker, room.countTypicalAt(worker));
+        this.#services.forEach(headroom => headroom.updateDemand(now));
+        for (const worker of openWorkers) {
+            const headroom = worker.entry && this.#services.get(worker.entry.service);
+            headroom?.addWorker(worker, headroom.countTypicalAt(worker));
         }
     }
 
     limitFor(worker: WorkerState, step: Step): number {
-        const room = this.#restricted.has(step) ? this.#services.get(step.job.terms.service) : undefined;
-        if (room === undefined || room.hasGangs) {
+        const headroom = this.#restricted.has(step) ? this.#services.get(step.job.terms.service) : undefined;
+        if (headroom === undefined || headroom.hasGangs) {
             return Infinity;
         }
         let count = worker.countFitting(step, step.tasks.length);
-        while (count > 0 && !room.leavesHeadroom(worker, step, count)) {
+        while (count > 0 && !headroom.leavesHeadroom(worker, step, count)) {
             count--;
         }
         return count;
     }
 
     notePlaced(worker: WorkerState, step: Step, count: number): void {
-        const room = this.#services.get(step.job.terms.service);
-        if (room === undefined) {
+        const headroom = this.#services.get(step.job.terms.service);
+        if (headroom === undefined) {
             return;
         }
-        room.notePlaced(worker, step, count);
+        headroom.notePlaced(worker, step, count);
         if (isUrgentNarrow(this.context, step)) {
-            room.addRunning(step, count);
+            headroom.addRunning(step, count);
         }
     }
 
@@ -74,21 +74,21 @@
 
     endCycle(now: Milliseconds): void {
         const priority = this.context.queues?.mostUrgentPriority ?? 0;
-        for (const [service, room] of this.#services) {
-            if (room.hasGangs) {
+        for (const [service, headroom] of this.#services) {
+            if (headroom.hasGangs) {
                 continue;
             }
-            if (room.unplacedTasks > 0) {
+            if (headroom.unplacedTasks > 0) {
                 const workers = this.#openWorkers.filter(({ entry }) => entry?.service === service);
-                this.#preemptor.preempt(workers, room, room.unplacedTasks, priority, now);
+                this.#preemptor.preempt(workers, headroom, headroom.unplacedTasks, priority, now);
             }
-            this.#log.logChange(service, room, now);
+            this.#log.logChange(service, headroom, now);
         }
     }
 
     headroomOf(service: ServiceName): number {
-        const room = this.#services.get(service);
-        return room === undefined || room.hasGangs ? 0 : room.keptProcessor;
+        const headroom = this.#services.get(service);
+        return headroom === undefined || headroom.hasGangs ? 0 : headroom.headroomProcessor;
     }
 
     #addRuns(worker: WorkerState): void {
@@ -104,36 +104,36 @@
     }
 
     #addStep(ranked: RankedStep, now: Milliseconds): void {
-        const { step, deadlineStatus: prospect, latestStart } = ranked;
+        const { step, deadlineStatus, latestStart } = ranked;
         const { definition, job } = step;
-        const room = this.#serviceHeadroom(job.terms.service);
+        const headroom = this.#serviceHeadroom(job.terms.service);
         if (definition.isGang) {
-            room.hasGangs = true;
+            headroom.hasGangs = true;
         }
         else if (isUrgentNarrow(this.context, step)) {
             if (qualifiesForHeadroom(ranked)) {
                 const left = this.context.usage.countRemaining(job.organisation, definition.size);
-                room.addWaiting(step, Math.min(left, step.waitingTasks().length));
+                headroom.addWaiting(step, Math.min(left, step.waitingTasks().length));
             }
         }
         else if (
-            prospect === DeadlineStatus.Overdue
-            || prospect === DeadlineStatus.OnTime && hasSlack(step, latestStart - now)
+            deadlineStatus === DeadlineStatus.Overdue
+            || deadlineStatus === DeadlineStatus.OnTime && hasSlack(step, latestStart - now)
         ) {
             this.#restricted.add(step);
         }
     }
 
     #serviceHeadroom(service: ServiceName): ServiceHeadroom {
-        let room = this.#services.get(service);
-        if (room === undefined) {
-            room = new ServiceHeadroom();
-            this.#services.set(service, room);
+        let headroom = this.#services.get(service);
+        if (headroom === undefined) {
+            headroom = new ServiceHeadroom();
+            this.#services.set(service, headroom);
         }
-        return room;
+        return headroom;
     }
 }
 
 /** Whether headroom is kept for an urgent step: it is within its organisation's entitlement and not overdue. */
-const qualifiesForHeadroom = ({ deadlineStatus: prospect, entitlement: standing }: RankedStep): boolean =>
-    prospect !== DeadlineStatus.Overdue && standing === 0;
+const qualifiesForHeadroom = ({ deadlineStatus, entitlement }: RankedStep): boolean =>
+    deadlineStatus !== DeadlineStatus.Overdue && entitlement === 0;
--- a/packages/cell/src/load/gang-deferral.ts
+++ b/packages/cell/src/load/gang-deferral.ts
@@ -31,41 +31,41 @@
         for (const worker of open) {
             const { entry, freeProcessor } = worker;
             if (entry !== undefined) {
-                const room = this.#capacityOf(entry.service);
-                room.open.push(worker);
-                room.processor += entry.capacity.processorThousandths;
-                room.freeProcessor += Math.max(0, freeProcessor);
+                const capacity = this.#capacityOf(entry.service);
+                capacity.open.push(worker);
+                capacity.processor += entry.capacity.processorThousandths;
+                capacity.freeProcessor += Math.max(0, freeProcessor);
             }
         }
     }
 
     /** Reports a gang that does not fit in this cycle. */
-    noteBlockedGang({ step, deadlineStatus: prospect, priority }: RankedStep, now: Milliseconds): void {
+    noteBlockedGang({ step, deadlineStatus, priority }: RankedStep, now: Milliseconds): void {
         const hasWaited = now - (step.readyAt ?? now) >= blockedGangDelay;
-        if (hasWaited && prospect === DeadlineStatus.OnTime) {
-            const room = this.#capacityOf(step.job.terms.service);
-            room.blockedPriority = Math.min(room.blockedPriority, priority);
-            room.freeShare = Math.min(room.freeShare, freeShareFor(step, room));
+        if (hasWaited && deadlineStatus === DeadlineStatus.OnTime) {
+            const capacity = this.#capacityOf(step.job.terms.service);
+            capacity.blockedPriority = Math.min(capacity.blockedPriority, priority);
+            capacity.freeShare = Math.min(capacity.freeShare, freeShareFor(step, capacity));
         }
     }
 
     /** Whether tasks of a step must wait even where they fit. */
-    mustWait({ step, deadlineStatus: prospect, priority, latestStart }: RankedStep, now: Milliseconds): boolean {
-        const { blockedPriority: shortPriority, freeShare, processor, freeProcessor } = this.#capacityOf(
+    mustWait({ step, deadlineStatus, priority, latestStart }: RankedStep, now: Milliseconds): boolean {
+        const { blockedPriority, freeShare, processor, freeProcessor } = this.#capacityOf(
             step.job.terms.service,
         );
-        return prospect === DeadlineStatus.OnTime
-            && priority > shortPriority
+        return deadlineStatus === DeadlineStatus.OnTime
+            && priority > blockedPriority
             && hasSlack(step, latestStart - now)
             && freeShare <= maxFreeShare
             && freeProcessor <= processor * maxIdleShare;
     }
 
     #capacityOf(service: ServiceName): ServiceCapacity {
-        const room = this.#services.get(service)
+        const capacity = this.#services.get(service)
             ?? { open: [], processor: 0, freeProcessor: 0, freeShare: 1, blockedPriority: Infinity };
-        this.#services.set(service, room);
-        return room;
+        this.#services.set(service, capacity);
+        return capacity;
     }
 }
 
@@ -77,11 +77,11 @@
     if (step.definition.size.accelerators === 0) {
         return freeProcessor / processor;
     }
-    let places = 0;
-    let free = 0;
+    let fittingWhenEmpty = 0;
+    let fittingNow = 0;
     for (const worker of open) {
-        places += worker.countWhenEmpty(step);
-        free += countFittingIn(freeResourcesOf(worker), step);
+        fittingWhenEmpty += worker.countWhenEmpty(step);
+        fittingNow += countFittingIn(freeResourcesOf(worker), step);
     }
-    return free / Math.max(1, places);
+    return fittingNow / Math.max(1, fittingWhenEmpty);
 };
--- a/packages/cell/src/load/organisation-limits.ts
+++ b/packages/cell/src/load/organisation-limits.ts
@@ -43,8 +43,8 @@
         if (this.usage.countRemaining(organisation, size) >= waiting.length) {
             return waiting;
         }
-        const isPatienceOver = now - (readyAt ?? now) >= limitWaitTime;
-        if (isPatienceOver && this.usage.countWhenIdle(organisation, size) >= waiting.length) {
+        const hasTimedOut = now - (readyAt ?? now) >= limitWaitTime;
+        if (hasTimedOut && this.usage.countWhenIdle(organisation, size) >= waiting.length) {
             this.#accumulating.add(organisation);
         }
         return [];
@@ -52,12 +52,12 @@
 
     /** How many tasks of a step that is no gang may start. All but the most urgent queues leave a part of the limit free. */
     #countAdmissible(organisation: OrganisationName, { definition: { size }, job: { terms } }: Step): number {
-        const whole = this.usage.countRemaining(organisation, size);
+        const remaining = this.usage.countRemaining(organisation, size);
         if (terms.priority <= this.#mostUrgent) {
-            return whole;
+            return remaining;
         }
-        const left = this.usage.countRemaining(organisation, size, deferrableShare);
-        const isStarving = left === 0 && this.usage.isBelowShare(organisation, unrestrictedShare);
-        return isStarving ? Math.min(1, whole) : left;
+        const admissible = this.usage.countRemaining(organisation, size, deferrableShare);
+        const isStarving = admissible === 0 && this.usage.isBelowShare(organisation, unrestrictedShare);
+        return isStarving ? Math.min(1, remaining) : admissible;
     }
 }
--- a/packages/cell/src/pacing/filler-pace-controller.ts
+++ b/packages/cell/src/pacing/filler-pace-controller.ts
@@ -14,13 +14,13 @@
     constructor(private readonly context: CellContext) {}
 
     /** Adjusts the pace of a worker's fillers to the latencies that its runs report. */
-    update(worker: WorkerState, seen: readonly (readonly [TaskRun, WorkerRun])[]): void {
-        const fillers = seen.map(([run]) => run).filter(isFiller);
+    update(worker: WorkerState, reported: readonly (readonly [TaskRun, WorkerRun])[]): void {
+        const fillers = reported.map(([run]) => run).filter(isFiller);
         if (fillers.length === 0) {
             worker.fillerPace = fullPace;
             return;
         }
-        const pace = this.#paceFor(worker, worstTail(seen));
+        const pace = this.#paceFor(worker, worstTail(reported));
         if (pace !== worker.fillerPace) {
             this.context.options.log.log(logEvents.fillersPaced, { worker: worker.id, pace, runs: fillers.length });
         }
@@ -43,8 +43,8 @@
 
     #sendPace(run: TaskRun, percent: number): void {
         // A reduced pace is sent again with each poll, as an earlier command may have been lost.
-        const isTold = run.pace === percent && percent === fullPace;
-        if (isTold || run.phase !== RunPhase.Running) {
+        const isUnchanged = run.pace === percent && percent === fullPace;
+        if (isUnchanged || run.phase !== RunPhase.Running) {
             return;
         }
         run.pace = percent;
@@ -61,8 +61,8 @@
 const isFiller = (run: TaskRun): boolean => run.task.step.definition.fills;
 
 /** The worst tail latency as a share of its target; undefined when no run has a target. */
-const worstTail = (seen: readonly (readonly [TaskRun, WorkerRun])[]): number | undefined => {
-    const tails = seen.flatMap(([run, { measure }]) => {
+const worstTail = (reported: readonly (readonly [TaskRun, WorkerRun])[]): number | undefined => {
+    const tails = reported.flatMap(([run, { measure }]) => {
         const { latencyTarget, fills } = run.task.step.definition;
         return latencyTarget === undefined || fills ? [] : [measure / latencyTarget];
     });
--- a/packages/cell/src/placing/placer.ts
+++ b/packages/cell/src/placing/placer.ts
@@ -45,7 +45,7 @@
     readonly #ready = new Set<Step>();
     /** Resources that steps ahead in this cycle wait for. */
     readonly #reservations: Reservations;
-    readonly #preemption: PlanPreemptor;
+    readonly #preemptor: PlanPreemptor;
     readonly #deferral = new GangDeferral();
     readonly #limits: OrganisationLimits;
     /** Workers that accept new runs in this cycle. */
@@ -53,10 +53,10 @@
     #index = new CapacityIndex([]);
     #deferredTasks = 0;
 
-    constructor(private readonly parts: PlacerDependencies) {
-        const { context, runs, preemption: yields } = parts;
-        this.#reservations = new Reservations(context, yields);
-        this.#preemption = new PlanPreemptor(new RunPreemptor(context, runs), yields);
+    constructor(private readonly dependencies: PlacerDependencies) {
+        const { context, runs, preemption } = dependencies;
+        this.#reservations = new Reservations(context, preemption);
+        this.#preemptor = new PlanPreemptor(new RunPreemptor(context, runs), preemption);
         this.#limits = new OrganisationLimits(context.usage);
     }
 
@@ -71,7 +71,7 @@
 
     /** Headroom for urgent work in a service as of the last cycle, in thousandths of a processor. */
     headroomOf(service: ServiceName): number {
-        return this.parts.headroom.headroomOf(service);
+        return this.dependencies.headroom.headroomOf(service);
     }
 
     add(step: Step): void {
@@ -84,7 +84,7 @@
 
     /** Runs one scheduling cycle. */
     place(): void {
-        const { context, headroom } = this.parts;
+        const { context, headroom } = this.dependencies;
         const now = context.now();
         this.#openWorkers = [...context.workers.values()].filter(worker => worker.isOpen(now));
         const ranked = this.#rankReadySteps(now);
@@ -93,28 +93,28 @@
         this.#deferral.beginCycle(this.#openWorkers);
         this.#deferredTasks = 0;
         this.#index = new CapacityIndex(this.#openWorkers);
-        this.parts.advice.beginCycle(this.#index);
+        this.dependencies.advice.beginCycle(this.#index);
         headroom.beginCycle(ranked, this.#openWorkers, now);
         ranked.forEach(entry => this.#placeStep(entry, now));
         headroom.endCycle(now);
     }
 
     #rankReadySteps(now: Milliseconds): RankedStep[] {
-        const { context, fairShare: shares } = this.parts;
+        const { context, fairShare } = this.dependencies;
         return [...this.#ready]
             .filter(step => step.hasWaitingTask || step.definition.allowsCopies)
-            .map(step => rankStep(context, step, now, shares.entitlementOf(step)))
+            .map(step => rankStep(context, step, now, fairShare.entitlementOf(step)))
             .sort(compareRanks);
     }
 
     #placeStep(ranked: RankedStep, now: Milliseconds): void {
         const { step } = ranked;
-        const wanted = [...step.waitingTasks(), ...this.parts.migrator.tasksToCopy(step, now)];
+        const wanted = [...step.waitingTasks(), ...this.dependencies.migrator.tasksToCopy(step, now)];
         const waiting = this.#limits.admissibleOf(step, wanted, now);
         if (waiting.length === 0) {
             return;
         }
-        this.parts.advice.prepare(step, step.job.terms);
+        this.dependencies.advice.prepare(step, step.job.terms);
         if (now < step.notBefore) {
             return;
         }
@@ -122,16 +122,16 @@
             this.#deferredTasks += waiting.length;
             return;
         }
-        const { trusted, suspects, hasPostponed: hasHeld } = this.parts.crashes.partition(step, waiting, now);
+        const { trusted, suspects, hasPostponed } = this.dependencies.crashes.partition(step, waiting, now);
         if (!step.definition.isGang) {
             this.#placeTrusted(ranked, trusted, now);
             this.#placeTrial(step, suspects, now);
         }
-        else if (!hasHeld) {
+        else if (!hasPostponed) {
             // A gang is as suspect as any of its members: all of it is one trial.
             const isTrial = suspects.length > 0;
-            const choice = isTrial ? this.#trialCandidateQuery(step, now) : this.#candidateQuery(step, now);
-            this.#placeGang(ranked, waiting, findCandidates(choice, waiting.length), isTrial);
+            const query = isTrial ? this.#trialCandidateQuery(step, now) : this.#candidateQuery(step, now);
+            this.#placeGang(ranked, waiting, findCandidates(query, waiting.length), isTrial);
         }
     }
 
@@ -142,15 +142,16 @@
             index: this.#index,
             now,
             limitFor: worker => this.#limitFor(worker, step, now),
-            prefersFast: step.job.terms.priority <= (this.parts.context.queues?.mostUrgentPriority ?? -Infinity),
-            penaltyOf: worker => this.parts.health.costOf(worker, step) + this.#reservations.costOf(worker, step, now),
+            prefersFast: step.job.terms.priority <= (this.dependencies.context.queues?.mostUrgentPriority ?? -Infinity),
+            penaltyOf: worker =>
+                this.dependencies.health.costOf(worker, step) + this.#reservations.costOf(worker, step, now),
         };
     }
 
     /** For a trial, workers are preferred on which a crash would lose the fewest runs. */
     #trialCandidateQuery(step: Step, now: Milliseconds): CandidateQuery {
-        const usual = this.#candidateQuery(step, now);
-        return { ...usual, penaltyOf: worker => usual.penaltyOf(worker) + worker.runs.size * riskCost };
+        const query = this.#candidateQuery(step, now);
+        return { ...query, penaltyOf: worker => query.penaltyOf(worker) + worker.runs.size * riskCost };
     }
 
     #placeTrusted(ranked: RankedStep, tasks: readonly Task[], now: Milliseconds): void {
@@ -164,16 +165,16 @@
         if (suspects.length === 0) {
             return;
         }
-        const choice = this.#trialCandidateQuery(step, now);
-        const isQuiet = (worker: WorkerState) => [...worker.runs.values()].every(isPastStart);
-        const limit = (worker: WorkerState) => isQuiet(worker) ? choice.limitFor(worker) : 0;
-        const candidates = findCandidates({ ...choice, limitFor: limit }, suspects.length);
+        const query = this.#trialCandidateQuery(step, now);
+        const hasNoStartingRun = (worker: WorkerState) => [...worker.runs.values()].every(isPastStart);
+        const limitFor = (worker: WorkerState) => hasNoStartingRun(worker) ? query.limitFor(worker) : 0;
+        const candidates = findCandidates({ ...query, limitFor }, suspects.length);
         if (candidates.length > 0) {
             const { worker, count, ticket } = candidates[0];
             this.#order(suspects.slice(0, count), worker, { ticket, isTrial: true });
             return;
         }
-        this.parts.advice.requestAdvice(step, suspects.length, this.#capacityFor(step, suspects.length, now));
+        this.dependencies.advice.requestAdvice(step, suspects.length, this.#capacityFor(step, suspects.length, now));
     }
 
     #placeTasks(
@@ -186,7 +187,10 @@
         let next = 0;
         for (const { worker, count, ticket } of candidates) {
             // Headroom is counted for the service as a whole, so each order lowers the limit of the workers that follow.
-            const taken = waiting.slice(next, next + Math.min(count, this.parts.headroom.limitFor(worker, step)));
+            const taken = waiting.slice(
+                next,
+                next + Math.min(count, this.dependencies.headroom.limitFor(worker, step)),
+            );
             if (taken.length > 0) {
                 this.#order(taken, worker, { ticket, isTrial: false });
             }
@@ -196,12 +200,12 @@
             }
         }
         const left = waiting.length - next;
-        this.parts.headroom.noteUnplaced(ranked, left);
+        this.dependencies.headroom.noteUnplaced(ranked, left);
         // Long-running tasks must be placed however full the service is, and wide ones do not fit by chance.
         if (step.definition.isLasting || this.#isStarving(step, now)) {
             this.#reserve(step, left, now);
         }
-        this.parts.advice.requestAdvice(step, left, this.#capacityFor(step, left, now));
+        this.dependencies.advice.requestAdvice(step, left, this.#capacityFor(step, left, now));
     }
 
     #placeGang(
@@ -211,22 +215,22 @@
         isTrial: boolean,
     ): void {
         const { step } = ranked;
-        const now = this.parts.context.now();
+        const now = this.dependencies.context.now();
         if (waiting.length < step.tasks.length) {
             return;
         }
-        const shares = this.#allocate(step, candidates, waiting.length, now);
-        if (shares === undefined) {
+        const allocations = this.#allocate(step, candidates, waiting.length, now);
+        if (allocations === undefined) {
             if (this.#fitsWhenEmpty(step, waiting.length)) {
                 this.#deferral.noteBlockedGang(ranked, now);
             }
             this.#reserve(step, waiting.length, now, latestUsefulStart(ranked));
-            this.parts.advice.requestAdvice(step, waiting.length, this.#capacityFor(step, waiting.length, now));
+            this.dependencies.advice.requestAdvice(step, waiting.length, this.#capacityFor(step, waiting.length, now));
             return;
         }
-        const run = this.parts.runs.nextRunNumber(step, waiting[0]);
+        const run = this.dependencies.runs.nextRunNumber(step, waiting[0]);
         let next = 0;
-        for (const { worker, count, ticket } of shares) {
+        for (const { worker, count, ticket } of allocations) {
             this.#order(waiting.slice(next, next + count), worker, { ticket, isTrial }, run);
             next += count;
         }
@@ -235,11 +239,13 @@
     /** Whether the workers known to be permitted could hold all of a gang if they were empty. */
     #fitsWhenEmpty(step: Step, count: number): boolean {
         const { permits } = step;
-        const workers = permits === undefined ? this.#openWorkers : this.parts.context.findWorkers(permits.permitted);
-        let held = 0;
+        const workers = permits === undefined
+            ? this.#openWorkers
+            : this.dependencies.context.findWorkers(permits.permitted);
+        let capacity = 0;
         for (const worker of workers) {
-            held += worker.countWhenEmpty(step);
-            if (held >= count) {
+            capacity += worker.countWhenEmpty(step);
+            if (capacity >= count) {
                 return true;
             }
         }
@@ -262,17 +268,17 @@
             return allocate(candidates, count);
         }
         const inOneRack = allocateInOneRack(candidates, count);
-        const isPatienceOver = now - (step.readyAt ?? now) > rackTimeout;
-        return inOneRack ?? (isPatienceOver ? allocate(candidates, count) : undefined);
+        const hasTimedOut = now - (step.readyAt ?? now) > rackTimeout;
+        return inOneRack ?? (hasTimedOut ? allocate(candidates, count) : undefined);
     }
 
     /** Reserves resources for tasks that do not fit yet, unless they start after `notAfter`, and has their tickets renewed in time. */
     #reserve(step: Step, count: number, now: Milliseconds, notAfter = Infinity): void {
         const plan = this.#reservations.plan(step, count, now, notAfter);
         if (plan !== undefined) {
-            this.parts.advice.requestTickets(step, plan, this.#capacityFor(step, count, now));
+            this.dependencies.advice.requestTickets(step, plan, this.#capacityFor(step, count, now));
             if (plan.preempts) {
-                this.#preemption.freeResources(step, plan, now);
+                this.#preemptor.freeResources(step, plan, now);
             }
         }
     }
@@ -286,23 +292,28 @@
     #limitFor(worker: WorkerState, step: Step, now: Milliseconds): number {
         return Math.min(
             this.#reservations.limitFor(worker, step, now),
-            this.parts.headroom.limitFor(worker, step),
+            this.dependencies.headroom.limitFor(worker, step),
         );
     }
 
     /** Orders tasks of one step at one worker. `run`: the run number that members of a gang share. */
-    #order(tasks: readonly Task[], worker: WorkerState, terms: OrderOptions, run?: RunNumber): void {
-        const now = this.parts.context.now();
+    #order(tasks: readonly Task[], worker: WorkerState, options: OrderOptions, run?: RunNumber): void {
+        const now = this.dependencies.context.now();
         const { step } = tasks[0];
         this.#reservations.notePlaced(worker, step, tasks.length, now);
-        this.parts.headroom.notePlaced(worker, step, tasks.length);
+        this.dependencies.headroom.notePlaced(worker, step, tasks.length);
         for (const task of tasks) {
-            const entry = this.parts.runs.order(task, run ?? this.parts.runs.nextRunNumber(step, task), worker, terms);
-            if (terms.isTrial) {
-                this.parts.crashes.beginTrial(entry);
+            const entry = this.dependencies.runs.order(
+                task,
+                run ?? this.dependencies.runs.nextRunNumber(step, task),
+                worker,
+                options,
+            );
+            if (options.isTrial) {
+                this.dependencies.crashes.beginTrial(entry);
             }
         }
-        this.parts.context.options.log.log(logEvents.runsOrdered, {
+        this.dependencies.context.options.log.log(logEvents.runsOrdered, {
             job: step.job.id,
             first: formatTaskAddress({
                 job: step.job.id,
@@ -321,5 +332,5 @@
 }
 
 /** While a gang can be on time, resources that come free too late for it are better left to others. */
-const latestUsefulStart = ({ deadlineStatus: prospect, latestStart }: RankedStep): Milliseconds =>
-    prospect === DeadlineStatus.OnTime ? latestStart : Infinity;
+const latestUsefulStart = ({ deadlineStatus, latestStart }: RankedStep): Milliseconds =>
+    deadlineStatus === DeadlineStatus.OnTime ? latestStart : Infinity;
--- a/packages/cell/src/placing/plan-preemptor.ts
+++ b/packages/cell/src/placing/plan-preemptor.ts
@@ -14,7 +14,7 @@
 
 /** Carries out plans that count on preemption: stops runs that the policy allows to be stopped, as late as the plan permits. */
 export class PlanPreemptor {
-    constructor(private readonly stopper: RunPreemptor, private readonly policy: PreemptionPolicy) {}
+    constructor(private readonly preemptor: RunPreemptor, private readonly policy: PreemptionPolicy) {}
 
     /** Does nothing until the plan waits only for preempted runs and all its workers have tickets. */
     freeResources(step: Step, plan: ReservationPlan, now: Milliseconds): void {
@@ -26,26 +26,26 @@
         }
     }
 
-    #hasTickets({ permits }: Step, { tasksByWorker: shares }: ReservationPlan, now: Milliseconds): boolean {
+    #hasTickets({ permits }: Step, { tasksByWorker }: ReservationPlan, now: Milliseconds): boolean {
         return permits === undefined
-            || [...shares.keys()].every(worker => permits.ticketOf(worker.id, now + stopDuration) !== undefined);
+            || [...tasksByWorker.keys()].every(worker => permits.ticketOf(worker.id, now + stopDuration) !== undefined);
     }
 
     #freeResourcesAt(worker: WorkerState, step: Step, tasks: number, now: Milliseconds): void {
         const runs = [...worker.runs.values()];
-        let room = runs
+        let resources = runs
             .filter(run => run.phase === RunPhase.Stopping)
             .reduce<ResourceAmounts>((sum, run) => addAmounts(sum, resourcesOfRun(run)), freeResourcesOf(worker));
         const victims: TaskRun[] = [];
         for (const run of runs.filter(other => this.policy.mayPreemptFor(other, step, now)).sort(byProgress)) {
-            if (countFittingIn(room, step) >= tasks) {
+            if (countFittingIn(resources, step) >= tasks) {
                 break;
             }
             victims.push(run);
-            room = addAmounts(room, resourcesOfRun(run));
+            resources = addAmounts(resources, resourcesOfRun(run));
         }
-        if (countFittingIn(room, step) >= tasks) {
-            victims.forEach(victim => this.stopper.preempt(victim, step.address));
+        if (countFittingIn(resources, step) >= tasks) {
+            victims.forEach(victim => this.preemptor.preempt(victim, step.address));
         }
     }
 }
--- a/packages/cell/src/placing/reservations.ts
+++ b/packages/cell/src/placing/reservations.ts
@@ -69,11 +69,11 @@
         this.#reservations.clear();
         this.#ranks.clear();
         this.#attempts = 0;
-        const former = this.#plans;
+        const previous = this.#plans;
         this.#plans = new Map();
-        ranked.forEach((entry, place) => this.#ranks.set(entry.step, { ...entry, position: place }));
+        ranked.forEach((entry, position) => this.#ranks.set(entry.step, { ...entry, position }));
         for (const { step } of ranked) {
-            const plan = former.get(step);
+            const plan = previous.get(step);
             if (plan !== undefined && this.#isStillValid(step, plan, now)) {
                 this.#reserve(step, { ...plan, availableAt: this.#availableAt(step, plan, now) }, now);
             }
@@ -90,29 +90,33 @@
 
     /** Upper bound of a step's tasks on a worker, so that reservations of steps ahead are respected. */
     limitFor(worker: WorkerState, step: Step, now: Milliseconds): number {
-        const kept = this.#conflictingReservation(worker, step, now);
-        return kept === undefined || this.#precedes(step, kept.step) ? Infinity : countFittingIn(kept.spare, step);
+        const reservation = this.#conflictingReservation(worker, step, now);
+        return reservation === undefined || this.#precedes(step, reservation.step)
+            ? Infinity
+            : countFittingIn(reservation.spare, step);
     }
 
     /** Cost of a worker for a step that would use resources reserved there. */
     costOf(worker: WorkerState, step: Step, now: Milliseconds): number {
-        const kept = this.#conflictingReservation(worker, step, now);
-        return kept !== undefined && countFittingIn(kept.spare, step) === 0 ? reservedCost : 0;
+        const reservation = this.#conflictingReservation(worker, step, now);
+        return reservation !== undefined && countFittingIn(reservation.spare, step) === 0 ? reservedCost : 0;
     }
 
     /** Accounts for tasks of a step that were placed at a worker. */
     notePlaced(worker: WorkerState, step: Step, count: number, now: Milliseconds): void {
         this.#forecast.invalidate(worker);
-        const kept = this.#conflictingReservation(worker, step, now);
-        if (kept !== undefined) {
-            kept.spare = resourcesWithout(kept.spare, step, count);
+        const reservation = this.#conflictingReservation(worker, step, now);
+        if (reservation !== undefined) {
+            reservation.spare = resourcesWithout(reservation.spare, step, count);
         }
     }
 
     /** The reservation that a step's tasks would compete with; undefined when they will have ended by then. */
     #conflictingReservation(worker: WorkerState, step: Step, now: Milliseconds): Reservation | undefined {
-        const kept = this.#reservations.get(worker);
-        return kept === undefined || kept.step === step || endsBefore(step, worker, kept, now) ? undefined : kept;
+        const reservation = this.#reservations.get(worker);
+        return reservation === undefined || reservation.step === step || endsBefore(step, worker, reservation, now)
+            ? undefined
+            : reservation;
     }
 
     #precedes(step: Step, other: Step): boolean {
@@ -132,11 +136,11 @@
             return undefined;
         }
         this.#attempts++;
-        const waiting = this.#draftPlan(step, count, now, false);
-        const stopping = this.#draftPlan(step, count, now, true);
-        const isWorthStops =
-            (stopping?.availableAt ?? Infinity) + minPreemptionGain < (waiting?.availableAt ?? Infinity);
-        const plan = isWorthStops ? stopping : waiting;
+        const withoutPreemption = this.#draftPlan(step, count, now, false);
+        const withPreemption = this.#draftPlan(step, count, now, true);
+        const isPreemptionWorthwhile = (withPreemption?.availableAt ?? Infinity) + minPreemptionGain
+            < (withoutPreemption?.availableAt ?? Infinity);
+        const plan = isPreemptionWorthwhile ? withPreemption : withoutPreemption;
         if (plan !== undefined && plan.availableAt > notAfter) {
             return undefined;
         }
@@ -148,15 +152,15 @@
 
     /** The earliest plan for tasks of a step, with or without preemption; undefined when they will not fit. */
     #draftPlan(step: Step, count: number, now: Milliseconds, preempts: boolean): ActivePlan | undefined {
-        const openings = this.#startSlots(step, count, now, preempts).slice(0, count);
-        const last = openings.at(-1);
+        const slots = this.#startSlots(step, count, now, preempts).slice(0, count);
+        const lastSlot = slots.at(-1);
         // A gang starts as a whole; of other steps a part may be planned.
-        if (last === undefined || step.definition.isGang && openings.length < count) {
+        if (lastSlot === undefined || step.definition.isGang && slots.length < count) {
             return undefined;
         }
-        const shares = new Map<WorkerState, number>();
-        openings.forEach(({ worker }) => shares.set(worker, (shares.get(worker) ?? 0) + 1));
-        return { madeAt: now, availableAt: last.at, tasksByWorker: shares, preempts };
+        const tasksByWorker = new Map<WorkerState, number>();
+        slots.forEach(({ worker }) => tasksByWorker.set(worker, (tasksByWorker.get(worker) ?? 0) + 1));
+        return { madeAt: now, availableAt: lastSlot.at, tasksByWorker, preempts };
     }
 
     /**
@@ -165,24 +169,26 @@
      */
     #mayReserveMore(step: Step): boolean {
         const { size } = this.context.workers;
-        const most = Math.max(minReservations, Math.floor(size / workersPerReservation));
-        const kept = [...this.#reservations.values()].filter(({ step: other }) => !this.#outranks(step, other)).length;
+        const maxReservations = Math.max(minReservations, Math.floor(size / workersPerReservation));
+        const reserved =
+            [...this.#reservations.values()].filter(({ step: other }) => !this.#outranks(step, other)).length;
         const wide = [...this.#plans]
             .filter(([other, plan]) => plan.tasksByWorker.size > 1 && !this.#outranks(step, other))
             .length;
-        return kept <= size * maxReservedShare && wide < most && this.#attempts < most * attemptsPerReservation;
+        return reserved <= size * maxReservedShare && wide < maxReservations
+            && this.#attempts < maxReservations * attemptsPerReservation;
     }
 
     /** Times at which single tasks of a step will fit, earliest first. */
     #startSlots(step: Step, count: number, now: Milliseconds, preempts: boolean): StartSlot[] {
-        const openings: StartSlot[] = [];
+        const slots: StartSlot[] = [];
         const isStopped = this.#stopPredicateFor(step, preempts, now);
         for (const worker of this.#candidatesOf(step)) {
             if (this.#isUsable(worker, step, now)) {
-                openings.push(...this.#forecast.startSlotsOf(worker, step, count, now, isStopped));
+                slots.push(...this.#forecast.startSlotsOf(worker, step, count, now, isStopped));
             }
         }
-        return openings.sort((left, right) => left.at - right.at);
+        return slots.sort((left, right) => left.at - right.at);
     }
 
     #candidatesOf({ permits }: Step): Iterable<WorkerState> {
@@ -195,29 +201,29 @@
 
     #isUsable(worker: WorkerState, step: Step, now: Milliseconds): boolean {
         const isPermitted = step.permits === undefined || step.permits.isPermitted(worker.id);
-        const kept = this.#reservations.get(worker);
-        const isOpen = kept === undefined || this.#outranks(step, kept.step);
+        const reservation = this.#reservations.get(worker);
+        const isOpen = reservation === undefined || this.#outranks(step, reservation.step);
         return isPermitted && isOpen && isEligible(worker, step, step.job.terms.service, now);
     }
 
     /** Whether a plan of an earlier cycle still matches its step and workers. */
-    #isStillValid(step: Step, { madeAt, tasksByWorker: shares }: ActivePlan, now: Milliseconds): boolean {
-        const planned = [...shares.values()].reduce((sum, tasks) => sum + tasks, 0);
+    #isStillValid(step: Step, { madeAt, tasksByWorker }: ActivePlan, now: Milliseconds): boolean {
+        const planned = [...tasksByWorker.values()].reduce((sum, tasks) => sum + tasks, 0);
         const waiting = step.waitingTasks().length;
         return now - madeAt < planLifetime
             && (step.definition.isGang ? planned === waiting : planned <= waiting)
-            && [...shares.keys()].every(worker => this.#isUsable(worker, step, now));
+            && [...tasksByWorker.keys()].every(worker => this.#isUsable(worker, step, now));
     }
 
     /** When the workers of a plan will have its resources, as forecast now. */
-    #availableAt(step: Step, { tasksByWorker: shares, preempts }: ActivePlan, now: Milliseconds): Milliseconds {
+    #availableAt(step: Step, { tasksByWorker, preempts }: ActivePlan, now: Milliseconds): Milliseconds {
         const isStopped = this.#stopPredicateFor(step, preempts, now);
-        let from = now;
-        for (const [worker, tasks] of shares) {
-            const opening = this.#forecast.startSlotsOf(worker, step, tasks, now, isStopped)[tasks - 1];
-            from = Math.max(from, opening?.at ?? Infinity);
+        let availableAt = now;
+        for (const [worker, tasks] of tasksByWorker) {
+            const slot = this.#forecast.startSlotsOf(worker, step, tasks, now, isStopped)[tasks - 1];
+            availableAt = Math.max(availableAt, slot?.at ?? Infinity);
         }
-        return from;
+        return availableAt;
     }
 
     #reserve(step: Step, plan: ActivePlan, now: Milliseconds): void {
@@ -231,12 +237,12 @@
 
     /** Drops the plan that reserves a worker, on all its workers. */
     #dropPlanAt(worker: WorkerState): void {
-        const kept = this.#reservations.get(worker);
-        if (kept === undefined) {
+        const reservation = this.#reservations.get(worker);
+        if (reservation === undefined) {
             return;
         }
-        const plan = this.#plans.get(kept.step);
-        this.#plans.delete(kept.step);
+        const plan = this.#plans.get(reservation.step);
+        this.#plans.delete(reservation.step);
         for (const other of plan?.tasksByWorker.keys() ?? []) {
             this.#reservations.delete(other);
         }
@@ -247,6 +253,6 @@
 const endsBefore = (
     { definition }: Step,
     { slowness }: WorkerState,
-    { availableAt: from }: Reservation,
+    { availableAt }: Reservation,
     now: Milliseconds,
-): boolean => !definition.isLasting && now + definition.estimate * slowness * backfillMargin <= from;
+): boolean => !definition.isLasting && now + definition.estimate * slowness * backfillMargin <= availableAt;
--- a/packages/cell/src/shares/submission-rate.ts
+++ b/packages/cell/src/shares/submission-rate.ts
@@ -48,12 +48,12 @@
     /** Uses the newest configuration: a changed rate applies to jobs accepted earlier, too. */
     entitlementOf(job: Job): Entitlement {
         const rate = job.organisation && this.jobRateOf(job.organisation);
-        const found = this.#places.get(job);
-        if (rate === undefined || found === undefined) {
+        const position = this.#places.get(job);
+        if (rate === undefined || position === undefined) {
             return Entitlement.Entitled;
         }
-        const unused = Math.max(0, rate - found.before);
-        return found.place <= rate + unused ? Entitlement.Entitled : Entitlement.Surplus;
+        const unused = Math.max(0, rate - position.before);
+        return position.place <= rate + unused ? Entitlement.Entitled : Entitlement.Surplus;
     }
 
     #tallyOf(organisation: OrganisationName, second: number): Tally {
--- a/packages/cell/src/speeds/speed-estimator.ts
+++ b/packages/cell/src/speeds/speed-estimator.ts
@@ -1,7 +1,7 @@
 /** Estimate of workers' speeds from completed runs. */
 import type { Milliseconds } from "@pebbledale/core";
 import type { Step, TaskRun, WorkerState } from "../state/index.js";
-import { paceOfDone } from "../watching/index.js";
+import { paceOfCompleted } from "../watching/index.js";
 import { equalityTolerance, maxDifference, maxPeers, maxWeight, minWeight, priorWeight } from "./constants.js";
 import type { WorkerSpeeds } from "./types.js";
 
@@ -24,7 +24,7 @@
 
     noteDone(run: TaskRun, now: Milliseconds): void {
         const { worker, task: { step } } = run;
-        const pace = paceOfDone(run, now);
+        const pace = paceOfCompleted(run, now);
         if (pace === undefined || worker.slowUntil > now) {
             // A worker that is slow at present does not show its usual speed.
             return;
@@ -54,13 +54,13 @@
     }
 
     #learn(worker: WorkerState, difference: number, weight: number): void {
-        const known = this.#estimates.get(worker) ?? { sum: 0, weight: 0 };
-        this.#estimates.set(worker, known);
-        const kept = Math.min(1, maxWeight / (known.weight + weight));
+        const estimate = this.#estimates.get(worker) ?? { sum: 0, weight: 0 };
+        this.#estimates.set(worker, estimate);
+        const kept = Math.min(1, maxWeight / (estimate.weight + weight));
         const sample = Math.max(-maxDifference, Math.min(maxDifference, difference));
-        known.sum = (known.sum + sample * weight) * kept;
-        known.weight = (known.weight + weight) * kept;
-        worker.slowness = this.#slownessOf(worker, known);
+        estimate.sum = (estimate.sum + sample * weight) * kept;
+        estimate.weight = (estimate.weight + weight) * kept;
+        worker.slowness = this.#slownessOf(worker, estimate);
     }
 
     #slownessOf(worker: WorkerState, { weight }: SpeedEstimate): number {
@@ -69,7 +69,7 @@
     }
 
     #speedOf(worker: WorkerState): number {
-        const known = this.#estimates.get(worker);
-        return known === undefined ? 0 : known.sum / (known.weight + priorWeight);
+        const estimate = this.#estimates.get(worker);
+        return estimate === undefined ? 0 : estimate.sum / (estimate.weight + priorWeight);
     }
 }
--- a/packages/cell/src/upkeep/wave-planner.ts
+++ b/packages/cell/src/upkeep/wave-planner.ts
@@ -133,14 +133,14 @@
         const down = definition.vms.filter(vm => wave.begun.has(vm) && !wave.finished.has(vm)).length;
         let free = definition.mostDown - down;
         // In addition to the VMs that are down, as many are drained as may go down next.
-        let emptied = definition.mostDown;
+        let draining = definition.mostDown;
         for (const vm of definition.vms) {
             const entry = this.#vms.get(vm);
             const isOpen = !wave.begun.has(vm) && !wave.finished.has(vm) && entry?.state === VmCondition.Up;
-            if (!isOpen || emptied === 0) {
+            if (!isOpen || draining === 0) {
                 continue;
             }
-            emptied--;
+            draining--;
             if (entry.worker !== undefined) {
                 closed.add(entry.worker);
             }
@@ -152,11 +152,11 @@
     }
 
     #isReady(wave: Wave, { worker }: VmEntry): boolean {
-        const known = worker === undefined ? undefined : this.options.workerOf(worker);
-        if (known === undefined || known.runs === 0) {
+        const planned = worker === undefined ? undefined : this.options.workerOf(worker);
+        if (planned === undefined || planned.runs === 0) {
             return true;
         }
-        return !known.isNeeded && this.options.now() > wave.since + this.#maxDrainTime(wave);
+        return !planned.isNeeded && this.options.now() > wave.since + this.#maxDrainTime(wave);
     }
 
     /** How long VMs may drain, from the start of the wave: the rest of its time is needed for the upkeep itself. */
@@ -188,11 +188,11 @@
         if (entry.state !== VmCondition.Up || order === undefined) {
             return;
         }
-        const isOld = this.options.now() - order.at > this.options.upkeepTime + upkeepMargin;
-        if (wave.seenDown.has(vm) || isOld && order.isConfirmed) {
+        const isOverdue = this.options.now() - order.at > this.options.upkeepTime + upkeepMargin;
+        if (wave.seenDown.has(vm) || isOverdue && order.isConfirmed) {
             wave.finished.add(vm);
         }
-        else if (isOld) {
+        else if (isOverdue) {
             // The order had no answer: it is issued again, which is answered as done if it was carried out.
             wave.begun.delete(vm);
         }
--- a/packages/cell/src/watching/index.ts
+++ b/packages/cell/src/watching/index.ts
@@ -1,4 +1,4 @@
 /** Monitoring of workers by the failures and the progress of their runs. */
 export * from "./health-monitor.js";
 export * from "./progress-monitor.js";
-export { paceOfCompleted as paceOfDone } from "./run-paces.js";
+export { paceOfCompleted } from "./run-paces.js";
--- a/packages/cell/src/watching/progress-monitor.ts
+++ b/packages/cell/src/watching/progress-monitor.ts
@@ -15,10 +15,10 @@
     constructor(private readonly context: CellContext) {}
 
     /** Takes the progress of a worker's runs. `clock`: the worker's own clock at the time of the report. */
-    note(worker: WorkerState, seen: readonly (readonly [TaskRun, WorkerRun])[], clock: Milliseconds): void {
+    note(worker: WorkerState, reported: readonly (readonly [TaskRun, WorkerRun])[], clock: Milliseconds): void {
         const now = this.context.now();
         const samples = new Map<Step, RunPace[]>();
-        for (const [run, progress] of seen) {
+        for (const [run, progress] of reported) {
             const sample = sampleRun(run, progress, clock, now);
             const { step } = run.task;
             if (sample !== undefined) {
@@ -52,9 +52,7 @@
             // Members of a gang may slow each other down.
             changes: step.definition.isGang
                 ? []
-                : paces.flatMap(({ pace, earlierPace: formerPace }) =>
-                    formerPace === undefined ? [] : [pace - formerPace]
-                ),
+                : paces.flatMap(({ pace, earlierPace }) => earlierPace === undefined ? [] : [pace - earlierPace]),
             roundingVariance: Math.max(...paces.map(({ roundingVariance }) => roundingVariance)),
             expected: this.#paces.expectedPaceOf(step, worker.id),
         };
--- a/packages/cell/src/watching/run-paces.ts
+++ b/packages/cell/src/watching/run-paces.ts
@@ -35,26 +35,28 @@
         return undefined;
     }
     if (run.progressSamples === undefined) {
-        const mark = { percent, at: clock };
-        run.progressSamples = { first: startOf(run, clock, now) ?? mark, latest: mark };
+        const sample = { percent, at: clock };
+        run.progressSamples = { first: startOf(run, clock, now) ?? sample, latest: sample };
         return undefined;
     }
-    const { first: origin, latest: last } = run.progressSamples;
-    const elapsed = clock - last.at;
+    const { first, latest } = run.progressSamples;
+    const elapsed = clock - latest.at;
     const pacePerPercent = estimate / 100;
-    const formerPercents = last.percent - origin.percent;
-    const former = formerPercents / Math.max(1, last.at - origin.at);
+    const earlierPercents = latest.percent - first.percent;
+    const earlierSpeed = earlierPercents / Math.max(1, latest.at - first.at);
     // By its earlier pace, or by the estimate where that is higher or there is no earlier pace.
-    const expected = Math.max(elapsed * former, elapsed / estimate * 100);
+    const expected = Math.max(elapsed * earlierSpeed, elapsed / estimate * 100);
     if (elapsed < progressInterval || expected < minPercentPerSample && elapsed < maxSampleTime) {
         return undefined;
     }
-    run.progressSamples = { first: origin, latest: { percent, at: clock } };
-    const gained = Math.max(minProgress, percent - last.percent);
-    const farness = isRemoteFromData(run) ? remoteDataPace : 0;
+    run.progressSamples = { first, latest: { percent, at: clock } };
+    const gained = Math.max(minProgress, percent - latest.percent);
+    const remoteOffset = isRemoteFromData(run) ? remoteDataPace : 0;
     return {
-        pace: Math.log(gained / elapsed * pacePerPercent) + farness,
-        earlierPace: formerPercents < minPercentPerSample ? undefined : Math.log(former * pacePerPercent) + farness,
+        pace: Math.log(gained / elapsed * pacePerPercent) + remoteOffset,
+        earlierPace: earlierPercents < minPercentPerSample
+            ? undefined
+            : Math.log(earlierSpeed * pacePerPercent) + remoteOffset,
         roundingVariance: (minProgress / Math.max(1, expected)) ** 2,
     };
 };
--- a/packages/cell/src/watching/step-paces.ts
+++ b/packages/cell/src/watching/step-paces.ts
@@ -27,11 +27,11 @@
     note(step: Step, worker: WorkerId, pace: number): void {
         const paces = this.#paces.get(step) ?? new Map<WorkerId, number>();
         this.#paces.set(step, paces);
-        const former = paces.get(worker);
-        if (former === undefined && paces.size >= maxPeers) {
+        const average = paces.get(worker);
+        if (average === undefined && paces.size >= maxPeers) {
             return;
         }
-        paces.set(worker, former === undefined ? pace : former + (pace - former) * newestWeight);
+        paces.set(worker, average === undefined ? pace : average + (pace - average) * newestWeight);
     }
 
     /** Combines the paces on other workers with the caller's estimate, which counts more the fewer these are. */
--- a/packages/cell/src/yielding/index.ts
+++ b/packages/cell/src/yielding/index.ts
@@ -1,3 +1,3 @@
 /** Preemption of runs by more urgent work. */
-export * from "./run-preemptor.js";
 export * from "./preemption-policy.js";
+export * from "./run-preemptor.js";
