--- a/packages/cell/test/advising/advice-dispatcher.test.ts
+++ b/packages/cell/test/advising/advice-dispatcher.test.ts
@@ -3,7 +3,7 @@
 import { describe, it } from "node:test";
 import { AdviceDispatcher } from "../../src/index.js";
 
-const make = (...names: string[]) => {
+const makeDispatcher = (...names: string[]) => {
     const asked: { vm: string; question: number; step: string; }[] = [];
     const clock = new ManualClock();
     const unwanted = new Set<string>();
@@ -26,7 +26,7 @@
 
 describe("questions to the advice service", () => {
     it("are distributed so that a quick one never waits behind a slow one while there are other VMs", () => {
-        const { asked, ask } = make("a", "b", "c");
+        const { asked, ask } = makeDispatcher("a", "b", "c");
         ["s1", "s2", "s3", "s4"].forEach(step => ask(step, 800));
         ask("quick", 10, 0);
         const vmOfQuick = asked.find(entry => entry.step === "quick")?.vm;
@@ -36,7 +36,7 @@
     });
 
     it("are sent one after the other with a single VM", () => {
-        const { dispatcher, asked, ask } = make("a");
+        const { dispatcher, asked, ask } = makeDispatcher("a");
         ask("slow", 800);
         ask("next", 800);
         expect(asked.map(entry => entry.step)).toEqual(["slow"]);
@@ -45,7 +45,7 @@
     });
 
     it("are sent to another VM when theirs is gone", () => {
-        const { dispatcher, asked, ask } = make("a", "b");
+        const { dispatcher, asked, ask } = makeDispatcher("a", "b");
         ask("step", 10);
         dispatcher.leave(asked[0].vm);
         expect(asked.length).toEqual(2);
@@ -54,28 +54,28 @@
     });
 
     it("are sent in the order of their urgency", () => {
-        const { dispatcher, asked, ask } = make("a");
+        const { dispatcher, asked, ask } = makeDispatcher("a");
         ask("first", 800, 2);
-        ask("patient", 800, 2);
+        ask("deferrable", 800, 2);
         ask("urgent", 800, 0);
         dispatcher.complete(asked[0].question);
         expect(asked[1].step).toEqual("urgent");
     });
 
     it("are not starved by more urgent ones that keep arriving", () => {
-        const { dispatcher, asked, ask, clock } = make("a");
+        const { dispatcher, asked, ask, clock } = makeDispatcher("a");
         ask("first", 800, 1);
-        ask("patient", 800, 6);
-        for (let next = 0; next < 10 && !asked.some(entry => entry.step === "patient"); next++) {
+        ask("deferrable", 800, 6);
+        for (let next = 0; next < 10 && !asked.some(entry => entry.step === "deferrable"); next++) {
             ask(`urgent-${next}`, 800, 1);
             clock.advance(800);
             dispatcher.complete(asked.at(-1)!.question);
         }
-        expect(asked.some(entry => entry.step === "patient")).toEqual(true);
+        expect(asked.some(entry => entry.step === "deferrable")).toEqual(true);
     });
 
     it("are discarded once their answers are of no use", () => {
-        const { dispatcher, asked, ask, unwanted, dropped } = make("a");
+        const { dispatcher, asked, ask, unwanted, dropped } = makeDispatcher("a");
         ["first", "cancelled", "next"].forEach(step => ask(step, 800));
         unwanted.add("cancelled");
         dispatcher.complete(asked[0].question);
@@ -87,7 +87,7 @@
 const workersOf = (count: number) => Array.from({ length: count }, (_, index) => workerId(`w${index}`));
 
 /** A dispatcher with this many VMs, and the questions that each was sent. */
-const makeMany = (vms: number) => {
+const makeVms = (vms: number) => {
     const asked: { vm: string; question: number; workers: number; duration: number; }[] = [];
     const questioner = { isAdviceWanted: () => true, dropAdvice: () => undefined };
     const dispatcher = new AdviceDispatcher(() => 0, questioner);
@@ -106,7 +106,7 @@
     const question = (workers: number) => ({ step: "s", workers: workersOf(workers), urgency: 1, policy });
 
     it("is split over half of the free VMs", () => {
-        const { dispatcher, asked } = makeMany(40);
+        const { dispatcher, asked } = makeVms(40);
         dispatcher.ask(question(240));
         expect(new Set(asked.map(({ vm }) => vm)).size).toEqual(asked.length);
         expect(asked.length).toEqual(10);
@@ -116,13 +116,13 @@
     });
 
     it("is not split into parts too small to be worth a call", () => {
-        const { dispatcher, asked } = makeMany(90);
+        const { dispatcher, asked } = makeVms(90);
         dispatcher.ask(question(50));
         expect(asked.map(({ workers }) => workers)).toEqual([24, 24, 2]);
     });
 
     it("waits with the remainder until VMs are free", () => {
-        const { dispatcher, asked } = makeMany(4);
+        const { dispatcher, asked } = makeVms(4);
         dispatcher.ask(question(240));
         expect(asked.map(({ workers }) => workers)).toEqual([100, 100]);
         expect(dispatcher.complete(asked[0].question)?.workers.length).toEqual(100);
@@ -130,7 +130,7 @@
     });
 
     it("has a part sent to another VM when its VM is gone", () => {
-        const { dispatcher, asked } = makeMany(6);
+        const { dispatcher, asked } = makeVms(6);
         dispatcher.ask(question(60));
         const parts = asked.length;
         dispatcher.leave(asked[0].vm);
--- a/packages/cell/test/headroom/urgent-headroom.test.ts
+++ b/packages/cell/test/headroom/urgent-headroom.test.ts
@@ -4,14 +4,14 @@
 import type { JobDefinition } from "../../src/index.js";
 import { CellDriver, makeConfiguration, makeJob, makeQueue, makeStep, makeWorker, service } from "../support/index.js";
 
-const queues = [makeQueue("urgent", { priority: 0 }), makeQueue("patient", { priority: 2, extension: 10 })];
-const patientStep = makeStep({ taskCount: 20, estimate: 10_000 });
+const queues = [makeQueue("urgent", { priority: 0 }), makeQueue("deferrable", { priority: 2, extension: 10 })];
+const deferrableStep = makeStep({ taskCount: 20, estimate: 10_000 });
 
 const jobOf = (queue: string, id: string, ...steps: JobDefinition["steps"]): JobDefinition =>
     makeJob(id, steps, { queue: queueName(queue) });
 
 /** Two workers of eight cores each, on which `taskCount` urgent tasks of one core have just ended. */
-const afterUrgent = (taskCount: number, changes = {}): CellDriver => {
+const afterUrgentWork = (taskCount: number, changes = {}): CellDriver => {
     const driver = new CellDriver(undefined, makeConfiguration(1, queues));
     driver.addWorkers(makeWorker("w1"), makeWorker("w2"));
     driver.cell.submit(jobOf("urgent", "urgent", makeStep({ taskCount, estimate: 300, ...changes })));
@@ -23,20 +23,20 @@
     return driver;
 };
 
-const patientStarts = (driver: CellDriver): number =>
-    driver.run().starts.filter(({ task }) => task.startsWith("patient")).length;
+const deferrableStarts = (driver: CellDriver): number =>
+    driver.run().starts.filter(({ task }) => task.startsWith("deferrable")).length;
 
 describe("deferrable work beside urgent narrow work", () => {
     it("leaves as much capacity free as urgent work used recently", () => {
-        const driver = afterUrgent(2);
-        driver.cell.submit(jobOf("patient", "patient", patientStep));
-        expect(patientStarts(driver)).toEqual(14);
+        const driver = afterUrgentWork(2);
+        driver.cell.submit(jobOf("deferrable", "deferrable", deferrableStep));
+        expect(deferrableStarts(driver)).toEqual(14);
     });
 
     it("leaves at most a fifth of the capacity free", () => {
-        const driver = afterUrgent(12);
-        driver.cell.submit(jobOf("patient", "patient", patientStep));
-        expect(patientStarts(driver)).toEqual(13);
+        const driver = afterUrgentWork(12);
+        driver.cell.submit(jobOf("deferrable", "deferrable", deferrableStep));
+        expect(deferrableStarts(driver)).toEqual(13);
     });
 
     it("shows the headroom in the summary, and logs considerable changes", () => {
@@ -46,7 +46,7 @@
         const { starts } = driver.run();
         driver.confirm(...starts);
         starts.forEach(start => driver.end(start));
-        driver.cell.submit(jobOf("patient", "patient", { ...patientStep, taskCount: 80 }));
+        driver.cell.submit(jobOf("deferrable", "deferrable", { ...deferrableStep, taskCount: 80 }));
         driver.run();
         expect(driver.cell.summary().services[service].keptProcessor).toEqual(12_000);
         driver.clock.advance(1_000);
@@ -56,23 +56,23 @@
     });
 
     it("uses the headroom once no urgent work has arrived for a while", () => {
-        const driver = afterUrgent(3);
-        driver.cell.submit(jobOf("patient", "patient", patientStep));
-        patientStarts(driver);
+        const driver = afterUrgentWork(3);
+        driver.cell.submit(jobOf("deferrable", "deferrable", deferrableStep));
+        deferrableStarts(driver);
         driver.clock.advance(30_000);
-        expect(patientStarts(driver)).toEqual(3);
+        expect(deferrableStarts(driver)).toEqual(3);
     });
 
     it("uses the headroom where its job would be late otherwise", () => {
-        const driver = afterUrgent(3);
-        driver.cell.submit(jobOf("patient", "patient", { ...patientStep, estimate: 100 }));
-        expect(patientStarts(driver)).toEqual(16);
+        const driver = afterUrgentWork(3);
+        driver.cell.submit(jobOf("deferrable", "deferrable", { ...deferrableStep, estimate: 100 }));
+        expect(deferrableStarts(driver)).toEqual(16);
     });
 
     it("uses the headroom where gangs share the service", () => {
-        const driver = afterUrgent(3, { isGang: true });
-        driver.cell.submit(jobOf("patient", "patient", patientStep));
-        expect(patientStarts(driver)).toEqual(16);
+        const driver = afterUrgentWork(3, { isGang: true });
+        driver.cell.submit(jobOf("deferrable", "deferrable", deferrableStep));
+        expect(deferrableStarts(driver)).toEqual(16);
     });
 
     it("does not count free resources that fit no urgent task", () => {
@@ -84,8 +84,8 @@
         driver.confirm(start);
         driver.end(start);
         // If one core stayed free on each worker, that would add up to an urgent task but fit none.
-        driver.cell.submit(jobOf("patient", "patient", makeStep({ taskCount: 14, estimate: 10_000 })));
-        const starts = driver.run().starts.filter(({ task }) => task.startsWith("patient"));
+        driver.cell.submit(jobOf("deferrable", "deferrable", makeStep({ taskCount: 14, estimate: 10_000 })));
+        const starts = driver.run().starts.filter(({ task }) => task.startsWith("deferrable"));
         expect(starts.length).toEqual(14);
         const counts = ["w1", "w2"].map(id => starts.filter(({ worker }) => worker === id).length);
         expect(counts.sort()).toEqual([6, 8]);
--- a/packages/cell/test/headroom/urgent-stops.test.ts
+++ b/packages/cell/test/headroom/urgent-stops.test.ts
@@ -13,10 +13,10 @@
     running,
 } from "../support/index.js";
 
-const queues = [makeQueue("urgent", { priority: 0 }), makeQueue("patient", { priority: 2, extension: 10 })];
+const queues = [makeQueue("urgent", { priority: 0 }), makeQueue("deferrable", { priority: 2, extension: 10 })];
 const workers = [makeWorker("w1"), makeWorker("w2")];
 /** Four of its tasks fill a worker. */
-const patientStep = makeStep({
+const deferrableStep = makeStep({
     taskCount: 8,
     size: { processorThousandths: 2_000, memoryMebibytes: 1_024, accelerators: 0 },
     estimate: 20_000,
@@ -28,23 +28,23 @@
     makeJob(id, [step], { queue: queueName(queue), ...changes });
 
 /** Two workers filled by deferrable tasks, each of which is a quarter done. */
-const filled = (
-    step = patientStep,
+const filledWorkers = (
+    step = deferrableStep,
     organisations: readonly Organisation[] = [],
     changes: Partial<JobDefinition> = {},
 ): { driver: CellDriver; starts: readonly StartCommand[]; } => {
     const driver = new CellDriver(undefined, makeConfiguration(1, queues, organisations));
     driver.addWorkers(...workers);
-    driver.cell.submit(jobOf("patient", "patient", step, changes));
+    driver.cell.submit(jobOf("deferrable", "deferrable", step, changes));
     const { starts } = driver.run();
     driver.confirm(...starts);
     driver.clock.advance(500);
-    showAll(driver, starts, () => 25);
+    pollAll(driver, starts, () => 25);
     return { driver, starts };
 };
 
 /** Polls all workers. */
-const showAll = (
+const pollAll = (
     driver: CellDriver,
     starts: readonly StartCommand[],
     percentOf: (start: StartCommand) => number,
@@ -59,7 +59,7 @@
 
 describe("an urgent narrow step that does not fit", () => {
     it("preempts one deferrable run whose progress is saved, and no more than it needs", () => {
-        const { driver, starts } = filled();
+        const { driver, starts } = filledWorkers();
         driver.cell.submit(jobOf("urgent", "urgent", { ...urgentStep, taskCount: 2 }));
         const { stops } = driver.run();
         expect(stops.length).toEqual(1);
@@ -68,23 +68,23 @@
     });
 
     it("waits for a run that is about to end", () => {
-        const { driver, starts } = filled();
+        const { driver, starts } = filledWorkers();
         driver.clock.advance(500);
-        showAll(driver, starts, start => start === starts[0] ? 97 : 26);
+        pollAll(driver, starts, start => start === starts[0] ? 97 : 26);
         driver.cell.submit(jobOf("urgent", "urgent"));
         expect(driver.run().stops).toEqual([]);
     });
 
     it("preempts no run whose progress would be lost or whose job would be late", () => {
-        for (const step of [{ ...patientStep, savesProgress: false }, { ...patientStep, estimate: 300 }]) {
-            const { driver } = filled(step);
+        for (const step of [{ ...deferrableStep, savesProgress: false }, { ...deferrableStep, estimate: 300 }]) {
+            const { driver } = filledWorkers(step);
             driver.cell.submit(jobOf("urgent", "urgent"));
             expect(driver.run().stops).toEqual([]);
         }
     });
 
     it("preempts nothing where gangs share the service", () => {
-        const { driver } = filled();
+        const { driver } = filledWorkers();
         driver.cell.submit(jobOf("urgent", "gang", { ...urgentStep, isGang: true, requiredLabel: "elsewhere" }));
         driver.cell.submit(jobOf("urgent", "urgent"));
         expect(driver.run().stops).toEqual([]);
@@ -93,7 +93,7 @@
 
 describe("a preemption for urgent work", () => {
     it("is ordered once while its end is awaited", () => {
-        const { driver } = filled();
+        const { driver } = filledWorkers();
         driver.cell.submit(jobOf("urgent", "urgent"));
         expect(driver.run().stops.length).toEqual(1);
         driver.clock.advance(300);
@@ -101,7 +101,7 @@
     });
 
     it("is replaced by another when its worker stops answering", () => {
-        const { driver } = filled();
+        const { driver } = filledWorkers();
         driver.cell.submit(jobOf("urgent", "urgent"));
         const [first] = driver.run().stops;
         driver.cell.applySilence(first.worker, driver.clock.monotonic() + 6_000);
@@ -111,7 +111,7 @@
     });
 
     it("is neither lost nor repeated after a change of owner", () => {
-        const { driver, starts } = filled();
+        const { driver, starts } = filledWorkers();
         driver.cell.submit(jobOf("urgent", "urgent"));
         const { stops: [stop] } = driver.run();
         driver.takeOver();
@@ -136,7 +136,7 @@
 
     it("is not ordered for work that exceeds its organisation's lowered limit", () => {
         const north = { organisation: organisationName("north") };
-        const { driver } = filled(patientStep, [makeOrganisation("north", 24)], north);
+        const { driver } = filledWorkers(deferrableStep, [makeOrganisation("north", 24)], north);
         driver.cell.configure(makeConfiguration(2, queues, [makeOrganisation("north", 12)]));
         driver.cell.submit(jobOf("urgent", "urgent", urgentStep, north));
         expect(driver.run().stops).toEqual([]);
--- a/packages/cell/test/load/gang-deferral.test.ts
+++ b/packages/cell/test/load/gang-deferral.test.ts
@@ -5,14 +5,14 @@
 import { CellDriver, makeConfiguration, makeJob, makeQueue, makeStep, makeWorker } from "../support/index.js";
 
 const sizeOf = (processorThousandths: number) => ({ processorThousandths, memoryMebibytes: 1, accelerators: 0 });
-const patient = { queue: queueName("patient") };
+const deferrable = { queue: queueName("deferrable") };
 /** A gang that needs six of eight cores on two workers at once. */
 const gang = makeStep({ taskCount: 2, isGang: true, size: sizeOf(6_000), estimate: 30_000 });
 const small = makeStep({ size: sizeOf(1_000), estimate: 2_000 });
 
 const configuration = makeConfiguration(1, [
     makeQueue("work", { priority: 1 }),
-    makeQueue("patient", { priority: 2, extension: 6 }),
+    makeQueue("deferrable", { priority: 2, extension: 6 }),
 ]);
 
 const makeDriver = (workers: number): CellDriver => {
@@ -22,7 +22,7 @@
 };
 
 /** Workers with two of eight cores free each, and a gang that has been blocked for a while. */
-const shortOfRoom = (waiting = gang): { driver: CellDriver; holders: readonly StartCommand[]; } => {
+const withBlockedGang = (waiting = gang): { driver: CellDriver; holders: readonly StartCommand[]; } => {
     const driver = makeDriver(2);
     driver.cell.submit(makeJob("holder", [makeStep({ taskCount: 2, size: sizeOf(6_000), estimate: 60_000 })]));
     const holders = driver.run().starts;
@@ -37,15 +37,15 @@
 
 describe("deferrable work while a gang of a more urgent queue is blocked", () => {
     it("leaves free resources unused, so that they accumulate", () => {
-        const { driver } = shortOfRoom();
-        driver.cell.submit(makeJob("small", [small], patient));
+        const { driver } = withBlockedGang();
+        driver.cell.submit(makeJob("small", [small], deferrable));
         expect(startedJobs(driver)).toEqual([]);
         expect(driver.cell.summary().heldBack).toEqual(1);
     });
 
     it("starts once its job would be late otherwise", () => {
-        const { driver } = shortOfRoom();
-        driver.cell.submit(makeJob("small", [small], patient));
+        const { driver } = withBlockedGang();
+        driver.cell.submit(makeJob("small", [small], deferrable));
         driver.run();
         // Its objective is 13 s, its work 2 s, and 5 s are the slack below which a step is not deferrable.
         driver.clock.advance(5_900);
@@ -59,7 +59,7 @@
         driver.cell.submit(makeJob("holder", [makeStep({ taskCount: 2, size: sizeOf(6_000), estimate: 60_000 })]));
         driver.confirm(...driver.run().starts);
         driver.cell.submit(makeJob("gang", [gang]));
-        driver.cell.submit(makeJob("small", [small], patient));
+        driver.cell.submit(makeJob("small", [small], deferrable));
         expect(startedJobs(driver)).toEqual(["small"]);
     });
 
@@ -69,24 +69,24 @@
         driver.cell.submit(makeJob("gang", [{ ...gang, size: sizeOf(9_000) }]));
         driver.run();
         driver.clock.advance(1_600);
-        driver.cell.submit(makeJob("small", [small], patient));
+        driver.cell.submit(makeJob("small", [small], deferrable));
         expect(startedJobs(driver)).toEqual(["small"]);
     });
 
     it("starts where the gang would not even fit empty workers", () => {
-        const { driver } = shortOfRoom({ ...gang, taskCount: 3 });
-        driver.cell.submit(makeJob("small", [small], patient));
+        const { driver } = withBlockedGang({ ...gang, taskCount: 3 });
+        driver.cell.submit(makeJob("small", [small], deferrable));
         expect(startedJobs(driver)).toEqual(["small"]);
     });
 
     it("starts where its queue is as urgent as the gang's", () => {
-        const { driver } = shortOfRoom();
+        const { driver } = withBlockedGang();
         driver.cell.submit(makeJob("small", [small]));
         expect(startedJobs(driver)).toEqual(["small"]);
     });
 
     /** Half of the accelerators are used by tasks of this size, and a gang that wants all has been blocked for a while. */
-    const shortOfAccelerators = (processorThousandths: number): CellDriver => {
+    const withScarceAccelerators = (processorThousandths: number): CellDriver => {
         const driver = new CellDriver(undefined, configuration);
         const capacity = { processorThousandths: 8_000, memoryMebibytes: 32_768, accelerators: 4 };
         driver.addWorkers(...["w1", "w2"].map(id => makeWorker(id, { capacity })));
@@ -110,14 +110,14 @@
 
     it("leaves scarce accelerators free, also with more processors free than the gang needs", () => {
         // Three of eight processors are free on each worker.
-        const driver = shortOfAccelerators(5_000);
-        driver.cell.submit(makeJob("small", [smallAccelerated], patient));
+        const driver = withScarceAccelerators(5_000);
+        driver.cell.submit(makeJob("small", [smallAccelerated], deferrable));
         expect(startedJobs(driver)).toEqual([]);
     });
 
     it("starts in a service with most processors free, however scarce accelerators are", () => {
-        const driver = shortOfAccelerators(1_000);
-        driver.cell.submit(makeJob("small", [smallAccelerated], patient));
+        const driver = withScarceAccelerators(1_000);
+        driver.cell.submit(makeJob("small", [smallAccelerated], deferrable));
         expect(startedJobs(driver)).toEqual(["small"]);
     });
 });
--- a/packages/cell/test/load/lost-gangs.test.ts
+++ b/packages/cell/test/load/lost-gangs.test.ts
@@ -3,7 +3,7 @@
 import { CellDriver, makeJob, makeStep, makeWorker, running } from "../support/index.js";
 
 /** A running gang of two members, each of which fills a worker, at this progress after a second. */
-const gangAtWork = (percent: number, estimate: number): CellDriver => {
+const runningGang = (percent: number, estimate: number): CellDriver => {
     const driver = new CellDriver();
     driver.addWorkers(makeWorker("w1"), makeWorker("w2"));
     const size = { processorThousandths: 8_000, memoryMebibytes: 1, accelerators: 0 };
@@ -24,14 +24,14 @@
 
 describe("a gang without saved progress, one of whose workers leaves", () => {
     it("is stopped when it would be lost, so that it starts again sooner", () => {
-        expect(stopsWhenOneLeaves(gangAtWork(10, 10_000), 3_000)).toEqual(1);
+        expect(stopsWhenOneLeaves(runningGang(10, 10_000), 3_000)).toEqual(1);
     });
 
     it("continues when it will have ended by then", () => {
-        expect(stopsWhenOneLeaves(gangAtWork(50, 2_000), 3_000)).toEqual(0);
+        expect(stopsWhenOneLeaves(runningGang(50, 2_000), 3_000)).toEqual(0);
     });
 
     it("continues when it may have ended by then, as workers often leave later than announced", () => {
-        expect(stopsWhenOneLeaves(gangAtWork(10, 5_000), 3_200)).toEqual(0);
+        expect(stopsWhenOneLeaves(runningGang(10, 5_000), 3_200)).toEqual(0);
     });
 });
--- a/packages/cell/test/load/replays.test.ts
+++ b/packages/cell/test/load/replays.test.ts
@@ -18,7 +18,7 @@
 const meanOf = (values: readonly number[]): number => values.reduce((sum, value) => sum + value, 0) / values.length;
 
 /** The share of their demand that wide gangs were served in each outcome. */
-const wideShares = (outcomes: readonly Outcome[]): readonly number[] =>
+const servedWideShares = (outcomes: readonly Outcome[]): readonly number[] =>
     outcomes.map(({ queues }) => queues["wide"].all.share);
 
 const expectOthersServed = ({ queues, violations: broken }: Outcome): void => {
@@ -36,13 +36,13 @@
 
     it("serves gangs during bursts and while workers leave", () => {
         const outcomes = [play(worstLoad, 1), play(worstLoad, 2)];
-        expect(meanOf(wideShares(outcomes))).toBeGreaterThan(0.85);
+        expect(meanOf(servedWideShares(outcomes))).toBeGreaterThan(0.85);
         outcomes.forEach(expectOthersServed);
     });
 
     it("serves gangs during bursts on 245 workers", () => {
         const outcomes = [play(grownLoad, 1), play(grownLoad, 2)];
-        expect(meanOf(wideShares(outcomes))).toBeGreaterThan(0.82);
+        expect(meanOf(servedWideShares(outcomes))).toBeGreaterThan(0.82);
         outcomes.forEach(expectOthersServed);
     });
 
@@ -50,7 +50,7 @@
         const outcomes = [play(backlogLoad, 1), play(backlogLoad, 2)];
         expect(meanOf(outcomes.map(({ questions }) => questions))).toBeLessThan(5_500);
         expect(meanOf(outcomes.map(({ queues }) => queues["urgent"].all.share))).toBeGreaterThan(0.755);
-        expect(meanOf(wideShares(outcomes))).toBeGreaterThan(0.88);
+        expect(meanOf(servedWideShares(outcomes))).toBeGreaterThan(0.88);
     });
 });
 
--- a/packages/cell/test/organisations/limits.test.ts
+++ b/packages/cell/test/organisations/limits.test.ts
@@ -45,8 +45,8 @@
         const driver = makeDriver(makeOrganisation("north", 2), makeOrganisation("south", 24));
         driver.cell.submit(makeJob("n", [makeStep({ taskCount: 20 })], { organisation: north }));
         driver.run();
-        const told = { processor: 2_000, mostProcessor: 2_000, memory: 2_048, mostMemory: 0 };
-        expect(driver.cell.summary().atLimit).toEqual([{ organisation: north, tasks: 18, ...told }]);
+        const figures = { processor: 2_000, mostProcessor: 2_000, memory: 2_048, mostMemory: 0 };
+        expect(driver.cell.summary().atLimit).toEqual([{ organisation: north, tasks: 18, ...figures }]);
     });
 
     it("does not affect others", () => {
@@ -107,13 +107,13 @@
 });
 
 describe("deferrable work of an organisation", () => {
-    const [urgent, patient] = [makeQueue("urgent", { priority: 0 }), makeQueue("patient", { priority: 2 })];
+    const [urgent, deferrable] = [makeQueue("urgent", { priority: 0 }), makeQueue("deferrable", { priority: 2 })];
     const begin = (): CellDriver => {
         const all = [makeOrganisation("north", 10)];
-        const driver = new CellDriver(undefined, makeConfiguration(1, [urgent, patient], all));
+        const driver = new CellDriver(undefined, makeConfiguration(1, [urgent, deferrable], all));
         driver.addWorkers(makeWorker("w1"), makeWorker("w2"), makeWorker("w3"));
         const step = makeStep({ taskCount: 20 });
-        driver.cell.submit(makeJob("patient", [step], { organisation: north, queue: patient.name }));
+        driver.cell.submit(makeJob("deferrable", [step], { organisation: north, queue: deferrable.name }));
         return driver;
     };
 
@@ -130,10 +130,13 @@
         const small = makeOrganisation("north", 10, {
             limit: { processorThousandths: 9_000, memoryMebibytes: 0, accelerators: 0 },
         });
-        const fresh = new CellDriver(undefined, makeConfiguration(1, [urgent, patient], [small]));
+        const fresh = new CellDriver(undefined, makeConfiguration(1, [urgent, deferrable], [small]));
         fresh.addWorkers(makeWorker("w1"), makeWorker("w2"));
         const size = { processorThousandths: 7_500, memoryMebibytes: 1_024, accelerators: 0 };
-        const job = makeJob("wide", [makeStep({ taskCount: 2, size })], { organisation: north, queue: patient.name });
+        const job = makeJob("wide", [makeStep({ taskCount: 2, size })], {
+            organisation: north,
+            queue: deferrable.name,
+        });
         fresh.cell.submit(job);
         expect(fresh.run().starts.length).toEqual(1);
     });
@@ -190,7 +193,7 @@
     const listAgain = (driver: CellDriver, ...others: WorkerEntry[]): void =>
         driver.cell.replaceWorkerEntries([...names.map(name => makeWorker(name)), ...others]);
     /** Each worker answers its first poll with the runs that were started there. */
-    const lookAtAll = (driver: CellDriver, starts: readonly StartCommand[]): void =>
+    const pollAll = (driver: CellDriver, starts: readonly StartCommand[]): void =>
         names.forEach(name =>
             driver.poll(name, starts.filter(({ worker }) => worker as string === name).map(start => running(start)))
         );
@@ -210,7 +213,7 @@
         driver.run();
         driver.poll("w4");
         expect(driver.run().starts).toEqual([]);
-        lookAtAll(driver, starts);
+        pollAll(driver, starts);
         expect(driver.run().starts).toEqual([]);
     });
 
@@ -218,7 +221,7 @@
         const { driver, starts } = begin();
         driver.takeOver(undefined, false);
         listAgain(driver);
-        lookAtAll(driver, starts);
+        pollAll(driver, starts);
         expect(driver.run().starts).toEqual([]);
         driver.end(starts[0]);
         expect(driver.run().starts.length).toEqual(1);
@@ -236,7 +239,7 @@
         driver.run();
         driver.poll("w4");
         expect(driver.run().starts).toEqual([]);
-        lookAtAll(driver, starts);
+        pollAll(driver, starts);
         expect(driver.run().starts).toEqual([]);
         starts.forEach(start => driver.end(start));
         expect(jobsOf(driver.run().starts)).toEqual(Array(4).fill("next"));
@@ -250,7 +253,7 @@
         driver.commit();
         driver.takeOver();
         listAgain(driver);
-        lookAtAll(driver, starts);
+        pollAll(driver, starts);
         expect(driver.run().stops.length).toEqual(4);
     });
 
--- a/packages/cell/test/organisations/usage-ledger.test.ts
+++ b/packages/cell/test/organisations/usage-ledger.test.ts
@@ -14,36 +14,36 @@
 
 describe("an organisation's usage", () => {
     it("allows as many tasks as the tightest dimension of its limit", () => {
-        const book = new UsageLedger();
-        book.configure([makeOrganisation("north", 10, { limit: sizeOf(10_000, 4_000) })]);
-        expect(book.countRemaining(name, sizeOf(1_000, 1_000))).toEqual(4);
-        book.add(name, sizeOf(1_000, 1_000));
-        expect(book.countRemaining(name, sizeOf(1_000, 1_000))).toEqual(3);
-        expect(book.countWhenIdle(name, sizeOf(1_000, 1_000))).toEqual(4);
+        const ledger = new UsageLedger();
+        ledger.configure([makeOrganisation("north", 10, { limit: sizeOf(10_000, 4_000) })]);
+        expect(ledger.countRemaining(name, sizeOf(1_000, 1_000))).toEqual(4);
+        ledger.add(name, sizeOf(1_000, 1_000));
+        expect(ledger.countRemaining(name, sizeOf(1_000, 1_000))).toEqual(3);
+        expect(ledger.countWhenIdle(name, sizeOf(1_000, 1_000))).toEqual(4);
     });
 
     it("allows zero tasks, never fewer, after its limit was lowered, until enough runs have ended", () => {
-        const book = new UsageLedger();
-        book.configure([makeOrganisation("north", 10)]);
-        [1, 2, 3, 4].forEach(() => book.add(name, sizeOf(2_000)));
-        book.configure([makeOrganisation("north", 4)]);
-        expect(book.countRemaining(name, sizeOf(1_000))).toEqual(0);
-        [1, 2, 3].forEach(() => book.remove(name, sizeOf(2_000)));
-        expect(book.countRemaining(name, sizeOf(1_000))).toEqual(2);
+        const ledger = new UsageLedger();
+        ledger.configure([makeOrganisation("north", 10)]);
+        [1, 2, 3, 4].forEach(() => ledger.add(name, sizeOf(2_000)));
+        ledger.configure([makeOrganisation("north", 4)]);
+        expect(ledger.countRemaining(name, sizeOf(1_000))).toEqual(0);
+        [1, 2, 3].forEach(() => ledger.remove(name, sizeOf(2_000)));
+        expect(ledger.countRemaining(name, sizeOf(1_000))).toEqual(2);
     });
 
     it("allows nothing while its limit is not known, and treats 0 as no limit", () => {
-        const book = new UsageLedger();
-        expect(book.countRemaining(name, sizeOf(1))).toEqual(0);
-        book.configure([makeOrganisation("north", 0)]);
-        expect(book.countRemaining(name, sizeOf(1_000_000))).toEqual(Infinity);
+        const ledger = new UsageLedger();
+        expect(ledger.countRemaining(name, sizeOf(1))).toEqual(0);
+        ledger.configure([makeOrganisation("north", 0)]);
+        expect(ledger.countRemaining(name, sizeOf(1_000_000))).toEqual(Infinity);
     });
 
     it("stays under its last limit when it is no longer configured", () => {
-        const book = new UsageLedger();
-        book.configure([makeOrganisation("north", 3)]);
-        book.configure([]);
-        expect(book.countRemaining(name, sizeOf(1_000))).toEqual(3);
+        const ledger = new UsageLedger();
+        ledger.configure([makeOrganisation("north", 3)]);
+        ledger.configure([]);
+        expect(ledger.countRemaining(name, sizeOf(1_000))).toEqual(3);
     });
 });
 
--- a/packages/cell/test/shares/entitled-first.test.ts
+++ b/packages/cell/test/shares/entitled-first.test.ts
@@ -37,7 +37,7 @@
 const jobsOf = (starts: readonly StartCommand[]): string[] => starts.map(({ task }) => task.split("/")[0]);
 
 /** Jobs in the order in which they start while earlier ones end. */
-const inTurn = (driver: CellDriver): string[] => {
+const startOrder = (driver: CellDriver): string[] => {
     const order: string[] = [];
     for (let { starts } = driver.run(); starts.length > 0; { starts } = driver.run()) {
         order.push(...jobsOf(starts));
@@ -76,7 +76,7 @@
         driver.run();
         driver.takeOver();
         addWorker(driver, 1);
-        expect(inTurn(driver)).toEqual(["h1", "h2", "h3", "h4", "s1", "h5"]);
+        expect(startOrder(driver)).toEqual(["h1", "h2", "h3", "h4", "s1", "h5"]);
     });
 
     it("is treated by the new weights once the configuration changes", () => {
@@ -84,7 +84,7 @@
         ["h1", "h2", "h3"].forEach(name => submit(driver, name, hot));
         submit(driver, "s1", small);
         driver.cell.configure(configurationOf(2, { hot: 1, small: 1 }));
-        expect(inTurn(driver)).toEqual(["h1", "h2", "s1", "h3"]);
+        expect(startOrder(driver)).toEqual(["h1", "h2", "s1", "h3"]);
     });
 
     it("leaves no capacity idle: whatever mix is submitted, as much starts as fits", () => {
--- a/packages/cell/test/shares/submission-rate.test.ts
+++ b/packages/cell/test/shares/submission-rate.test.ts
@@ -20,56 +20,61 @@
     const definition = makeJob(`job-${made++}`, []);
     return new Job(definition.job, queueName("work"), acceptedAt, definition, terms, acceptedAt, organisation);
 };
-const judged = (rate: SubmissionRate, jobs: readonly Job[]): Entitlement[] => {
+const classify = (rate: SubmissionRate, jobs: readonly Job[]): Entitlement[] => {
     jobs.forEach(job => rate.noteJob(job));
     return jobs.map(job => rate.entitlementOf(job));
 };
-const { Entitled: Owed, Surplus } = Entitlement;
+const { Entitled, Surplus } = Entitlement;
 
 describe("the rate at which an organisation submits jobs", () => {
     it("entitles it to the first jobs of each second, in the order of their acceptance", () => {
         const rate = new SubmissionRate(() => 2);
         const first = [0, 10, 20, 30, 900].map(at => jobAt(at));
-        expect(judged(rate, first)).toEqual([Owed, Owed, Owed, Owed, Surplus]);
-        expect(judged(rate, [1_000, 1_001, 1_002].map(at => jobAt(at)))).toEqual([Owed, Owed, Surplus]);
+        expect(classify(rate, first)).toEqual([Entitled, Entitled, Entitled, Entitled, Surplus]);
+        expect(classify(rate, [1_000, 1_001, 1_002].map(at => jobAt(at)))).toEqual([Entitled, Entitled, Surplus]);
     });
 
     it("adds the unused entitlement of the second before, and no more", () => {
         const rate = new SubmissionRate(() => 2);
-        judged(rate, [jobAt(4_000)]);
-        expect(judged(rate, [5_000, 5_001, 5_002, 5_003].map(at => jobAt(at)))).toEqual([Owed, Owed, Owed, Surplus]);
+        classify(rate, [jobAt(4_000)]);
+        expect(classify(rate, [5_000, 5_001, 5_002, 5_003].map(at => jobAt(at)))).toEqual([
+            Entitled,
+            Entitled,
+            Entitled,
+            Surplus,
+        ]);
     });
 
     it("counts a job once, however often it is reported", () => {
         const rate = new SubmissionRate(() => 1);
         const [first, second] = [jobAt(0), jobAt(1)];
-        judged(rate, [first, first, first, second]);
-        expect(rate.entitlementOf(second)).toEqual(Owed);
+        classify(rate, [first, first, first, second]);
+        expect(rate.entitlementOf(second)).toEqual(Entitled);
     });
 
     it("applies a changed rate to jobs that were already counted", () => {
         let weight = 1;
         const rate = new SubmissionRate(() => weight);
         const jobs = [1_000, 1_001, 1_002].map(at => jobAt(at));
-        expect(judged(rate, jobs)).toEqual([Owed, Owed, Surplus]);
+        expect(classify(rate, jobs)).toEqual([Entitled, Entitled, Surplus]);
         weight = 3;
-        expect(jobs.map(job => rate.entitlementOf(job))).toEqual([Owed, Owed, Owed]);
+        expect(jobs.map(job => rate.entitlementOf(job))).toEqual([Entitled, Entitled, Entitled]);
     });
 
     it("classifies all jobs as entitled where no organisation or no rate is known", () => {
         const rate = new SubmissionRate(() => undefined);
-        expect(judged(rate, [jobAt(0), jobAt(0), jobAt(0)])).toEqual([Owed, Owed, Owed]);
+        expect(classify(rate, [jobAt(0), jobAt(0), jobAt(0)])).toEqual([Entitled, Entitled, Entitled]);
         const nobody = Array.from(
             { length: 3 },
             () => new Job(makeJob("n", []).job, queueName("work"), 0, undefined, terms, 0, undefined),
         );
-        expect(judged(new SubmissionRate(() => 1), nobody)).toEqual([Owed, Owed, Owed]);
+        expect(classify(new SubmissionRate(() => 1), nobody)).toEqual([Entitled, Entitled, Entitled]);
     });
 
     it("starts again when the time of day is set back", () => {
         const rate = new SubmissionRate(() => 1);
-        judged(rate, [9_000, 9_001, 9_002].map(at => jobAt(at)));
-        expect(judged(rate, [jobAt(3_000)])).toEqual([Owed]);
+        classify(rate, [9_000, 9_001, 9_002].map(at => jobAt(at)));
+        expect(classify(rate, [jobAt(3_000)])).toEqual([Entitled]);
     });
 
     it("never classifies a job within the entitlement as surplus, whatever others submit", () => {
@@ -83,12 +88,12 @@
                     .sort((left, right) => left.at - right.at)
                     .map(({ at, isNorth }) => jobAt(hour + at, isNorth ? north : organisationName("south")));
                 const counts = new Map<string, number>();
-                for (const [index, entitlement] of judged(rate, jobs).entries()) {
+                for (const [index, entitlement] of classify(rate, jobs).entries()) {
                     const { organisation, acceptedAt } = jobs[index];
                     const second = `${organisation} ${Math.floor(acceptedAt / 1_000)}`;
                     const count = (counts.get(second) ?? 0) + 1;
                     counts.set(second, count);
-                    expect(count > weight || entitlement === Owed).toEqual(true);
+                    expect(count > weight || entitlement === Entitled).toEqual(true);
                     expect(count <= 2 * weight || entitlement === Surplus).toEqual(true);
                 }
             },
--- a/packages/cell/test/speeds/speed-estimator.test.ts
+++ b/packages/cell/test/speeds/speed-estimator.test.ts
@@ -5,13 +5,13 @@
 import { CellDriver, idOf, makeConfiguration, makeJob, makeQueue, makeStep, makeWorker } from "../support/index.js";
 
 /** Tolerance for shifts of an estimate by what is learned of other workers. */
-const rounding = 0.01;
+const tolerance = 0.01;
 const ids = ["w1", "w2", "w3", "w4"];
 /** The size of a whole worker, so that each worker gets one task of a job. */
 const whole = { processorThousandths: 8_000, memoryMebibytes: 1_024, accelerators: 0 };
 
 const makeDriver = (): CellDriver => {
-    const queues = [makeQueue("work", { priority: 0 }), makeQueue("patient", { priority: 2, extension: 6 })];
+    const queues = [makeQueue("work", { priority: 0 }), makeQueue("deferrable", { priority: 2, extension: 6 })];
     const driver = new CellDriver(undefined, makeConfiguration(1, queues));
     driver.addWorkers(...ids.map(id => makeWorker(id)));
     return driver;
@@ -40,7 +40,7 @@
 };
 
 const slownessOf = (driver: CellDriver, id: string): number => driver.cell.workers.get(idOf(id))!.slowness;
-const firstFast = (id: string): number => id === "w1" ? 500 : 1_000;
+const firstIsFast = (id: string): number => id === "w1" ? 500 : 1_000;
 
 describe("the estimate of workers' speeds", () => {
     it("stays neutral where workers are alike, however much estimates are off and tasks of a step differ", () => {
@@ -57,15 +57,15 @@
     it("never exceeds the real difference, and approaches it with more samples", () => {
         for (const seed of [1, 2, 3, 4, 5, 6]) {
             const driver = makeDriver();
-            let former = 1;
+            let previous = 1;
             for (let jobs = 0; jobs < 30; jobs++) {
-                playJobs(driver, 1, firstFast, seed + jobs);
+                playJobs(driver, 1, firstIsFast, seed + jobs);
                 const slowness = slownessOf(driver, "w1");
-                expect(slowness <= former + rounding && slowness >= 0.5).toEqual(true);
-                former = slowness;
+                expect(slowness <= previous + tolerance && slowness >= 0.5).toEqual(true);
+                previous = slowness;
             }
             // At least half of the difference, on a logarithmic scale, is learned by then.
-            expect(former).toBeLessThan(Math.SQRT1_2);
+            expect(previous).toBeLessThan(Math.SQRT1_2);
             expect(ids.slice(1).map(id => slownessOf(driver, id))).toEqual([1, 1, 1]);
         }
     });
@@ -78,7 +78,7 @@
 
     it("returns to neutral once the worker's tasks take as long as others'", () => {
         const driver = makeDriver();
-        playJobs(driver, 20, firstFast);
+        playJobs(driver, 20, firstIsFast);
         expect(slownessOf(driver, "w1")).toBeLessThan(0.7);
         playJobs(driver, 60, () => 1_000);
         expect(slownessOf(driver, "w1")).toEqual(1);
@@ -86,7 +86,7 @@
 
     it("starts neutral for a restarted worker and for a new owner", () => {
         const driver = makeDriver();
-        playJobs(driver, 20, firstFast);
+        playJobs(driver, 20, firstIsFast);
         driver.cell.applyRestart(workerId("w1"), workerIncarnation(2));
         expect(slownessOf(driver, "w1")).toEqual(1);
         driver.takeOver();
@@ -98,8 +98,8 @@
 describe("tasks on workers of uneven speed", () => {
     it("go to fast workers if they are urgent, and leave these to others if they are deferrable", () => {
         const driver = makeDriver();
-        playJobs(driver, 20, firstFast);
-        driver.cell.submit(makeJob("patient", [makeStep()], { queue: queueName("patient") }));
+        playJobs(driver, 20, firstIsFast);
+        driver.cell.submit(makeJob("deferrable", [makeStep()], { queue: queueName("deferrable") }));
         expect(driver.run().starts.map(({ worker }) => worker === idOf("w1"))).toEqual([false]);
         driver.cell.submit(makeJob("urgent", [makeStep()]));
         expect(driver.run().starts.map(({ worker }) => worker === idOf("w1"))).toEqual([true]);
