--- a/packages/cell/src/choosing/candidates.ts
+++ b/packages/cell/src/choosing/candidates.ts
@@ -126,15 +126,15 @@
 /** Best fit: the less stays free the better, so that large free blocks remain elsewhere for wide tasks. */
 const costOf = (worker: WorkerState, step: Step, count: number): number => {
     const { size, dataRack, fills } = step.definition;
-    const isFar = dataRack !== undefined && !worker.labels.includes(dataRack);
+    const isRemote = dataRack !== undefined && !worker.labels.includes(dataRack);
     if (fills) {
         // Filler tasks use what others leave: the emptiest worker without latency-sensitive tasks is best.
-        return (isFar ? remoteDataCost : 0) + (worker.hasServingRun ? servingWorkerCost : 0)
+        return (isRemote ? remoteDataCost : 0) + (worker.hasServingRun ? servingWorkerCost : 0)
             - worker.freeProcessor / 1_000;
     }
     const processorsLeft = (worker.freeProcessor - count * size.processorThousandths) / 1_000;
     const acceleratorsLeft = size.accelerators === 0 ? 0 : worker.freeAccelerators - count * size.accelerators;
-    return (isFar ? remoteDataCost : 0) + processorsLeft + acceleratorsLeft * acceleratorCost;
+    return (isRemote ? remoteDataCost : 0) + processorsLeft + acceleratorsLeft * acceleratorCost;
 };
 
 /** Zero for gangs, which are as fast as their slowest member, and for filler tasks. */
--- a/packages/cell/src/choosing/ranking.ts
+++ b/packages/cell/src/choosing/ranking.ts
@@ -51,7 +51,7 @@
     readonly sortTime: Milliseconds;
 }
 
-/** When an occurrence was due or its job accepted, by the owner's monotonic clock; objectives are measured from here. */
+/** When an occurrence was due, or else its job accepted, by the owner's monotonic clock. Objectives are measured from here. */
 const releaseTimeOf = (context: CellContext, job: Job, occurrence: Occurrence): Milliseconds => {
     const dueAt = job.dueAt(occurrence.number);
     return dueAt === undefined ? job.acceptedAtMonotonic : context.now() - (context.wallClock() - dueAt);
--- a/packages/cell/src/headroom/types.ts
+++ b/packages/cell/src/headroom/types.ts
@@ -5,8 +5,8 @@
 
 /** Decides how much capacity deferrable work must leave free in each service, and preempts runs where urgent work lacks it. */
 export interface Headroom {
-    /** Begins a cycle over the ready steps in their order. `open`: workers that accept new runs. */
-    beginCycle(ranked: readonly RankedStep[], open: readonly WorkerState[], now: Milliseconds): void;
+    /** Begins a cycle over the ready steps in their order. `openWorkers`: workers that accept new runs. */
+    beginCycle(ranked: readonly RankedStep[], openWorkers: readonly WorkerState[], now: Milliseconds): void;
     /** Upper bound of a step's tasks on a worker, so that the headroom stays free. */
     limitFor(worker: WorkerState, step: Step): number;
     /** Accounts for tasks of a step that are about to be placed at a worker. */
--- a/packages/cell/src/load/constants.ts
+++ b/packages/cell/src/load/constants.ts
@@ -3,7 +3,7 @@
 
 /** A gang that has been ready for this long and does not fit counts as blocked. The time covers one question to the advice service. */
 export const blockedGangDelay: Milliseconds = 1_500;
-/** Nothing is deferred while more than this share of what a blocked gang needs is free: capacity is not what is short then. */
+/** Nothing is deferred while more than this share of a service's capacity for the blocked gang is free: capacity is not what is short then. */
 export const maxFreeShare = 0.35;
 /** Nothing is deferred either while more than this share of a service's processors is free: waiting work is entitled to start then. */
 export const maxIdleShare = 0.45;
--- a/packages/cell/src/load/gang-deferral.ts
+++ b/packages/cell/src/load/gang-deferral.ts
@@ -6,7 +6,7 @@
 
 /** Capacity of one service in this cycle. */
 interface ServiceCapacity {
-    readonly open: WorkerState[];
+    readonly openWorkers: WorkerState[];
     processor: number;
     freeProcessor: number;
     /** Lowest share of free capacity among blocked gangs; 1 when there are none. */
@@ -25,14 +25,14 @@
 export class GangDeferral {
     readonly #services = new Map<ServiceName, ServiceCapacity>();
 
-    /** Begins a cycle. `open`: workers that accept new runs. */
-    beginCycle(open: readonly WorkerState[]): void {
+    /** Begins a cycle. `openWorkers`: workers that accept new runs. */
+    beginCycle(openWorkers: readonly WorkerState[]): void {
         this.#services.clear();
-        for (const worker of open) {
+        for (const worker of openWorkers) {
             const { entry, freeProcessor } = worker;
             if (entry !== undefined) {
                 const capacity = this.#capacityOf(entry.service);
-                capacity.open.push(worker);
+                capacity.openWorkers.push(worker);
                 capacity.processor += entry.capacity.processorThousandths;
                 capacity.freeProcessor += Math.max(0, freeProcessor);
             }
@@ -63,7 +63,7 @@
 
     #capacityOf(service: ServiceName): ServiceCapacity {
         const capacity = this.#services.get(service)
-            ?? { open: [], processor: 0, freeProcessor: 0, freeShare: 1, blockedPriority: Infinity };
+            ?? { openWorkers: [], processor: 0, freeProcessor: 0, freeShare: 1, blockedPriority: Infinity };
         this.#services.set(service, capacity);
         return capacity;
     }
@@ -73,13 +73,13 @@
  * Free share of a service's processors, or for a gang with accelerators the share of its tasks that fit now among those that would fit
  * idle workers.
  */
-const freeShareFor = (step: Step, { open, processor, freeProcessor }: ServiceCapacity): number => {
+const freeShareFor = (step: Step, { openWorkers, processor, freeProcessor }: ServiceCapacity): number => {
     if (step.definition.size.accelerators === 0) {
         return freeProcessor / processor;
     }
     let fittingWhenEmpty = 0;
     let fittingNow = 0;
-    for (const worker of open) {
+    for (const worker of openWorkers) {
         fittingWhenEmpty += worker.countWhenEmpty(step);
         fittingNow += countFittingIn(freeResourcesOf(worker), step);
     }
--- a/packages/cell/src/load/organisation-limits.ts
+++ b/packages/cell/src/load/organisation-limits.ts
@@ -13,14 +13,14 @@
 export class OrganisationLimits {
     /** Organisations whose limit blocks a gang: steps that follow it start nothing, so that the limit comes free. */
     readonly #accumulating = new Set<OrganisationName>();
-    #mostUrgent = 0;
+    #mostUrgentPriority = 0;
 
     constructor(private readonly usage: UsageLedger) {}
 
-    /** Begins a cycle. `mostUrgent`: the most urgent priority of all queues. */
-    beginCycle(mostUrgent: number): void {
+    /** Begins a cycle. `mostUrgentPriority`: the most urgent priority of all queues. */
+    beginCycle(mostUrgentPriority: number): void {
         this.#accumulating.clear();
-        this.#mostUrgent = mostUrgent;
+        this.#mostUrgentPriority = mostUrgentPriority;
     }
 
     /** Whether no task of a step, or of a gang not all of them, can start within its organisation's limit. */
@@ -53,7 +53,7 @@
     /** How many tasks of a step that is no gang may start. All but the most urgent queues leave a part of the limit free. */
     #countAdmissible(organisation: OrganisationName, { definition: { size }, job: { terms } }: Step): number {
         const remaining = this.usage.countRemaining(organisation, size);
-        if (terms.priority <= this.#mostUrgent) {
+        if (terms.priority <= this.#mostUrgentPriority) {
             return remaining;
         }
         const admissible = this.usage.countRemaining(organisation, size, deferrableShare);
--- a/packages/cell/src/placing/placer.ts
+++ b/packages/cell/src/placing/placer.ts
@@ -40,7 +40,7 @@
     readonly headroom: Headroom;
 }
 
-/** Goes through the ready steps in the order of their ranks once a cycle, orders the tasks that fit and reserves resources for others. */
+/** Goes through the ready steps in the order of their ranks once a cycle, orders runs where tasks fit and reserves resources elsewhere. */
 export class Placer {
     readonly #ready = new Set<Step>();
     /** Resources that steps ahead in this cycle wait for. */
