--- a/packages/cell/src/speeds/speed-estimator.ts
+++ b/packages/cell/src/speeds/speed-estimator.ts
@@ -56,10 +56,10 @@
     #learn(worker: WorkerState, difference: number, weight: number): void {
         const estimate = this.#estimates.get(worker) ?? { sum: 0, weight: 0 };
         this.#estimates.set(worker, estimate);
-        const kept = Math.min(1, maxWeight / (estimate.weight + weight));
+        const retained = Math.min(1, maxWeight / (estimate.weight + weight));
         const sample = Math.max(-maxDifference, Math.min(maxDifference, difference));
-        estimate.sum = (estimate.sum + sample * weight) * kept;
-        estimate.weight = (estimate.weight + weight) * kept;
+        estimate.sum = (estimate.sum + sample * weight) * retained;
+        estimate.weight = (estimate.weight + weight) * retained;
         worker.slowness = this.#slownessOf(worker, estimate);
     }
 
--- a/packages/cell/src/upkeep/wave-planner.ts
+++ b/packages/cell/src/upkeep/wave-planner.ts
@@ -54,8 +54,8 @@
 /**
  * Decides which VMs begin their upkeep when, never more at once than a wave allows.
  *
- * Workers of the next VMs accept no new runs, so that they drain. A VM goes down once its worker is empty, or when waiting longer would
- * make the wave late, unless the worker holds tasks that its loss would make unavailable.
+ * Workers of the next VMs accept no new runs, so that they drain. A VM goes down once its worker is empty. When waiting longer would make
+ * the wave late it goes down with its runs, unless that would exceed the disruption budget of a long-running step.
  */
 export class WavePlanner {
     readonly #waves = new Map<number, Wave>();
--- a/packages/cell/src/watching/constants.ts
+++ b/packages/cell/src/watching/constants.ts
@@ -40,9 +40,9 @@
 /** Variance of the change of one run's pace on a healthy worker. */
 export const steadyVariance = 0.02;
 /** Pace of the slowest healthy workers relative to their peers, as a natural logarithm. */
-export const slowestSoundPace = Math.log(0.42);
+export const slowestHealthyPace = Math.log(0.42);
 /** Lowest pace of a run on a healthy worker relative to its own past, as a natural logarithm. */
-export const slowestSteadyPace = Math.log(0.5);
+export const slowestPaceChange = Math.log(0.5);
 /** A worker counts as slow if it is this many standard deviations below the slowest healthy one. */
 export const slowDeviations = 2.5;
 /** Ratio of the standard error of a median to that of a mean. */
--- a/packages/cell/src/watching/slowness.ts
+++ b/packages/cell/src/watching/slowness.ts
@@ -12,8 +12,8 @@
     minPeerSamples,
     runVariance,
     slowDeviations,
-    slowestSoundPace,
-    slowestSteadyPace,
+    slowestHealthyPace,
+    slowestPaceChange,
     steadyVariance,
 } from "./constants.js";
 import { medianOf } from "./median.js";
@@ -59,7 +59,7 @@
         value: medianOf(paces) - expected.pace,
         variance: expected.variance + (runVariance + roundingVariance) / paces.length,
     }));
-    return findingOf("peers", differences, slowestSoundPace, samples);
+    return findingOf("peers", differences, slowestHealthyPace, samples);
 };
 
 const compareWithPast = (steps: readonly StepSamples[]): SpeedFinding | undefined => {
@@ -73,7 +73,7 @@
         value: medianOf(changes),
         variance: (steadyVariance + 2 * roundingVariance) / changes.length,
     }));
-    return findingOf("past", differences, slowestSteadyPace, samples);
+    return findingOf("past", differences, slowestPaceChange, samples);
 };
 
 interface Difference {
