--- a/packages/cell/src/advising/advice-dispatcher.ts
+++ b/packages/cell/src/advising/advice-dispatcher.ts
@@ -1,65 +1,64 @@
-/**
- * Deals the questions to the advice service out over the VMs.
- *
- * The service answers one call at a time for each VM that asks, so a quick question must not wait behind a slow one:
- * some VMs never get slow ones while there are others. A slow question that names many workers is put in parts to VMs that
- * are free, so that its answers come in little more than the time of one call and all of its tickets hold at one moment.
- */
+/** Distribution of questions to the advice service over VMs. */
 import type { Milliseconds, WorkerId } from "@pebbledale/core";
 import { type AdvicePolicy, callDuration, maxAdviceWorkers } from "../advice/index.js";
 import type { AdviceRequest } from "../state/index.js";
 
-/** Questions that take longer than this are slow ones: half of what an urgent job can lose without being late. */
+/** Questions that take longer than this are slow. */
 const slowQuestionTime: Milliseconds = 150;
-/**
- * VMs that get no slow questions: so many, and this share of all. Some of them are to be free at any moment.
- */
+/** VMs reserved for quick questions: this many, */
 const minQuickVms = 2;
+/** and this share of all VMs. */
 const quickVmShare = 0.06;
-/** A question waits behind one that is this much younger for each step that the other is more urgent. */
+/** Delay in the order of waiting questions for each level of urgency. */
 const urgencyOffset: Milliseconds = 300;
-/** Most quick questions of one VM that are on their way at once. */
+/** Upper bound of quick questions in flight for each VM. */
 const maxInFlight = 8;
 
 /**
- * A part of a slow question names at least so many workers that naming them takes this share of what the call takes
- * whatever it names: smaller parts keep more VMs busy and are hardly answered sooner.
+ * The per-worker time of a part of a slow question is at least this share of the constant time of a call: smaller parts would occupy more
+ * VMs and be answered hardly sooner.
  */
 const minNamingShare = 1 / 3;
-/** Share of the free VMs that one question is put to at once: others come within the same turn. */
+/** Share of the free VMs that one question may use, leaving others to the questions that follow. */
 const freeVmShare = 1 / 2;
 
-/** Whose questions are dealt out. */
+/** Where the questions come from. */
 export interface AdviceRequester {
-    /** Whether the answer to a question about a step is still of use. */
+    /** Whether the answer to a question about a step would still be of use. */
     isAdviceWanted(step: string): boolean;
-    /** The question about a step and workers is not asked: its answer would be of no use. */
+    /** Told that a question was discarded, as its answer would be of no use. */
     dropAdvice(step: string, workers: readonly WorkerId[]): void;
 }
 
-/** One VM that can ask. */
+/** A VM that can call the advice service. */
 interface AskingVm {
     readonly name: string;
     readonly ask: (question: number, command: AdviceRequest, duration: Milliseconds) => void;
     readonly inFlight: Set<number>;
-    /** When the service will have answered all of this VM's questions. */
+    /** When the service is expected to have answered all of this VM's questions. */
     busyUntil: Milliseconds;
 }
 
-/** A question, or what is left of one, that waits to be dealt out. */
+/** A question, or the remainder of one, that waits for a free VM. */
 interface WaitingQuestion {
     readonly command: AdviceRequest;
-    /** Questions are dealt in this order: when it was asked, put off by how little urgent it is. */
+    /** When it was asked, with a delay by its urgency; lower goes first. */
     readonly sortTime: Milliseconds;
 }
 
-/** A question, or a part of one, that a VM has. */
+/** A question, or a part of one, that was sent to a VM. */
 interface InFlightQuestion extends WaitingQuestion {
     readonly number: number;
     readonly vm: AskingVm;
 }
 
-/** See the module's comment. */
+/**
+ * Distributes questions to the advice service over the VMs that can call it.
+ *
+ * The service answers one call at a time for each VM. Some VMs are therefore reserved for quick questions, which must not wait
+ * behind slow ones. A slow question about many workers is split over several free VMs, so that all of its tickets are obtained in little
+ * more than the time of one call and are valid together.
+ */
 export class AdviceDispatcher {
     readonly #vms = new Map<string, AskingVm>();
     readonly #inFlight = new Map<number, InFlightQuestion>();
@@ -68,17 +67,17 @@
 
     constructor(private readonly now: () => Milliseconds, private readonly requester: AdviceRequester) {}
 
-    /** A VM can ask from now on. */
+    /** Adds a VM. */
     join(name: string, ask: AskingVm["ask"]): void {
         this.#vms.set(name, { name, ask, inFlight: new Set(), busyUntil: 0 });
         this.#dispatchWaiting();
     }
 
-    /** A VM is gone; its questions are dealt out again. */
+    /** Removes a VM. Its unanswered questions are sent to others. */
     leave(name: string): void {
-        const asker = this.#vms.get(name);
+        const vm = this.#vms.get(name);
         this.#vms.delete(name);
-        for (const number of asker?.inFlight ?? []) {
+        for (const number of vm?.inFlight ?? []) {
             const question = this.#inFlight.get(number);
             if (question !== undefined) {
                 this.#inFlight.delete(number);
@@ -88,14 +87,14 @@
         this.#dispatchWaiting();
     }
 
-    /** Asks, now or once VMs are free for it. */
+    /** Sends questions, now or once VMs are free for them. */
     ask(...commands: readonly AdviceRequest[]): void {
         const now = this.now();
         commands.forEach(command => this.#waiting.push({ command, sortTime: now + command.urgency * urgencyOffset }));
         this.#dispatchWaiting();
     }
 
-    /** A question was answered, or failed; resolves to what was asked. */
+    /** Ends a question that was answered or failed. Returns the command, or undefined for an unknown number. */
     complete(number: number): AdviceRequest | undefined {
         const question = this.#inFlight.get(number);
         this.#inFlight.delete(number);
@@ -106,16 +105,16 @@
         return question?.command;
     }
 
-    #release({ vm: asker, number }: InFlightQuestion): void {
-        asker.inFlight.delete(number);
-        if (asker.inFlight.size === 0) {
-            asker.busyUntil = 0;
+    #release({ vm, number }: InFlightQuestion): void {
+        vm.inFlight.delete(number);
+        if (vm.inFlight.size === 0) {
+            vm.busyUntil = 0;
         }
     }
 
     /**
-     * Goes through what waits as far as VMs are free. Hundreds of questions wait after a change of owner, and each answer
-     * leads here: while all of them were looked at each time, a new owner took in 35 answers in 0.3 s and did little else.
+     * Sends waiting questions as far as VMs are free. Questions without a free VM are skipped cheaply: this runs after each answer, and
+     * hundreds may wait after a change of owner.
      */
     #dispatchWaiting(): void {
         this.#waiting.sort((left, right) => left.sortTime - right.sortTime);
@@ -127,15 +126,15 @@
                 left.push(question);
             }
             else if (!this.#dropUnwanted(question)) {
-                const rest = this.#send(question);
-                hasFree[kind] = rest.length === 0 && this.#vmsFreeFor(kind === "slow").length > 0;
-                left.push(...rest);
+                const remainder = this.#send(question);
+                hasFree[kind] = remainder.length === 0 && this.#vmsFreeFor(kind === "slow").length > 0;
+                left.push(...remainder);
             }
         }
         this.#waiting = left;
     }
 
-    /** Whether the answer to a question is of no use any more. */
+    /** Discards a question whose answer would be of no use; false when it is still wanted. */
     #dropUnwanted({ command: { step, workers } }: WaitingQuestion): boolean {
         if (this.requester.isAdviceWanted(step)) {
             return false;
@@ -144,36 +143,36 @@
         return true;
     }
 
-    /** Puts a question to free VMs, in parts; returns what is left of it. */
+    /** Sends a question to free VMs, in parts. Returns the remainder, if any. */
     #send(question: WaitingQuestion): WaitingQuestion[] {
-        const { command, sortTime: turn } = question;
+        const { command, sortTime } = question;
         const size = this.#partSize(command);
         for (let next = 0; next < command.workers.length; next += size) {
             const part = { ...command, workers: command.workers.slice(next, next + size) };
-            if (!this.#sendPart(part, turn)) {
-                return [{ command: { ...command, workers: command.workers.slice(next) }, sortTime: turn }];
+            if (!this.#sendPart(part, sortTime)) {
+                return [{ command: { ...command, workers: command.workers.slice(next) }, sortTime }];
             }
         }
         return [];
     }
 
-    #sendPart(command: AdviceRequest, turn: Milliseconds): boolean {
+    #sendPart(command: AdviceRequest, sortTime: Milliseconds): boolean {
         const free = this.#vmsFreeFor(isSlow(command));
         if (free.length === 0) {
             return false;
         }
         const now = this.now();
-        const asker = free.reduce((best, other) => waitOf(other, now) < waitOf(best, now) ? other : best);
+        const vm = free.reduce((best, other) => waitOf(other, now) < waitOf(best, now) ? other : best);
         const duration = callDuration(command.policy, command.workers.length);
         const number = this.#nextNumber++;
-        this.#inFlight.set(number, { number, command, sortTime: turn, vm: asker });
-        asker.inFlight.add(number);
-        asker.busyUntil = Math.max(asker.busyUntil, now) + duration;
-        asker.ask(number, command, duration);
+        this.#inFlight.set(number, { number, command, sortTime, vm });
+        vm.inFlight.add(number);
+        vm.busyUntil = Math.max(vm.busyUntil, now) + duration;
+        vm.ask(number, command, duration);
         return true;
     }
 
-    /** How many workers a part of a question names. */
+    /** Number of workers in a part of a question. */
     #partSize(command: AdviceRequest): number {
         const { workers, policy } = command;
         if (!isSlow(command)) {
@@ -184,12 +183,12 @@
         return Math.min(maxAdviceWorkers, size);
     }
 
-    /** VMs that may get a question of its kind now; for quick ones those that never get slow ones come first. */
-    #vmsFreeFor(isSlowOne: boolean): AskingVm[] {
+    /** VMs that may be sent a slow or a quick question now. For quick ones, the VMs reserved for them come first. */
+    #vmsFreeFor(isSlowQuestion: boolean): AskingVm[] {
         const all = [...this.#vms.values()];
         const quick = Math.min(Math.floor(all.length / 2), Math.floor(minQuickVms + all.length * quickVmShare));
-        const candidates = !isSlowOne || all.length === 1 ? all : all.slice(quick);
-        return candidates.filter(asker => isFreeFor(asker, isSlowOne));
+        const candidates = !isSlowQuestion || all.length === 1 ? all : all.slice(quick);
+        return candidates.filter(vm => isFreeFor(vm, isSlowQuestion));
     }
 }
 
@@ -198,7 +197,7 @@
 const minPartSize = ({ decision, eachWorker }: AdvicePolicy): number =>
     eachWorker === 0 ? maxAdviceWorkers : Math.ceil(decision * minNamingShare / eachWorker);
 
-const isFreeFor = (asker: AskingVm, isSlowOne: boolean): boolean =>
-    isSlowOne ? asker.inFlight.size === 0 : asker.inFlight.size < maxInFlight;
+const isFreeFor = (vm: AskingVm, isSlowQuestion: boolean): boolean =>
+    isSlowQuestion ? vm.inFlight.size === 0 : vm.inFlight.size < maxInFlight;
 
-const waitOf = (asker: AskingVm, now: Milliseconds): Milliseconds => Math.max(0, asker.busyUntil - now);
+const waitOf = (vm: AskingVm, now: Milliseconds): Milliseconds => Math.max(0, vm.busyUntil - now);
--- a/packages/cell/src/advising/advice-desk.ts
+++ b/packages/cell/src/advising/advice-planner.ts
@@ -1,4 +1,4 @@
-/** Decides which steps are asked about, of which workers, and when tickets are asked for again. */
+/** Planning of questions to the advice service. */
 import { logEvents, type Milliseconds, type QueueName, type WorkerId } from "@pebbledale/core";
 import { type AdviceAnswer, type AdvicePolicy, callDuration, maxAdviceWorkers, type Permit } from "../advice/index.js";
 import {
@@ -24,29 +24,29 @@
     ticketLead,
 } from "./constants.js";
 
-/** How many tasks of a step a worker takes. */
+/** Tells how many tasks of a step a worker can take now. */
 export type CapacityOf = (worker: WorkerState) => number;
 
-/** See the module's comment. */
+/** Decides about which steps and workers the advice service is asked, and when tickets are renewed. */
 export class AdvicePlanner {
-    /** Steps that a question is on its way for. */
+    /** Steps with an unanswered question, by address. */
     readonly #pending = new Map<string, Step>();
-    /** By queue, the share of workers that may run a step of it. */
+    /** Learned share of workers that may run a step, by queue. */
     readonly #permittedShares = new Map<QueueName, number>();
 
-    /** Workers that may be ordered in this pass. */
+    /** Workers that accept new runs in this cycle. */
     #index = new CapacityIndex([]);
-    /** Where the next question begins among the workers with room. */
+    /** Offset of the next question among the workers with free capacity. */
     #rotation = 0;
 
     constructor(private readonly context: CellContext) {}
 
-    /** Begins a pass. */
+    /** Begins a cycle. `index`: workers that accept new runs. */
     beginCycle(index: CapacityIndex): void {
         this.#index = index;
     }
 
-    /** Asks about a step for the first time, if its queue is advised on. */
+    /** Asks about a step for the first time, if its queue requires advice. */
     prepare(step: Step, terms: JobTerms): void {
         const { advice } = terms;
         if (advice === undefined) {
@@ -60,10 +60,10 @@
     }
 
     /**
-     * A step found no place for `count` tasks: fresh tickets are asked for where there is room, or more workers.
-     * `roomOf`: how many tasks of the step a worker takes now, were they ticketed.
+     * Called when `count` tasks of a step could not be placed: asks for new tickets where there is capacity, or about more workers.
+     * `capacityOf`: how many tasks of the step a worker could take now, regardless of tickets.
      */
-    requestAdvice(step: Step, count: number, roomOf: CapacityOf): void {
+    requestAdvice(step: Step, count: number, capacityOf: CapacityOf): void {
         const { permits } = step;
         const { advice } = step.job.terms;
         const now = this.context.now();
@@ -71,10 +71,10 @@
             return;
         }
         if (step.definition.isGang) {
-            this.#ask(step, advice, this.#workersForGang(step, permits, advice, count, roomOf));
+            this.#ask(step, advice, this.#workersForGang(step, permits, advice, count, capacityOf));
         }
         else if (!permits.hasPendingQuestion) {
-            const workers = this.#workersForTasks(step, permits, count, roomOf);
+            const workers = this.#workersForTasks(step, permits, count, capacityOf);
             this.#ask(
                 step,
                 advice,
@@ -84,8 +84,8 @@
     }
 
     /**
-     * Permitted workers of a wide step whose tickets are about to run out. A fresh ticket takes half a second, in which
-     * others take the room that was seen: such steps keep tickets in hand while they wait, as long as that is of use.
+     * Permitted workers of a wide step, when some of their tickets are about to expire. A new ticket takes half a second, in which others
+     * use the resources, so such steps hold valid tickets all the time while they wait.
      */
     #withExpiringTickets(step: Step, permits: StepPermits, policy: AdvicePolicy, now: Milliseconds): WorkerState[] {
         if (
@@ -96,23 +96,23 @@
         }
         const permitted = this.#permitted(step, permits).slice(0, maxAdviceWorkers);
         const needed = now + callDuration(policy, permitted.length) + ticketLead;
-        const isRunningOut = permitted.some(worker => permits.ticketOf(worker.id, needed) === undefined);
-        return isRunningOut ? permitted : [];
+        const isExpiring = permitted.some(worker => permits.ticketOf(worker.id, needed) === undefined);
+        return isExpiring ? permitted : [];
     }
 
-    /** Whether the answer to a question that waits to be asked is still of use. */
+    /** Whether the answer to a waiting question would still be of use. */
     isWanted(address: string): boolean {
         const step = this.#pending.get(address);
         return step !== undefined && !step.job.isOver && step.hasWaitingTask;
     }
 
-    /** A question, or a part of one, is not asked. */
+    /** A question, or a part of one, was discarded without being asked. */
     drop(address: string, workers: readonly WorkerId[]): void {
         this.#settle(address, workers);
     }
 
-    /** Room for a step is expected: tickets that will have run out by then are asked for, so that they come in time. */
-    requestTickets(step: Step, plan: ReservationPlan, roomOf: CapacityOf): void {
+    /** Renews the tickets of a plan that will have expired by its start, just in time. */
+    requestTickets(step: Step, plan: ReservationPlan, capacityOf: CapacityOf): void {
         const { permits } = step;
         const { terms } = step.job;
         const now = this.context.now();
@@ -121,16 +121,16 @@
         }
         const planned = [...plan.tasksByWorker.keys()];
         const lead = callDuration(terms.advice, planned.length) + ticketLead;
-        const isTime = now >= plan.availableAt - lead && now - permits.lastAskedAt >= adviceInterval;
+        const isDue = now >= plan.availableAt - lead && now - permits.lastAskedAt >= adviceInterval;
         const isMissing = planned.some(worker => permits.ticketOf(worker.id, plan.availableAt) === undefined);
-        if (isTime && isMissing) {
-            const others = this.#workersWithCapacity(step, permits, step.tasks.length, roomOf)
+        if (isDue && isMissing) {
+            const others = this.#workersWithCapacity(step, permits, step.tasks.length, capacityOf)
                 .filter(other => !plan.tasksByWorker.has(other));
             this.#ask(step, terms.advice, [...planned, ...others].slice(0, maxAdviceWorkers));
         }
     }
 
-    /** What the service says of a worker holds for its life: of the next one nothing is known. */
+    /** Advice is valid for one incarnation of a worker, so it is dropped when a worker is gone or was started again. */
     forgetWorker(worker: WorkerId): void {
         for (const job of this.context.table.jobs.values()) {
             for (const { steps } of job.occurrences.values()) {
@@ -139,11 +139,16 @@
         }
     }
 
-    /** Takes an answer in. `cause`: why there was none, for the log. */
-    applyAnswer(address: string, named: readonly WorkerId[], answer: AdviceAnswer | undefined, cause: string): void {
+    /** Applies an answer of the service. `cause`: why there was none, for the log. */
+    applyAnswer(
+        address: string,
+        workerIds: readonly WorkerId[],
+        answer: AdviceAnswer | undefined,
+        cause: string,
+    ): void {
         const permits = this.#pending.get(address)?.permits;
-        const asked = named.filter(worker => permits?.isAnswerCurrent(worker) !== false);
-        const step = this.#settle(address, named);
+        const asked = workerIds.filter(worker => permits?.isAnswerCurrent(worker) !== false);
+        const step = this.#settle(address, workerIds);
         if (step?.permits === undefined) {
             return;
         }
@@ -162,50 +167,50 @@
         });
     }
 
-    /** Permitted workers with room whose tickets ran out; where there are none, workers that were not asked about. */
-    #workersForTasks(step: Step, permits: StepPermits, count: number, roomOf: CapacityOf): WorkerState[] {
+    /** Permitted workers with capacity whose tickets have expired or, without any, workers that were not asked about yet. */
+    #workersForTasks(step: Step, permits: StepPermits, count: number, capacityOf: CapacityOf): WorkerState[] {
         const now = this.context.now();
         const stale = this.#permitted(step, permits).filter(worker =>
-            permits.ticketOf(worker.id, now) === undefined && roomOf(worker) > 0
+            permits.ticketOf(worker.id, now) === undefined && capacityOf(worker) > 0
         );
         return stale.length > 0 ? stale.slice(0, maxAdviceWorkers) : this.#unaskedWorkers(step, count);
     }
 
     /**
-     * Tickets of a gang run out while it waits for room, so they are asked for only once there is enough of it, and kept
-     * fresh as long as there is; before that it learns of more workers. Tickets for room that is kept come with its plan.
+     * A gang asks about more workers until the permitted ones have enough capacity. Only then does it ask for tickets, which would
+     * expire meanwhile, and renews them together. Tickets for reservations are requested with their plan.
      */
     #workersForGang(
         step: Step,
         permits: StepPermits,
         policy: AdvicePolicy,
         count: number,
-        roomOf: CapacityOf,
+        capacityOf: CapacityOf,
     ): WorkerState[] {
-        const roomy = this.#workersWithCapacity(step, permits, count, roomOf);
-        if (totalCapacity(roomy, roomOf) < count) {
+        const candidates = this.#workersWithCapacity(step, permits, count, capacityOf);
+        if (totalCapacity(candidates, capacityOf) < count) {
             return permits.hasPendingQuestion ? [] : this.#unaskedWorkers(step, count);
         }
-        const needed = this.context.now() + callDuration(policy, roomy.length) + ticketLead;
+        const needed = this.context.now() + callDuration(policy, candidates.length) + ticketLead;
         const isFresh = (worker: WorkerState) => permits.ticketOf(worker.id, needed) !== undefined;
-        if (permits.hasPendingQuestion || roomy.every(isFresh)) {
+        if (permits.hasPendingQuestion || candidates.every(isFresh)) {
             return [];
         }
         const wanted = needed + policy.validity * renewalShare;
-        return roomy.filter(worker => permits.ticketOf(worker.id, wanted) === undefined);
+        return candidates.filter(worker => permits.ticketOf(worker.id, wanted) === undefined);
     }
 
     /**
-     * Permitted workers with the most room, with some to choose from: all members' tickets have to hold at one moment, a
-     * call takes most of its time whatever it names, and some of the room is gone by the time of the answer.
+     * Permitted workers with the most capacity, more than needed: some of it will be gone by the time of the answer, and further workers
+     * add little to the duration of a call.
      */
-    #workersWithCapacity(step: Step, permits: StepPermits, count: number, roomOf: CapacityOf): WorkerState[] {
+    #workersWithCapacity(step: Step, permits: StepPermits, count: number, capacityOf: CapacityOf): WorkerState[] {
         const chosen: WorkerState[] = [];
         for (const worker of this.#permitted(step, permits).sort(byFreeProcessor)) {
-            if (totalCapacity(chosen, roomOf) >= count * capacityMargin) {
+            if (totalCapacity(chosen, capacityOf) >= count * capacityMargin) {
                 break;
             }
-            if (roomOf(worker) > 0) {
+            if (capacityOf(worker) > 0) {
                 chosen.push(worker);
             }
         }
@@ -218,82 +223,82 @@
             .filter(worker => isEligible(worker, step, step.job.terms.service, now));
     }
 
-    /** Workers that were not asked about yet, those with the most room first: as many as are likely to be enough. */
+    /** Workers that were not asked about yet: as many as are likely to be enough, given the share that is usually permitted. */
     #unaskedWorkers(step: Step, count: number): WorkerState[] {
         const { isGang } = step.definition;
         const share = this.#permittedShares.get(step.job.queue) ?? initialPermittedShare;
         const most = isGang ? Infinity : maxAdviceWorkers;
         const chosen: WorkerState[] = [];
-        let room = 0;
-        let whole = 0;
+        let capacity = 0;
+        let capacityWhenEmpty = 0;
         const now = this.context.now();
         for (const worker of this.#inQueryOrder(step)) {
             const isEnough = isGang
-                ? room * share >= count * gangCapacityMargin
-                : room * share >= count * capacityMargin || whole * share >= count * choiceMargin;
+                ? capacity * share >= count * gangCapacityMargin
+                : capacity * share >= count * capacityMargin || capacityWhenEmpty * share >= count * choiceMargin;
             if (chosen.length >= most || isEnough && chosen.length >= minAdviceWorkers) {
                 break;
             }
             const isFresh = step.permits?.wasAsked(worker.id) !== true;
             if (isFresh && isEligible(worker, step, step.job.terms.service, now)) {
                 chosen.push(worker);
-                room += worker.countFitting(step, count);
-                whole += worker.countWhenEmpty(step);
+                capacity += worker.countFitting(step, count);
+                capacityWhenEmpty += worker.countWhenEmpty(step);
             }
         }
         return chosen;
     }
 
     /**
-     * Workers in the order in which a step's question names them: the emptiest first for a gang; for others those with room
-     * in turn, as hundreds of steps that are asked about at once, each of the same few workers, would mostly find these full.
+     * Workers in the order in which they are asked about: the emptiest first for a gang. Other steps rotate among the workers with
+     * capacity, as hundreds of steps asking about the same few workers at once would mostly find these full.
      */
     #inQueryOrder({ definition: { isGang, size } }: Step): readonly WorkerState[] {
         const { emptiestFirst, fullestFirst } = this.#index;
-        const withRoom = fullestFirst.length - this.#index.firstIndexWith(size.processorThousandths);
-        if (isGang || withRoom <= minAdviceWorkers) {
+        const withCapacity = fullestFirst.length - this.#index.firstIndexWith(size.processorThousandths);
+        if (isGang || withCapacity <= minAdviceWorkers) {
             return emptiestFirst;
         }
-        this.#rotation = (this.#rotation + minAdviceWorkers) % withRoom;
-        const turn = this.#rotation;
+        this.#rotation = (this.#rotation + minAdviceWorkers) % withCapacity;
+        const offset = this.#rotation;
         return [
-            ...emptiestFirst.slice(turn, withRoom),
-            ...emptiestFirst.slice(0, turn),
-            ...emptiestFirst.slice(withRoom),
+            ...emptiestFirst.slice(offset, withCapacity),
+            ...emptiestFirst.slice(0, offset),
+            ...emptiestFirst.slice(withCapacity),
         ];
     }
 
-    /** Learns what share of the workers may run steps of a queue, from those that were asked about for the first time. */
+    /** Learns the share of workers that may run steps of a queue from those that were asked about for the first time. */
     #learnPermittedShare({ job, permits }: Step, asked: readonly WorkerId[], permitted: readonly Permit[]): void {
         const fresh = new Set(asked.filter(worker => permits?.wasAsked(worker) !== true));
         if (fresh.size === 0) {
             return;
         }
         const share = permitted.filter(({ worker }) => fresh.has(worker)).length / fresh.size;
-        const known = this.#permittedShares.get(job.queue) ?? initialPermittedShare;
-        const learned = known + (share - known) * shareWeight;
+        const previous = this.#permittedShares.get(job.queue) ?? initialPermittedShare;
+        const learned = previous + (share - previous) * shareWeight;
         this.#permittedShares.set(job.queue, Math.max(minPermittedShare, learned));
     }
 
     #ask(step: Step, policy: AdvicePolicy, workers: readonly WorkerState[]): void {
         const { permits, address } = step;
-        const named = workers.map(worker => worker.id).filter(worker => permits?.isPending(worker) === false);
-        if (permits === undefined || named.length === 0) {
+        const workerIds = workers.map(worker => worker.id).filter(worker => permits?.isPending(worker) === false);
+        if (permits === undefined || workerIds.length === 0) {
             return;
         }
         const now = this.context.now();
-        permits.questionSent(named, now);
+        permits.questionSent(workerIds, now);
         this.#pending.set(address, step);
         this.context.outbox.ask({
             step: address,
-            workers: named,
+            workers: workerIds,
             urgency: adviceUrgencyOf(rankStep(this.context, step, now)),
             policy,
         });
-        this.context.options.log.log(logEvents.stepAsked, { step: address, workers: named.length });
+        this.context.options.log.log(logEvents.stepAsked, { step: address, workers: workerIds.length });
     }
 
-    /** A question, or a part of one, is over; the step it was about, if that is still known. */
+    /** Ends a question or a part of one. Returns its step if that is still known. */
     #settle(address: string, workers: readonly WorkerId[]): Step | undefined {
         const step = this.#pending.get(address);
         step?.permits?.questionSettled(workers);
@@ -304,8 +309,7 @@
     }
 }
 
-/** Workers with more room first. */
 const byFreeProcessor = (left: WorkerState, right: WorkerState): number => right.freeProcessor - left.freeProcessor;
 
-const totalCapacity = (workers: readonly WorkerState[], roomOf: CapacityOf): number =>
-    workers.reduce((sum, worker) => sum + roomOf(worker), 0);
+const totalCapacity = (workers: readonly WorkerState[], capacityOf: CapacityOf): number =>
+    workers.reduce((sum, worker) => sum + capacityOf(worker), 0);
--- a/packages/cell/src/advising/index.ts
+++ b/packages/cell/src/advising/index.ts
@@ -1,3 +1,3 @@
-/** What the advice service is asked, and through which VM. */
-export * from "./advice-desk.js";
+/** Questions to the advice service: about which steps and workers, and through which VMs. */
 export * from "./advice-dispatcher.js";
+export * from "./advice-planner.js";
--- a/packages/cell/src/choosing/worker-choice.ts
+++ b/packages/cell/src/choosing/candidates.ts
@@ -1,48 +1,45 @@
-/** Chooses workers for the tasks of one step. */
+/** Selects workers for the tasks of one step. */
 import type { Milliseconds, ServiceName } from "@pebbledale/core";
 import type { Step, StepPermits, WorkerState } from "../state/index.js";
+import type { CapacityIndex } from "./capacity-index.js";
 import { candidateFactor, maxWideTasksPerWorker, minCandidates, servingWorkerCost, slownessCost } from "./constants.js";
-import type { CapacityIndex } from "./room-index.js";
 
-/** Some tasks of a step at one worker. */
+/** A number of a step's tasks at one worker, with the advice service's ticket where one is needed. */
 export interface Allocation {
     readonly worker: WorkerState;
     readonly count: number;
     readonly ticket: string | undefined;
 }
 
-/** A worker that may run a step, and how much of it. */
+/** A worker that can take tasks of a step now, and how many. */
 interface Candidate extends Allocation {
     /** Lower is better. */
     readonly cost: number;
-    /** Whether something speaks against it. */
+    /** Whether its cost contains a penalty. */
     readonly isPenalised: boolean;
 }
 
-/** What a choice is made from. */
+/** Parameters of a search for candidate workers. */
 export interface CandidateQuery {
     readonly step: Step;
     readonly service: ServiceName;
     readonly index: CapacityIndex;
     readonly now: Milliseconds;
-    /** How many tasks a worker takes at most, so that room that is kept for others stays kept. */
+    /** Upper bound of tasks on a worker, so that reservations and headroom are respected. */
     readonly limitFor: (worker: WorkerState) => number;
-    /** Whether the step's tasks go to the fastest workers, or leave these to others. */
+    /** Whether the step prefers fast workers, or leaves these to others. */
     readonly prefersFast: boolean;
-    /** What speaks against a worker, added to its cost. */
+    /** Added to a worker's cost. */
     readonly penaltyOf: (worker: WorkerState) => number;
 }
 
-/** Added for a worker on another rack than the step's data: that takes longer, so it comes after all near ones. */
+/** Cost of a worker on another rack than the step's data: it exceeds all other costs, as remote access slows the tasks down. */
 const remoteDataCost = 1_000;
 
-/**
- * Cost of an accelerator that stays free, as processors: a worker has few of them, and those of one worker have to be free
- * together for the tasks that need all.
- */
+/** Cost of an accelerator that stays free, in processors. High, so that whole workers stay free for tasks that need all accelerators. */
 const acceleratorCost = 10;
 
-/** Whether a worker may run a step, whatever its room and tickets. */
+/** Whether a worker may run a step, regardless of its free resources and of tickets. */
 export const isEligible = (worker: WorkerState, step: Step, service: ServiceName, now: Milliseconds): boolean => {
     const { requiredLabel } = step.definition;
     return worker.isOpen(now)
@@ -50,7 +47,7 @@
         && (requiredLabel === undefined || worker.labels.includes(requiredLabel));
 };
 
-/** Whether a step's tasks are so wide that room for one seldom opens by itself. */
+/** Whether a step's tasks are so large that resources for one seldom come free by chance. */
 export const isWide = (step: Step, workers: Iterable<WorkerState>): boolean => {
     const { service } = step.job.terms;
     for (const worker of workers) {
@@ -61,40 +58,40 @@
     return true;
 };
 
-/** Workers that can take tasks of a step now, best first: all of them, or the first that are surely enough. */
-export const findCandidates = (input: CandidateQuery, most: number): Allocation[] => {
-    const { permits } = input.step;
+/** Workers that can take tasks of a step now, lowest cost first. May leave out others once enough are found for `most` tasks. */
+export const findCandidates = (query: CandidateQuery, maxTasks: number): Allocation[] => {
+    const { permits } = query.step;
     const candidates = permits === undefined
-        ? unrestrictedCandidates(input, most)
-        : ticketedCandidates(input, permits, most);
+        ? unrestrictedCandidates(query, maxTasks)
+        : ticketedCandidates(query, permits, maxTasks);
     return candidates.sort((left, right) => left.cost - right.cost);
 };
 
-const unrestrictedCandidates = (input: CandidateQuery, most: number): Candidate[] => {
-    const { step, index } = input;
+const unrestrictedCandidates = (query: CandidateQuery, maxTasks: number): Candidate[] => {
+    const { step, index } = query;
     const { size, fills } = step.definition;
-    const enough = prefersFullest(step) ? most * candidateFactor : Infinity;
+    const enough = prefersFullest(step) ? maxTasks * candidateFactor : Infinity;
     const candidates: Candidate[] = [];
-    let undoubted = 0;
+    let unpenalised = 0;
     for (let at = fills ? 0 : index.firstIndexWith(size.processorThousandths); at < index.fullestFirst.length; at++) {
-        if (undoubted >= enough && candidates.length >= minCandidates) {
+        if (unpenalised >= enough && candidates.length >= minCandidates) {
             break;
         }
-        const candidate = candidateAt(index.fullestFirst[at], undefined, input, most);
+        const candidate = candidateAt(index.fullestFirst[at], undefined, query, maxTasks);
         if (candidate !== undefined) {
             candidates.push(candidate);
-            undoubted += candidate.isPenalised ? 0 : candidate.count;
+            unpenalised += candidate.isPenalised ? 0 : candidate.count;
         }
     }
     return candidates;
 };
 
-/** Of a step that is advised on, only the workers whose tickets hold are looked at. */
-const ticketedCandidates = (input: CandidateQuery, permits: StepPermits, most: number): Candidate[] => {
+/** For steps that need advice: only workers with a valid ticket. */
+const ticketedCandidates = (query: CandidateQuery, permits: StepPermits, maxTasks: number): Candidate[] => {
     const candidates: Candidate[] = [];
-    for (const [id, ticket] of permits.validTickets(input.now)) {
-        const worker = input.index.get(id);
-        const candidate = worker && candidateAt(worker, ticket, input, most);
+    for (const [id, ticket] of permits.validTickets(query.now)) {
+        const worker = query.index.get(id);
+        const candidate = worker && candidateAt(worker, ticket, query, maxTasks);
         if (candidate !== undefined) {
             candidates.push(candidate);
         }
@@ -105,71 +102,72 @@
 const candidateAt = (
     worker: WorkerState,
     ticket: string | undefined,
-    { step, service, now, limitFor: limit, prefersFast, penaltyOf: doubt }: CandidateQuery,
-    most: number,
+    { step, service, now, limitFor, prefersFast, penaltyOf }: CandidateQuery,
+    maxTasks: number,
 ): Candidate | undefined => {
-    // Room first: of the checks it is the cheapest, and under load the one that most workers fail.
-    const fitting = worker.countFitting(step, most);
+    // The cheapest check, and under load the one that most workers fail, comes first.
+    const fitting = worker.countFitting(step, maxTasks);
     if (fitting === 0 || !isEligible(worker, step, service, now)) {
         return undefined;
     }
-    const count = Math.min(fitting, limit(worker));
+    const count = Math.min(fitting, limitFor(worker));
     if (count <= 0) {
         return undefined;
     }
-    const doubted = doubt(worker);
-    const cost = costOf(worker, step, count) + slownessCostOf(worker, step, prefersFast) + doubted;
-    return { worker, count, ticket, cost, isPenalised: doubted > 0 };
+    const penalty = penaltyOf(worker);
+    const cost = costOf(worker, step, count) + slownessCostOf(worker, step, prefersFast) + penalty;
+    return { worker, count, ticket, cost, isPenalised: penalty > 0 };
 };
 
-/** Whether what a step's tasks want most of a worker is that little stays free there. */
+/** Whether best fit decides among workers for a step, so that the fullest come first. */
 const prefersFullest = ({ definition: { fills, size, dataRack, wantsOneRack } }: Step): boolean =>
     !fills && size.accelerators === 0 && dataRack === undefined && !wantsOneRack;
 
-/** Best fit: the less stays free the better, so that room for wide tasks stays whole elsewhere. */
+/** Best fit: the less stays free the better, so that large free blocks remain elsewhere for wide tasks. */
 const costOf = (worker: WorkerState, step: Step, count: number): number => {
     const { size, dataRack, fills } = step.definition;
-    const isFar = dataRack !== undefined && !worker.labels.includes(dataRack);
+    const isRemote = dataRack !== undefined && !worker.labels.includes(dataRack);
     if (fills) {
-        // They get what the others leave unused: the emptiest worker without tasks that serve is best.
-        return (isFar ? remoteDataCost : 0) + (worker.hasServingRun ? servingWorkerCost : 0)
+        // Filler tasks use what others leave: the emptiest worker without latency-sensitive tasks is best.
+        return (isRemote ? remoteDataCost : 0) + (worker.hasServingRun ? servingWorkerCost : 0)
             - worker.freeProcessor / 1_000;
     }
     const processorsLeft = (worker.freeProcessor - count * size.processorThousandths) / 1_000;
     const acceleratorsLeft = size.accelerators === 0 ? 0 : worker.freeAccelerators - count * size.accelerators;
-    return (isFar ? remoteDataCost : 0) + processorsLeft + acceleratorsLeft * acceleratorCost;
+    return (isRemote ? remoteDataCost : 0) + processorsLeft + acceleratorsLeft * acceleratorCost;
 };
 
-/** Room for urgent tasks on fast workers is worth more than a good fit. A gang is as fast as its slowest member wherever the others are. */
+/** Zero for gangs, which are as fast as their slowest member, and for filler tasks. */
 const slownessCostOf = ({ slowness }: WorkerState, { definition }: Step, prefersFast: boolean): number =>
     slowness === 1 || definition.isGang || definition.fills
         ? 0
         : (prefersFast ? 1 : -1) * Math.log(slowness) * slownessCost;
 
-/** Deals `count` tasks to candidates in their order; undefined when they do not all fit. */
+/** Allocates `count` tasks to candidates in their order; undefined when they do not all fit. */
 export const allocate = (candidates: readonly Allocation[], count: number): Allocation[] | undefined => {
-    const shares: Allocation[] = [];
+    const allocations: Allocation[] = [];
     let left = count;
     for (const candidate of candidates) {
         if (left === 0) {
             break;
         }
         const taken = Math.min(left, candidate.count);
-        shares.push({ ...candidate, count: taken });
+        allocations.push({ ...candidate, count: taken });
         left -= taken;
     }
-    return left === 0 ? shares : undefined;
+    return left === 0 ? allocations : undefined;
 };
 
-/** Deals `count` tasks to candidates of one rack, the one that is left with the least; undefined when none holds all. */
+/** Allocates `count` tasks within the rack that fits them most tightly; undefined when none holds all. */
 export const allocateInOneRack = (candidates: readonly Allocation[], count: number): Allocation[] | undefined => {
     const racks = new Map<string, Allocation[]>();
     for (const candidate of candidates) {
         const rack = candidate.worker.entry?.rack ?? "";
         racks.set(rack, [...racks.get(rack) ?? [], candidate]);
     }
-    const roomOf = (shares: readonly Allocation[]): number => shares.reduce((sum, share) => sum + share.count, 0);
-    const large = [...racks.values()].filter(shares => roomOf(shares) >= count);
-    large.sort((left, right) => roomOf(left) - roomOf(right));
-    return large.length === 0 ? undefined : allocate(large[0], count);
+    const capacityOf = (allocations: readonly Allocation[]): number =>
+        allocations.reduce((sum, allocation) => sum + allocation.count, 0);
+    const fitting = [...racks.values()].filter(allocations => capacityOf(allocations) >= count);
+    fitting.sort((left, right) => capacityOf(left) - capacityOf(right));
+    return fitting.length === 0 ? undefined : allocate(fitting[0], count);
 };
--- a/packages/cell/src/choosing/room-forecast.ts
+++ b/packages/cell/src/choosing/capacity-forecast.ts
@@ -1,47 +1,50 @@
-/** When workers will have room, from when the runs there are expected to end. Worked out once a pass for each worker. */
+/** Free resources of workers, now and as expected later. */
 import type { Milliseconds } from "@pebbledale/core";
 import type { Step, TaskRun, WorkerState } from "../state/index.js";
 import { stopDuration } from "./constants.js";
 import { expectedEnd } from "./expected-end.js";
 
-/** A time from which one more task of a step fits a worker. */
+/** A time from which a worker has the resources for one more task of a step. */
 export interface StartSlot {
     readonly at: Milliseconds;
     readonly worker: WorkerState;
 }
 
-/** Room of a worker at some time. */
+/** An amount of a worker's resources: thousandths of a processor, mebibytes of memory, accelerators. */
 export interface ResourceAmounts {
     readonly processor: number;
     readonly memory: number;
     readonly accelerators: number;
 }
 
-/** What a worker has free again when a run there ends. */
+/** The expected end of a run, at which its worker has the run's resources free again. */
 interface ResourceRelease {
     readonly at: Milliseconds;
     readonly run: TaskRun;
 }
 
-/** Whether a run is to be stopped in time rather than waited for. */
+/** Tells whether a run would be preempted rather than waited for. */
 export type StopPredicate = (run: TaskRun) => boolean;
 
-/** See the module's comment. */
+/** Forecasts workers' free resources from the expected ends of their runs, which are computed once a cycle for each worker. */
 export class CapacityForecast {
-    /** By worker, the first to end first. */
+    /** By worker, sorted by time. */
     readonly #releases = new Map<WorkerState, readonly ResourceRelease[]>();
 
-    /** Begins a pass. */
+    /** Drops the forecasts of the previous cycle. */
     clear(): void {
         this.#releases.clear();
     }
 
-    /** The runs of a worker changed. */
+    /** Drops the forecast of a worker whose runs changed. */
     invalidate(worker: WorkerState): void {
         this.#releases.delete(worker);
     }
 
-    /** Times from which up to `count` tasks of a step fit a worker, one after the other; runs that are stopped end soon. */
+    /**
+     * Times from which a worker can hold one, two and up to `count` tasks of a step. Runs for which `isStopped` holds are taken to end
+     * after the time of a stop.
+     */
     startSlotsOf(
         worker: WorkerState,
         step: Step,
@@ -49,89 +52,89 @@
         now: Milliseconds,
         isStopped?: StopPredicate,
     ): StartSlot[] {
-        const openings: StartSlot[] = [];
-        let room = freeResourcesOf(worker);
+        const slots: StartSlot[] = [];
+        let resources = freeResourcesOf(worker);
         const add = (at: Milliseconds) => {
-            const fitting = Math.min(count, countFittingIn(room, step));
-            while (openings.length < fitting) {
-                openings.push({ at, worker });
+            const fitting = Math.min(count, countFittingIn(resources, step));
+            while (slots.length < fitting) {
+                slots.push({ at, worker });
             }
         };
         add(now);
-        const endings = this.#releasesOf(worker, now);
-        for (const { run, at } of isStopped === undefined ? endings : withStops(endings, isStopped, now)) {
-            if (at === Infinity || openings.length >= count) {
+        const releases = this.#releasesOf(worker, now);
+        for (const { run, at } of isStopped === undefined ? releases : withStops(releases, isStopped, now)) {
+            if (at === Infinity || slots.length >= count) {
                 break;
             }
-            room = addAmounts(room, resourcesOfRun(run));
+            resources = addAmounts(resources, resourcesOfRun(run));
             add(at);
         }
-        return openings;
+        return slots;
     }
 
-    /** What a worker is expected to have free at a time, were nothing started there until then. */
+    /** The resources that a worker will have free at a time if nothing is started there until then. */
     resourcesAt(worker: WorkerState, at: Milliseconds, now: Milliseconds): ResourceAmounts {
         return this.#releasesOf(worker, now)
-            .filter(ending => ending.at <= at)
+            .filter(release => release.at <= at)
             .reduce<ResourceAmounts>((sum, { run }) => addAmounts(sum, resourcesOfRun(run)), freeResourcesOf(worker));
     }
 
     #releasesOf(worker: WorkerState, now: Milliseconds): readonly ResourceRelease[] {
-        let endings = this.#releases.get(worker);
-        if (endings === undefined) {
-            endings = [...worker.runs.values()]
+        let releases = this.#releases.get(worker);
+        if (releases === undefined) {
+            releases = [...worker.runs.values()]
                 .map(run => ({ run, at: expectedEnd(run, now) }))
                 .sort(byTime);
-            this.#releases.set(worker, endings);
+            this.#releases.set(worker, releases);
         }
-        return endings;
+        return releases;
     }
 }
 
 const byTime = (left: ResourceRelease, right: ResourceRelease): number => left.at - right.at;
 
 const withStops = (
-    endings: readonly ResourceRelease[],
+    releases: readonly ResourceRelease[],
     isStopped: StopPredicate,
     now: Milliseconds,
 ): readonly ResourceRelease[] =>
-    endings
+    releases
         .map(({ run, at }) => ({ run, at: at > now + stopDuration && isStopped(run) ? now + stopDuration : at }))
         .sort(byTime);
 
-/** What a run holds of its worker. */
+/** Resources that a run holds. Filler tasks hold no processor. */
 export const resourcesOfRun = ({ task: { step: { definition: { size, fills } } } }: TaskRun): ResourceAmounts => ({
     processor: fills ? 0 : size.processorThousandths,
     memory: size.memoryMebibytes,
     accelerators: size.accelerators,
 });
 
-/** What a worker has free now. */
+/** Resources that a worker has free now. */
 export const freeResourcesOf = ({ freeProcessor, freeMemory, freeAccelerators }: WorkerState): ResourceAmounts => ({
     processor: freeProcessor,
     memory: freeMemory,
     accelerators: freeAccelerators,
 });
 
-/** Two rooms together. */
+/** The sum of two amounts of resources. */
 export const addAmounts = (left: ResourceAmounts, right: ResourceAmounts): ResourceAmounts => ({
     processor: left.processor + right.processor,
     memory: left.memory + right.memory,
     accelerators: left.accelerators + right.accelerators,
 });
 
-/** What is left of some room once `count` tasks of a step have theirs. */
+/** What remains after `count` tasks of a step took their resources; negative where they did not fit. */
 export const resourcesWithout = (
-    room: ResourceAmounts,
+    resources: ResourceAmounts,
     { definition: { size, fills } }: Step,
     count: number,
 ): ResourceAmounts => ({
-    processor: room.processor - (fills ? 0 : count * size.processorThousandths),
-    memory: room.memory - count * size.memoryMebibytes,
-    accelerators: room.accelerators - count * size.accelerators,
+    processor: resources.processor - (fills ? 0 : count * size.processorThousandths),
+    memory: resources.memory - count * size.memoryMebibytes,
+    accelerators: resources.accelerators - count * size.accelerators,
 });
 
-/** How many tasks of a step some room holds. */
+/** How many tasks of a step fit an amount of resources. */
 export const countFittingIn = (
     { processor, memory, accelerators }: ResourceAmounts,
     { definition: { size, fills } }: Step,
--- a/packages/cell/src/headroom/headroom-log.ts
+++ b/packages/cell/src/headroom/headroom-log.ts
@@ -1,30 +1,30 @@
-/** Notes in the log what is kept for urgent work, each time that changes by much. */
+/** Logs changes of headroom. */
 import { logEvents, type Milliseconds, type ServiceName } from "@pebbledale/core";
 import type { DecisionLog } from "../state/index.js";
 import { logInterval, minLoggedChange, minLoggedShare } from "./constants.js";
-import type { ServiceHeadroom } from "./service-room.js";
+import type { ServiceHeadroom } from "./service-headroom.js";
 
-/** What was logged last of a service. */
+/** The headroom of a service that was logged last. */
 interface LoggedHeadroom {
-    readonly kept: number;
+    readonly tasks: number;
     readonly at: Milliseconds;
 }
 
-const neverLogged: LoggedHeadroom = { kept: 0, at: -Infinity };
+const neverLogged: LoggedHeadroom = { tasks: 0, at: -Infinity };
 
-/** See the module's comment. */
+/** Logs a service's headroom when it has changed considerably, at a limited rate. */
 export class HeadroomLog {
     readonly #logged = new Map<ServiceName, LoggedHeadroom>();
 
     constructor(private readonly log: DecisionLog) {}
 
-    /** A pass has ended. */
-    logChange(service: ServiceName, room: ServiceHeadroom, now: Milliseconds): void {
-        const { kept, at } = this.#logged.get(service) ?? neverLogged;
-        const change = Math.abs(room.keptTasks - kept);
-        if (change >= minLoggedChange && change >= kept * minLoggedShare && now - at >= logInterval) {
-            this.#logged.set(service, { kept: room.keptTasks, at: now });
-            this.log.log(logEvents.roomKept, { service, ...room.logFields });
+    /** Called for each service at the end of a cycle. */
+    logChange(service: ServiceName, headroom: ServiceHeadroom, now: Milliseconds): void {
+        const { tasks, at } = this.#logged.get(service) ?? neverLogged;
+        const change = Math.abs(headroom.headroomTasks - tasks);
+        if (change >= minLoggedChange && change >= tasks * minLoggedShare && now - at >= logInterval) {
+            this.#logged.set(service, { tasks: headroom.headroomTasks, at: now });
+            this.log.log(logEvents.roomKept, { service, ...headroom.logFields });
         }
     }
 }
--- a/packages/cell/src/headroom/room-maker.ts
+++ b/packages/cell/src/headroom/headroom-preemptor.ts
@@ -1,7 +1,4 @@
-/**
- * Stops runs of less urgent queues for urgent work that is short of room: those whose progress is saved and whose jobs have ample time.
- * What comes free by itself within the time of a stop is waited for.
- */
+/** Preempts runs for urgent work that found no resources. */
 import type { Milliseconds } from "@pebbledale/core";
 import {
     addAmounts,
@@ -9,30 +6,33 @@
     freeResourcesOf,
     type ResourceAmounts,
     resourcesOfRun,
-    stopTime,
+    stopDuration,
 } from "../choosing/index.js";
 import { RunPhase, type TaskRun, type WorkerState } from "../state/index.js";
 import type { PreemptionPolicy, RunPreemptor } from "../yielding/index.js";
 import { maxStopsPerCycle } from "./constants.js";
-import type { ServiceHeadroom } from "./service-room.js";
+import type { ServiceHeadroom } from "./service-headroom.js";
 
-/** A run that may be stopped. */
+/** A run that may be preempted. */
 interface Victim {
     readonly run: TaskRun;
-    /** How many more usual urgent tasks fit its worker without it. */
+    /** How many more typical urgent tasks fit its worker without it. */
     readonly gain: number;
-    /** How many for each core that it holds. */
+    /** The gain for each thousandth of a processor that the run holds. */
     readonly gainPerProcessor: number;
 }
 
-/** See the module's comment. */
+/**
+ * Preempts runs of less urgent queues for urgent steps that found no resources, as far as the policy allows. Resources that come free
+ * by themselves within the time of a stop are counted first.
+ */
 export class HeadroomPreemptor {
-    constructor(private readonly policy: PreemptionPolicy, private readonly stopper: RunPreemptor) {}
+    constructor(private readonly policy: PreemptionPolicy, private readonly preemptor: RunPreemptor) {}
 
-    /** Makes room for `needed` usual urgent tasks of a priority in all. */
+    /** Preempts until resources for `needed` typical urgent tasks of a priority are free or coming free. */
     preempt(
         workers: readonly WorkerState[],
-        room: ServiceHeadroom,
+        headroom: ServiceHeadroom,
         needed: number,
         priority: number,
         now: Milliseconds,
@@ -40,37 +40,37 @@
         let missing = needed;
         const victims: Victim[] = [];
         for (const worker of workers) {
-            const soon = resourcesSoon(worker, priority, now);
-            missing -= room.countTypicalIn(soon);
-            victims.push(...this.#victimsAt(worker, soon, room, priority, now));
+            const resources = resourcesSoon(worker, priority, now);
+            missing -= headroom.countTypicalIn(resources);
+            victims.push(...this.#victimsAt(worker, resources, headroom, priority, now));
         }
         let stops = 0;
         for (const { run, gain } of victims.sort(byGainPerProcessor)) {
             if (missing <= 0 || stops >= maxStopsPerCycle) {
                 break;
             }
-            this.stopper.preempt(run, "urgent work that is short of room");
+            this.preemptor.preempt(run, "urgent work that did not fit");
             missing -= gain;
             stops++;
         }
     }
 
-    /** One run of a worker at most: how much another would add depends on the first. */
+    /** At most one run for each worker: the gain of a second one would depend on the first. */
     #victimsAt(
         worker: WorkerState,
-        soon: ResourceAmounts,
-        room: ServiceHeadroom,
+        resources: ResourceAmounts,
+        headroom: ServiceHeadroom,
         priority: number,
         now: Milliseconds,
     ): Victim[] {
-        const fitting = room.countTypicalIn(soon);
+        const fitting = headroom.countTypicalIn(resources);
         return [...worker.runs.values()]
             .filter(run =>
-                expectedEnd(run, now) > now + stopTime && this.policy.mayPreemptForPriority(run, priority, now)
+                expectedEnd(run, now) > now + stopDuration && this.policy.mayPreemptForPriority(run, priority, now)
             )
             .map(run => {
                 const freed = resourcesOfRun(run);
-                const gain = room.countTypicalIn(addAmounts(soon, freed)) - fitting;
+                const gain = headroom.countTypicalIn(addAmounts(resources, freed)) - fitting;
                 return { run, gain, gainPerProcessor: gain / Math.max(1, freed.processor) };
             })
             .filter(({ gain }) => gain > 0)
@@ -82,11 +82,14 @@
 const byGainPerProcessor = (left: Victim, right: Victim): number =>
     right.gainPerProcessor - left.gainPerProcessor || left.run.percent - right.run.percent;
 
-/** What a worker has free, and will have within the time that a stop takes: urgent runs that end are followed by others. */
+/**
+ * Resources of a worker that are free or come free within the time of a stop. Ending urgent runs are left out, as further urgent work
+ * follows them.
+ */
 const resourcesSoon = (worker: WorkerState, priority: number, now: Milliseconds): ResourceAmounts =>
     [...worker.runs.values()]
         .filter(run =>
             run.phase === RunPhase.Stopping
-            || run.task.step.job.terms.priority > priority && expectedEnd(run, now) <= now + stopTime
+            || run.task.step.job.terms.priority > priority && expectedEnd(run, now) <= now + stopDuration
         )
         .reduce((sum, run) => addAmounts(sum, resourcesOfRun(run)), freeResourcesOf(worker));
--- a/packages/cell/src/headroom/service-room.ts
+++ b/packages/cell/src/headroom/service-headroom.ts
@@ -1,7 +1,4 @@
-/**
- * Room of one service as urgent tasks can use it: workers' free room is counted by how many usual urgent tasks it holds, in
- * processors and in memory, as scattered bits hold none.
- */
+/** Headroom of one service. */
 import type { Milliseconds } from "@pebbledale/core";
 import { freeResourcesOf, type ResourceAmounts, resourcesWithout } from "../choosing/index.js";
 import type { Step, WorkerState } from "../state/index.js";
@@ -9,7 +6,7 @@
 import { PeakDemand } from "./peak-demand.js";
 import type { DemandForecast } from "./types.js";
 
-/** Some tasks together. */
+/** Sums over some tasks. */
 interface Load {
     tasks: number;
     /** Thousandths of a processor. */
@@ -20,24 +17,28 @@
 
 const noLoad = (): Load => ({ tasks: 0, processor: 0, memory: 0 });
 
-/** See the module's comment. */
+/**
+ * The free capacity and the urgent demand of one service.
+ *
+ * Free capacity is counted worker by worker in typical urgent tasks, by processors and memory, as fragments that hold no task are of no
+ * use.
+ */
 export class ServiceHeadroom {
-    /** Whether gangs were seen in the service: room adds up for these otherwise. */
+    /** Whether gangs were seen in the service. No headroom is kept there, as reservations free resources for gangs. */
     hasGangs = false;
     readonly #forecast: DemandForecast = new PeakDemand();
-    /** A usual urgent task; undefined before the first. */
+    /** Moving average of urgent tasks' sizes; undefined before the first task. */
     #typicalTask: ResourceAmounts | undefined;
     #sizeLearnedAt: Milliseconds = 0;
     #running = noLoad();
     #waiting = noLoad();
-    /** Of those that wait, what found no room. */
+    /** Processors of waiting tasks that could not be placed. */
     #unplacedProcessor = 0;
     #processor = 0;
     #freeProcessor = 0;
-    /** How many usual urgent tasks the free room holds. */
+    /** How many typical urgent tasks fit the free capacity. */
     #fittingTasks = 0;
 
-    /** Begins a pass. */
     beginCycle(): void {
         this.#running = noLoad();
         this.#waiting = noLoad();
@@ -47,75 +48,75 @@
         this.#fittingTasks = 0;
     }
 
-    /** Adds tasks of an urgent step that run. */
+    /** Adds running tasks of an urgent step to the demand. */
     addRunning(step: Step, count: number): void {
         add(this.#running, step, count);
     }
 
-    /** Adds tasks of an urgent step that wait. */
+    /** Adds waiting tasks of an urgent step to the demand. */
     addWaiting(step: Step, count: number): void {
         add(this.#waiting, step, count);
     }
 
-    /** Tasks of an urgent step found no room. */
+    /** Adds tasks of an urgent step that could not be placed. */
     addUnplaced({ definition: { size } }: Step, count: number): void {
         this.#unplacedProcessor += count * size.processorThousandths;
     }
 
-    /** How many usual urgent tasks found no room. */
+    /** Demand that could not be placed, in typical urgent tasks. */
     get unplacedTasks(): number {
         return this.#unplacedProcessor / Math.max(1, this.#typicalTask?.processor ?? 1);
     }
 
-    /** Works the demand out, once all urgent tasks are added. */
+    /** Updates the forecast of demand. Called once all urgent tasks of a cycle are added. */
     updateDemand(now: Milliseconds): void {
         this.#forecast.observe(this.#running.processor + this.#waiting.processor, now);
         this.#learnSize(now);
     }
 
-    /** Adds a worker that may be ordered. */
+    /** Adds the capacity of a worker that accepts new runs. */
     addWorker({ entry, freeProcessor }: WorkerState, fitting: number): void {
         this.#processor += entry?.capacity.processorThousandths ?? 0;
         this.#freeProcessor += Math.max(0, freeProcessor);
         this.#fittingTasks += fitting;
     }
 
-    /** How many usual urgent tasks fit a worker's free room once `count` tasks of a step have theirs. */
+    /** How many typical urgent tasks fit a worker, after `count` tasks of a step were placed there. */
     countTypicalAt(worker: WorkerState, step?: Step, count = 0): number {
         const free = freeResourcesOf(worker);
         return this.countTypicalIn(step === undefined ? free : resourcesWithout(free, step, count));
     }
 
-    /** How many usual urgent tasks some room holds. */
+    /** How many typical urgent tasks fit an amount of resources. */
     countTypicalIn({ processor, memory }: ResourceAmounts): number {
-        const usual = this.#typicalTask;
-        return usual === undefined
+        const typical = this.#typicalTask;
+        return typical === undefined
             ? 0
             : Math.max(
                 0,
-                Math.floor(Math.min(processor / Math.max(1, usual.processor), memory / Math.max(1, usual.memory))),
+                Math.floor(Math.min(processor / Math.max(1, typical.processor), memory / Math.max(1, typical.memory))),
             );
     }
 
-    /** Tasks of a step take their room at a worker. */
+    /** Accounts for tasks of a step that are about to be placed at a worker. */
     notePlaced(worker: WorkerState, step: Step, count: number): void {
         const { fills, size } = step.definition;
         this.#fittingTasks -= this.countTypicalAt(worker) - this.countTypicalAt(worker, step, count);
         this.#freeProcessor -= fills ? 0 : count * size.processorThousandths;
     }
 
-    /** Whether enough is left for urgent work once `count` tasks of a step have their room at a worker. */
+    /** Whether the headroom is still free after placing `count` tasks of a step at a worker. */
     leavesHeadroom(worker: WorkerState, step: Step, count: number): boolean {
         const { fills, size } = step.definition;
         const freeProcessor = this.#freeProcessor - (fills ? 0 : count * size.processorThousandths);
         const lost = this.countTypicalAt(worker) - this.countTypicalAt(worker, step, count);
         return lost === 0
             || freeProcessor > this.#processor * maxFreeShare
-            || this.#fittingTasks - lost >= this.keptTasks;
+            || this.#fittingTasks - lost >= this.headroomTasks;
     }
 
-    /** How many usual urgent tasks room is to be kept for. */
-    get keptTasks(): number {
+    /** Headroom to keep, in typical urgent tasks. */
+    get headroomTasks(): number {
         const missing = Math.min(
             this.#forecast.expected - this.#running.processor,
             this.#processor * maxHeadroomShare,
@@ -123,20 +124,20 @@
         return Math.max(0, Math.round(missing / Math.max(1, this.#typicalTask?.processor ?? 1)));
     }
 
-    /** What is kept, in thousandths of a processor. */
-    get keptProcessor(): number {
-        return Math.round(this.keptTasks * (this.#typicalTask?.processor ?? 0));
+    /** Headroom to keep, in thousandths of a processor. */
+    get headroomProcessor(): number {
+        return Math.round(this.headroomTasks * (this.#typicalTask?.processor ?? 0));
     }
 
-    /** What the decision was made from, for the log: thousandths of a processor, and how many usual urgent tasks fit. */
+    /** Figures behind the decision, for the log: thousandths of a processor and numbers of typical urgent tasks. */
     get logFields(): Readonly<Record<string, number>> {
         return {
             atWork: this.#running.processor,
             waiting: this.#waiting.processor,
             shortProcessor: this.#unplacedProcessor,
             expected: Math.round(this.#forecast.expected),
-            keptTasks: this.keptTasks,
-            keptProcessor: this.keptProcessor,
+            keptTasks: this.headroomTasks,
+            keptProcessor: this.headroomProcessor,
             fittingTasks: this.#fittingTasks,
         };
     }
--- a/packages/cell/src/headroom/urgent-headroom.ts
+++ b/packages/cell/src/headroom/urgent-headroom.ts
@@ -1,74 +1,70 @@
-/**
- * Keeps room for the urgent narrow work that is to be reckoned with soon.
- *
- * The load that it answers: patient work fills a service, and urgent steps of well under a second wait for its runs to end. It acts where
- * urgent steps and a less urgent queue share workers and no gangs do. Patient steps that can wait, and overdue ones, leave as much free
- * as urgent work had lately beyond what it has now.
- */
+/** Headroom for expected urgent demand. */
 import type { Milliseconds, ServiceName } from "@pebbledale/core";
 import { DeadlineStatus, hasSlack, isUrgentNarrow, type RankedStep } from "../choosing/index.js";
 import type { CellContext, Step, WorkerState } from "../state/index.js";
 import type { PreemptionPolicy, RunPreemptor } from "../yielding/index.js";
 import { HeadroomLog } from "./headroom-log.js";
-import { HeadroomPreemptor } from "./room-maker.js";
-import { ServiceHeadroom } from "./service-room.js";
+import { HeadroomPreemptor } from "./headroom-preemptor.js";
+import { ServiceHeadroom } from "./service-headroom.js";
 import type { Headroom } from "./types.js";
 
-/** See the module's comment. */
+/**
+ * Keeps capacity free for the urgent narrow work that is expected soon, so that urgent steps of well under a second need not wait for runs
+ * of deferrable work that fills their service.
+ *
+ * Deferrable and overdue steps leave as much free as the recent peak of urgent demand exceeds the running urgent work. Services with
+ * gangs are left out.
+ */
 export class UrgentHeadroom implements Headroom {
     readonly #services = new Map<ServiceName, ServiceHeadroom>();
-    /** Steps of this pass that leave room free. */
+    /** Steps of this cycle that must leave the headroom free. */
     readonly #restricted = new Set<Step>();
 
     readonly #preemptor: HeadroomPreemptor;
     readonly #log: HeadroomLog;
     #openWorkers: readonly WorkerState[] = [];
 
-    constructor(private readonly context: CellContext, policy: PreemptionPolicy, stopper: RunPreemptor) {
-        this.#preemptor = new HeadroomPreemptor(policy, stopper);
+    constructor(private readonly context: CellContext, policy: PreemptionPolicy, runPreemptor: RunPreemptor) {
+        this.#preemptor = new HeadroomPreemptor(policy, runPreemptor);
         this.#log = new HeadroomLog(context.options.log);
     }
 
-    /** See {@link Headroom.beginCycle}. */
-    beginCycle(ranked: readonly RankedStep[], open: readonly WorkerState[], now: Milliseconds): void {
+    beginCycle(ranked: readonly RankedStep[], openWorkers: readonly WorkerState[], now: Milliseconds): void {
         this.#restricted.clear();
-        this.#openWorkers = open;
-        this.#services.forEach(room => room.beginCycle());
+        this.#openWorkers = openWorkers;
+        this.#services.forEach(headroom => headroom.beginCycle());
         this.context.workers.forEach(worker => this.#addRuns(worker));
         ranked.forEach(entry => this.#addStep(entry, now));
-        this.#services.forEach(room => room.updateDemand(now));
-        for (const worker of open) {
-            const room = worker.entry && this.#services.get(worker.entry.service);
-            room?.addWorker(worker, room.countTypicalAt(worker));
+        this.#services.forEach(headroom => headroom.updateDemand(now));
+        for (const worker of openWorkers) {
+            const headroom = worker.entry && this.#services.get(worker.entry.service);
+            headroom?.addWorker(worker, headroom.countTypicalAt(worker));
         }
     }
 
-    /** See {@link Headroom.limitFor}. */
     limitFor(worker: WorkerState, step: Step): number {
-        const room = this.#restricted.has(step) ? this.#services.get(step.job.terms.service) : undefined;
-        if (room === undefined || room.hasGangs) {
+        const headroom = this.#restricted.has(step) ? this.#services.get(step.job.terms.service) : undefined;
+        if (headroom === undefined || headroom.hasGangs) {
             return Infinity;
         }
         let count = worker.countFitting(step, step.tasks.length);
-        while (count > 0 && !room.leavesHeadroom(worker, step, count)) {
+        while (count > 0 && !headroom.leavesHeadroom(worker, step, count)) {
             count--;
         }
         return count;
     }
 
-    /** See {@link Headroom.notePlaced}. */
     notePlaced(worker: WorkerState, step: Step, count: number): void {
-        const room = this.#services.get(step.job.terms.service);
-        if (room === undefined) {
+        const headroom = this.#services.get(step.job.terms.service);
+        if (headroom === undefined) {
             return;
         }
-        room.notePlaced(worker, step, count);
+        headroom.notePlaced(worker, step, count);
         if (isUrgentNarrow(this.context, step)) {
-            room.addRunning(step, count);
+            headroom.addRunning(step, count);
         }
     }
 
-    /** See {@link Headroom.noteUnplaced}. */
     noteUnplaced(ranked: RankedStep, count: number): void {
         const { step } = ranked;
         if (isUrgentNarrow(this.context, step) && qualifiesForHeadroom(ranked)) {
@@ -76,25 +72,23 @@
         }
     }
 
-    /** See {@link Headroom.endCycle}. */
     endCycle(now: Milliseconds): void {
         const priority = this.context.queues?.mostUrgentPriority ?? 0;
-        for (const [service, room] of this.#services) {
-            if (room.hasGangs) {
+        for (const [service, headroom] of this.#services) {
+            if (headroom.hasGangs) {
                 continue;
             }
-            if (room.unplacedTasks > 0) {
+            if (headroom.unplacedTasks > 0) {
                 const workers = this.#openWorkers.filter(({ entry }) => entry?.service === service);
-                this.#preemptor.preempt(workers, room, room.unplacedTasks, priority, now);
+                this.#preemptor.preempt(workers, headroom, headroom.unplacedTasks, priority, now);
             }
-            this.#log.logChange(service, room, now);
+            this.#log.logChange(service, headroom, now);
         }
     }
 
-    /** See {@link Headroom.headroomOf}. */
     headroomOf(service: ServiceName): number {
-        const room = this.#services.get(service);
-        return room === undefined || room.hasGangs ? 0 : room.keptProcessor;
+        const headroom = this.#services.get(service);
+        return headroom === undefined || headroom.hasGangs ? 0 : headroom.headroomProcessor;
     }
 
     #addRuns(worker: WorkerState): void {
@@ -110,36 +104,36 @@
     }
 
     #addStep(ranked: RankedStep, now: Milliseconds): void {
-        const { step, deadlineStatus: prospect, latestStart } = ranked;
+        const { step, deadlineStatus, latestStart } = ranked;
         const { definition, job } = step;
-        const room = this.#serviceHeadroom(job.terms.service);
+        const headroom = this.#serviceHeadroom(job.terms.service);
         if (definition.isGang) {
-            room.hasGangs = true;
+            headroom.hasGangs = true;
         }
         else if (isUrgentNarrow(this.context, step)) {
             if (qualifiesForHeadroom(ranked)) {
                 const left = this.context.usage.countRemaining(job.organisation, definition.size);
-                room.addWaiting(step, Math.min(left, step.waitingTasks().length));
+                headroom.addWaiting(step, Math.min(left, step.waitingTasks().length));
             }
         }
         else if (
-            prospect === DeadlineStatus.Overdue
-            || prospect === DeadlineStatus.OnTime && hasSlack(step, latestStart - now)
+            deadlineStatus === DeadlineStatus.Overdue
+            || deadlineStatus === DeadlineStatus.OnTime && hasSlack(step, latestStart - now)
         ) {
             this.#restricted.add(step);
         }
     }
 
     #serviceHeadroom(service: ServiceName): ServiceHeadroom {
-        let room = this.#services.get(service);
-        if (room === undefined) {
-            room = new ServiceHeadroom();
-            this.#services.set(service, room);
+        let headroom = this.#services.get(service);
+        if (headroom === undefined) {
+            headroom = new ServiceHeadroom();
+            this.#services.set(service, headroom);
         }
-        return room;
+        return headroom;
     }
 }
 
-/** Whether others leave room for an urgent step: its job is owed and can still earn something. */
-const qualifiesForHeadroom = ({ deadlineStatus: prospect, entitlement: standing }: RankedStep): boolean =>
-    prospect !== DeadlineStatus.Overdue && standing === 0;
+/** Whether headroom is kept for an urgent step: it is within its organisation's entitlement and not overdue. */
+const qualifiesForHeadroom = ({ deadlineStatus, entitlement }: RankedStep): boolean =>
+    deadlineStatus !== DeadlineStatus.Overdue && entitlement === 0;
--- a/packages/cell/src/load/index.ts
+++ b/packages/cell/src/load/index.ts
@@ -1,3 +1,3 @@
-/** Decisions for when there is more work than room. Each is made from what is passed in, and reaches nothing outside. */
-export * from "./hold-back.js";
+/** Admission of ready work when demand exceeds capacity. */
+export * from "./gang-deferral.js";
 export * from "./organisation-limits.js";
--- a/packages/cell/src/moving/index.ts
+++ b/packages/cell/src/moving/index.ts
@@ -1,2 +1,2 @@
-/** Which runs are better off elsewhere. */
-export * from "./mover.js";
+/** Migration of runs away from workers that are slow or about to leave. */
+export * from "./run-migrator.js";
--- a/packages/cell/src/moving/mover.ts
+++ b/packages/cell/src/moving/run-migrator.ts
@@ -1,4 +1,4 @@
-/** Moves runs away from workers that are slow, silent or about to leave, where that loses little. */
+/** Migration of runs to other workers. */
 import type { Milliseconds } from "@pebbledale/core";
 import { expectedEnd, isEligible } from "../choosing/index.js";
 import type { CrashMonitor } from "../crashes/index.js";
@@ -7,10 +7,13 @@
 import type { ProgressMonitor } from "../watching/index.js";
 import { minLatenessToStop, minPercentLeftToMove } from "./constants.js";
 
-/** Progress of a task that lasts once it is at work, in percent (the users' rules). */
+/** Progress, in percent, that a long-running task reports once it serves. */
 const servingPercent = 100;
 
-/** See the module's comment. */
+/**
+ * Stops runs on workers that are slow, about to begin their upkeep or about to leave, where little work is lost and another worker
+ * fits them. Stopped tasks are placed again by the next cycle.
+ */
 export class RunMigrator {
     constructor(
         private readonly context: CellContext,
@@ -19,7 +22,6 @@
         private readonly crashes: CrashMonitor,
     ) {}
 
-    /** Looks at all workers for runs that are better off elsewhere. */
     tick(): void {
         const now = this.context.now();
         for (const worker of this.context.workers.values()) {
@@ -35,7 +37,7 @@
         }
     }
 
-    /** Tasks of a step that may have a copy and whose only run is hindered. */
+    /** Tasks of a step that may have a copy and whose only run is on a degraded worker. */
     tasksToCopy(step: Step, now: Milliseconds): Task[] {
         if (!step.definition.allowsCopies) {
             return [];
@@ -58,21 +60,21 @@
         }
     }
 
-    /** A worker whose VM is about to have its upkeep: what loses nothing goes elsewhere, the rest ends by itself. */
+    /** Before the upkeep of a VM: migrates the runs that lose nothing. The others end by themselves. */
     #drainClosed(worker: WorkerState, now: Milliseconds): void {
         for (const run of worker.runs.values()) {
             const { step } = run.task;
             const { savesProgress, isGang, isLasting } = step.definition;
             const isCheap = isLasting ? allowsDisruption(step) : savesProgress && !isGang;
             if (isCheap && isMovable(run) && this.#fitsElsewhere(run, now)) {
-                this.runs.stop(run, "its VM is about to have its upkeep");
+                this.runs.stop(run, "its VM is about to begin its upkeep");
             }
         }
     }
 
     /**
-     * What will not end before its worker leaves is stopped in time, if its progress is saved or it lasts. A gang goes with
-     * any one of its workers: its members elsewhere hold their room for nothing, and it starts again the sooner.
+     * Stops runs that will not end before their worker leaves, if their progress is saved or they are long-running. A gang would be lost
+     * with any one of its workers, so it is stopped early to start again sooner.
      */
     #migrateFromLeaving(worker: WorkerState, leavesAt: Milliseconds, now: Milliseconds): void {
         for (const run of worker.runs.values()) {
@@ -87,7 +89,7 @@
         }
     }
 
-    /** Whether another worker could take the task now. */
+    /** Whether another worker could take the run's task now. */
     #fitsElsewhere(run: TaskRun, now: Milliseconds): boolean {
         const { step } = run.task;
         const { terms } = step.job;
@@ -104,12 +106,11 @@
 
 const isMovable = (run: TaskRun): boolean => run.phase === RunPhase.Running && run.stopReason === undefined;
 
-/** Whether one more task of a step that lasts may be away through our doing. */
+/** Whether the disruption budget of a long-running step allows one more of its tasks to be stopped by the scheduler. */
 export const allowsDisruption = ({ definition, tasks }: Step): boolean => {
     const { mayBeAway } = definition;
     return mayBeAway === undefined || tasks.filter(task => !isServing(task)).length < mayBeAway;
 };
 
-/** Whether a task that lasts is at work: its progress is complete once it serves. */
 const isServing = (task: Task): boolean =>
     task.runs.some(run => run.phase === RunPhase.Running && run.percent >= servingPercent);
--- a/packages/cell/src/pacing/pace-keeper.ts
+++ b/packages/cell/src/pacing/filler-pace-controller.ts
@@ -1,26 +1,26 @@
-/**
- * Slows down what fills a worker while it keeps a task that serves users from its latency target.
- *
- * The share halves as soon as a tail comes near its target and grows in small steps while all tails are well below: being
- * over the target costs more than working a little less.
- */
+/** Control of the pace of filler tasks. */
 import { logEvents } from "@pebbledale/core";
 import { type CellContext, fullPace, RunPhase, type TaskRun, type WorkerState } from "../state/index.js";
 import type { WorkerRun } from "../task-worker/index.js";
 import { minPace, paceIncrement, tailNearTarget, tailWellBelowTarget } from "./constants.js";
 
-/** See the module's comment. */
+/**
+ * Slows down the filler tasks of a worker while the latency-sensitive tasks there approach their latency targets.
+ *
+ * Additive increase, multiplicative decrease: the pace halves as soon as a tail latency comes near its target and grows in small steps
+ * while all are well below.
+ */
 export class FillerPaceController {
     constructor(private readonly context: CellContext) {}
 
-    /** Takes in what the runs of a worker measure. */
-    update(worker: WorkerState, seen: readonly (readonly [TaskRun, WorkerRun])[]): void {
-        const fillers = seen.map(([run]) => run).filter(isFiller);
+    /** Adjusts the pace of a worker's fillers to the latencies that its runs report. */
+    update(worker: WorkerState, reported: readonly (readonly [TaskRun, WorkerRun])[]): void {
+        const fillers = reported.map(([run]) => run).filter(isFiller);
         if (fillers.length === 0) {
             worker.fillerPace = fullPace;
             return;
         }
-        const pace = this.#paceFor(worker, worstTail(seen));
+        const pace = this.#paceFor(worker, worstTail(reported));
         if (pace !== worker.fillerPace) {
             this.context.options.log.log(logEvents.fillersPaced, { worker: worker.id, pace, runs: fillers.length });
         }
@@ -42,9 +42,9 @@
     }
 
     #sendPace(run: TaskRun, percent: number): void {
-        // A pace below the full one is told again with each look: the order before may have been lost.
-        const isTold = run.pace === percent && percent === fullPace;
-        if (isTold || run.phase !== RunPhase.Running) {
+        // A reduced pace is sent again with each poll, as an earlier command may have been lost.
+        const isUnchanged = run.pace === percent && percent === fullPace;
+        if (isUnchanged || run.phase !== RunPhase.Running) {
             return;
         }
         run.pace = percent;
@@ -60,9 +60,9 @@
 
 const isFiller = (run: TaskRun): boolean => run.task.step.definition.fills;
 
-/** The worst tail of the tasks that serve, as a share of its target; undefined when none serves. */
-const worstTail = (seen: readonly (readonly [TaskRun, WorkerRun])[]): number | undefined => {
-    const tails = seen.flatMap(([run, { measure }]) => {
+/** The worst tail latency as a share of its target; undefined when no run has a target. */
+const worstTail = (reported: readonly (readonly [TaskRun, WorkerRun])[]): number | undefined => {
+    const tails = reported.flatMap(([run, { measure }]) => {
         const { latencyTarget, fills } = run.task.step.definition;
         return latencyTarget === undefined || fills ? [] : [measure / latencyTarget];
     });
--- a/packages/cell/src/pacing/index.ts
+++ b/packages/cell/src/pacing/index.ts
@@ -1,2 +1,2 @@
-/** How fast tasks that fill a worker may work. */
-export * from "./pace-keeper.js";
+/** Pacing of filler tasks beside latency-sensitive ones. */
+export * from "./filler-pace-controller.js";
--- a/packages/cell/src/placing/placer.ts
+++ b/packages/cell/src/placing/placer.ts
@@ -1,4 +1,4 @@
-/** Places what waits: goes through the ready steps in the order of their urgency and orders what fits. */
+/** Places ready steps on workers. */
 import { logEvents, type Milliseconds, type RunNumber, type ServiceName } from "@pebbledale/core";
 import type { AdvicePlanner, CapacityOf } from "../advising/index.js";
 import {
@@ -24,10 +24,10 @@
 import type { HealthMonitor } from "../watching/index.js";
 import { type PreemptionPolicy, RunPreemptor } from "../yielding/index.js";
 import { rackTimeout, wideTaskReservationDelay } from "./constants.js";
-import { PlanPreemptor } from "./preemption.js";
+import { PlanPreemptor } from "./plan-preemptor.js";
 import { Reservations } from "./reservations.js";
 
-/** What a placer is made from. */
+/** Components and policies that placement consults. */
 export interface PlacerDependencies {
     readonly context: CellContext;
     readonly runs: RunLifecycle;
@@ -40,54 +40,51 @@
     readonly headroom: Headroom;
 }
 
-/** See the module's comment. */
+/** Goes through the ready steps in the order of their ranks once a cycle, orders runs where tasks fit and reserves resources elsewhere. */
 export class Placer {
     readonly #ready = new Set<Step>();
-    /** Room that steps further ahead in this pass wait for. */
+    /** Resources that steps ahead in this cycle wait for. */
     readonly #reservations: Reservations;
-    readonly #preemption: PlanPreemptor;
+    readonly #preemptor: PlanPreemptor;
     readonly #deferral = new GangDeferral();
     readonly #limits: OrganisationLimits;
-    /** Workers that may be ordered in this pass. */
+    /** Workers that accept new runs in this cycle. */
     #openWorkers: readonly WorkerState[] = [];
     #index = new CapacityIndex([]);
     #deferredTasks = 0;
 
-    constructor(private readonly parts: PlacerDependencies) {
-        const { context, runs, preemption: yields } = parts;
-        this.#reservations = new Reservations(context, yields);
-        this.#preemption = new PlanPreemptor(new RunPreemptor(context, runs), yields);
+    constructor(private readonly dependencies: PlacerDependencies) {
+        const { context, runs, preemption } = dependencies;
+        this.#reservations = new Reservations(context, preemption);
+        this.#preemptor = new PlanPreemptor(new RunPreemptor(context, runs), preemption);
         this.#limits = new OrganisationLimits(context.usage);
     }
 
-    /** Steps that have tasks to place. */
     get readySteps(): ReadonlySet<Step> {
         return this.#ready;
     }
 
-    /** Tasks that the last pass held back. */
+    /** Number of tasks that the last cycle deferred for the sake of a blocked gang. */
     get deferredTasks(): number {
         return this.#deferredTasks;
     }
 
-    /** What the last pass kept free in a service for urgent work, in thousandths of a processor. */
+    /** Headroom for urgent work in a service as of the last cycle, in thousandths of a processor. */
     headroomOf(service: ServiceName): number {
-        return this.parts.headroom.headroomOf(service);
+        return this.dependencies.headroom.headroomOf(service);
     }
 
-    /** Adds a step whose tasks may be placed. */
     add(step: Step): void {
         this.#ready.add(step);
     }
 
-    /** Takes a step out. */
     remove(step: Step): void {
         this.#ready.delete(step);
     }
 
-    /** One pass. */
+    /** Runs one scheduling cycle. */
     place(): void {
-        const { context, headroom } = this.parts;
+        const { context, headroom } = this.dependencies;
         const now = context.now();
         this.#openWorkers = [...context.workers.values()].filter(worker => worker.isOpen(now));
         const ranked = this.#rankReadySteps(now);
@@ -96,29 +93,28 @@
         this.#deferral.beginCycle(this.#openWorkers);
         this.#deferredTasks = 0;
         this.#index = new CapacityIndex(this.#openWorkers);
-        this.parts.advice.beginCycle(this.#index);
+        this.dependencies.advice.beginCycle(this.#index);
         headroom.beginCycle(ranked, this.#openWorkers, now);
         ranked.forEach(entry => this.#placeStep(entry, now));
         headroom.endCycle(now);
     }
 
-    /** The ready steps, those that go first in front. */
     #rankReadySteps(now: Milliseconds): RankedStep[] {
-        const { context, fairShare: shares } = this.parts;
+        const { context, fairShare } = this.dependencies;
         return [...this.#ready]
             .filter(step => step.hasWaitingTask || step.definition.allowsCopies)
-            .map(step => rankStep(context, step, now, shares.entitlementOf(step)))
+            .map(step => rankStep(context, step, now, fairShare.entitlementOf(step)))
             .sort(compareRanks);
     }
 
     #placeStep(ranked: RankedStep, now: Milliseconds): void {
         const { step } = ranked;
-        const wanted = [...step.waitingTasks(), ...this.parts.migrator.tasksToCopy(step, now)];
+        const wanted = [...step.waitingTasks(), ...this.dependencies.migrator.tasksToCopy(step, now)];
         const waiting = this.#limits.admissibleOf(step, wanted, now);
         if (waiting.length === 0) {
             return;
         }
-        this.parts.advice.prepare(step, step.job.terms);
+        this.dependencies.advice.prepare(step, step.job.terms);
         if (now < step.notBefore) {
             return;
         }
@@ -126,16 +122,16 @@
             this.#deferredTasks += waiting.length;
             return;
         }
-        const { trusted, suspects, hasPostponed: hasHeld } = this.parts.crashes.partition(step, waiting, now);
+        const { trusted, suspects, hasPostponed } = this.dependencies.crashes.partition(step, waiting, now);
         if (!step.definition.isGang) {
             this.#placeTrusted(ranked, trusted, now);
             this.#placeTrial(step, suspects, now);
         }
-        else if (!hasHeld) {
+        else if (!hasPostponed) {
             // A gang is as suspect as any of its members: all of it is one trial.
             const isTrial = suspects.length > 0;
-            const choice = isTrial ? this.#trialCandidateQuery(step, now) : this.#candidateQuery(step, now);
-            this.#placeGang(ranked, waiting, findCandidates(choice, waiting.length), isTrial);
+            const query = isTrial ? this.#trialCandidateQuery(step, now) : this.#candidateQuery(step, now);
+            this.#placeGang(ranked, waiting, findCandidates(query, waiting.length), isTrial);
         }
     }
 
@@ -146,15 +142,16 @@
             index: this.#index,
             now,
             limitFor: worker => this.#limitFor(worker, step, now),
-            prefersFast: step.job.terms.priority <= (this.parts.context.queues?.mostUrgentPriority ?? -Infinity),
-            penaltyOf: worker => this.parts.health.costOf(worker, step) + this.#reservations.costOf(worker, step, now),
+            prefersFast: step.job.terms.priority <= (this.dependencies.context.queues?.mostUrgentPriority ?? -Infinity),
+            penaltyOf: worker =>
+                this.dependencies.health.costOf(worker, step) + this.#reservations.costOf(worker, step, now),
         };
     }
 
-    /** Of workers for a trial those come first on which it puts the fewest runs at risk. */
+    /** For a trial, workers are preferred on which a crash would lose the fewest runs. */
     #trialCandidateQuery(step: Step, now: Milliseconds): CandidateQuery {
-        const usual = this.#candidateQuery(step, now);
-        return { ...usual, penaltyOf: worker => usual.penaltyOf(worker) + worker.runs.size * riskCost };
+        const query = this.#candidateQuery(step, now);
+        return { ...query, penaltyOf: worker => query.penaltyOf(worker) + worker.runs.size * riskCost };
     }
 
     #placeTrusted(ranked: RankedStep, tasks: readonly Task[], now: Milliseconds): void {
@@ -163,24 +160,21 @@
         }
     }
 
-    /**
-     * Tries suspects of one step at one worker where each run is past its own start: should the worker crash, it is known under
-     * what.
-     */
+    /** Starts suspect tasks on one worker where no other run is still starting, so that a crash can be attributed to them. */
     #placeTrial(step: Step, suspects: readonly Task[], now: Milliseconds): void {
         if (suspects.length === 0) {
             return;
         }
-        const choice = this.#trialCandidateQuery(step, now);
-        const isQuiet = (worker: WorkerState) => [...worker.runs.values()].every(isPastStart);
-        const limit = (worker: WorkerState) => isQuiet(worker) ? choice.limitFor(worker) : 0;
-        const candidates = findCandidates({ ...choice, limitFor: limit }, suspects.length);
+        const query = this.#trialCandidateQuery(step, now);
+        const hasNoStartingRun = (worker: WorkerState) => [...worker.runs.values()].every(isPastStart);
+        const limitFor = (worker: WorkerState) => hasNoStartingRun(worker) ? query.limitFor(worker) : 0;
+        const candidates = findCandidates({ ...query, limitFor }, suspects.length);
         if (candidates.length > 0) {
             const { worker, count, ticket } = candidates[0];
             this.#order(suspects.slice(0, count), worker, { ticket, isTrial: true });
             return;
         }
-        this.parts.advice.requestAdvice(step, suspects.length, this.#capacityFor(step, suspects.length, now));
+        this.dependencies.advice.requestAdvice(step, suspects.length, this.#capacityFor(step, suspects.length, now));
     }
 
     #placeTasks(
@@ -192,8 +186,11 @@
         const { step } = ranked;
         let next = 0;
         for (const { worker, count, ticket } of candidates) {
-            // What is kept for urgent steps is kept in the service as a whole: each order leaves less to spare.
-            const taken = waiting.slice(next, next + Math.min(count, this.parts.headroom.limitFor(worker, step)));
+            // Headroom is counted for the service as a whole, so each order lowers the limit of the workers that follow.
+            const taken = waiting.slice(
+                next,
+                next + Math.min(count, this.dependencies.headroom.limitFor(worker, step)),
+            );
             if (taken.length > 0) {
                 this.#order(taken, worker, { ticket, isTrial: false });
             }
@@ -203,12 +200,12 @@
             }
         }
         const left = waiting.length - next;
-        this.parts.headroom.noteUnplaced(ranked, left);
-        // However full the service is, tasks that last are owed a place; wide ones find none by chance.
+        this.dependencies.headroom.noteUnplaced(ranked, left);
+        // Long-running tasks must be placed however full the service is, and wide ones do not fit by chance.
         if (step.definition.isLasting || this.#isStarving(step, now)) {
             this.#reserve(step, left, now);
         }
-        this.parts.advice.requestAdvice(step, left, this.#capacityFor(step, left, now));
+        this.dependencies.advice.requestAdvice(step, left, this.#capacityFor(step, left, now));
     }
 
     #placeGang(
@@ -218,47 +215,49 @@
         isTrial: boolean,
     ): void {
         const { step } = ranked;
-        const now = this.parts.context.now();
+        const now = this.dependencies.context.now();
         if (waiting.length < step.tasks.length) {
             return;
         }
-        const shares = this.#allocate(step, candidates, waiting.length, now);
-        if (shares === undefined) {
+        const allocations = this.#allocate(step, candidates, waiting.length, now);
+        if (allocations === undefined) {
             if (this.#fitsWhenEmpty(step, waiting.length)) {
                 this.#deferral.noteBlockedGang(ranked, now);
             }
             this.#reserve(step, waiting.length, now, latestUsefulStart(ranked));
-            this.parts.advice.requestAdvice(step, waiting.length, this.#capacityFor(step, waiting.length, now));
+            this.dependencies.advice.requestAdvice(step, waiting.length, this.#capacityFor(step, waiting.length, now));
             return;
         }
-        const run = this.parts.runs.nextRunNumber(step, waiting[0]);
+        const run = this.dependencies.runs.nextRunNumber(step, waiting[0]);
         let next = 0;
-        for (const { worker, count, ticket } of shares) {
+        for (const { worker, count, ticket } of allocations) {
             this.#order(waiting.slice(next, next + count), worker, { ticket, isTrial }, run);
             next += count;
         }
     }
 
-    /** Whether the workers that may run a gang, as far as is known, would hold all of it, were they empty. */
+    /** Whether the workers known to be permitted could hold all of a gang if they were empty. */
     #fitsWhenEmpty(step: Step, count: number): boolean {
         const { permits } = step;
-        const workers = permits === undefined ? this.#openWorkers : this.parts.context.findWorkers(permits.permitted);
-        let held = 0;
+        const workers = permits === undefined
+            ? this.#openWorkers
+            : this.dependencies.context.findWorkers(permits.permitted);
+        let capacity = 0;
         for (const worker of workers) {
-            held += worker.countWhenEmpty(step);
-            if (held >= count) {
+            capacity += worker.countWhenEmpty(step);
+            if (capacity >= count) {
                 return true;
             }
         }
         return false;
     }
 
-    /** Whether a step waits whose tasks seldom find room by chance. */
+    /** Whether a step of wide tasks has waited long enough for a reservation. */
     #isStarving(step: Step, now: Milliseconds): boolean {
         return now - (step.readyAt ?? now) >= wideTaskReservationDelay && isWide(step, this.#openWorkers);
     }
 
-    /** Places for all members, in one rack where the step wants that and one has room soon enough. */
+    /** Allocates all members of a gang, within one rack where the step wants that and one fits it within {@link rackTimeout}. */
     #allocate(
         step: Step,
         candidates: readonly Allocation[],
@@ -269,47 +268,52 @@
             return allocate(candidates, count);
         }
         const inOneRack = allocateInOneRack(candidates, count);
-        const isPatienceOver = now - (step.readyAt ?? now) > rackTimeout;
-        return inOneRack ?? (isPatienceOver ? allocate(candidates, count) : undefined);
+        const hasTimedOut = now - (step.readyAt ?? now) > rackTimeout;
+        return inOneRack ?? (hasTimedOut ? allocate(candidates, count) : undefined);
     }
 
-    /** Keeps room for tasks that do not fit yet, unless that comes after `notAfter`, and has their tickets renewed in time. */
+    /** Reserves resources for tasks that do not fit yet, unless they start after `notAfter`, and has their tickets renewed in time. */
     #reserve(step: Step, count: number, now: Milliseconds, notAfter = Infinity): void {
         const plan = this.#reservations.plan(step, count, now, notAfter);
         if (plan !== undefined) {
-            this.parts.advice.requestTickets(step, plan, this.#capacityFor(step, count, now));
+            this.dependencies.advice.requestTickets(step, plan, this.#capacityFor(step, count, now));
             if (plan.preempts) {
-                this.#preemption.freeResources(step, plan, now);
+                this.#preemptor.freeResources(step, plan, now);
             }
         }
     }
 
-    /** Room of a worker for a step, without what is kept there for others. */
+    /** Counts the tasks of a step that a worker can take now beside reservations and headroom. */
     #capacityFor(step: Step, count: number, now: Milliseconds): CapacityOf {
         return worker => Math.min(worker.countFitting(step, count), this.#limitFor(worker, step, now));
     }
 
-    /** How many tasks of a step a worker takes at most, so that what is kept there for others stays kept. */
+    /** Upper bound of a step's tasks on a worker, so that reservations and headroom are respected. */
     #limitFor(worker: WorkerState, step: Step, now: Milliseconds): number {
         return Math.min(
             this.#reservations.limitFor(worker, step, now),
-            this.parts.headroom.limitFor(worker, step),
+            this.dependencies.headroom.limitFor(worker, step),
         );
     }
 
-    /** Orders tasks of one step at one worker. `run`: their common number, if they are of a gang. */
-    #order(tasks: readonly Task[], worker: WorkerState, terms: OrderOptions, run?: RunNumber): void {
-        const now = this.parts.context.now();
+    /** Orders tasks of one step at one worker. `run`: the run number that members of a gang share. */
+    #order(tasks: readonly Task[], worker: WorkerState, options: OrderOptions, run?: RunNumber): void {
+        const now = this.dependencies.context.now();
         const { step } = tasks[0];
         this.#reservations.notePlaced(worker, step, tasks.length, now);
-        this.parts.headroom.notePlaced(worker, step, tasks.length);
+        this.dependencies.headroom.notePlaced(worker, step, tasks.length);
         for (const task of tasks) {
-            const entry = this.parts.runs.order(task, run ?? this.parts.runs.nextRunNumber(step, task), worker, terms);
-            if (terms.isTrial) {
-                this.parts.crashes.beginTrial(entry);
+            const entry = this.dependencies.runs.order(
+                task,
+                run ?? this.dependencies.runs.nextRunNumber(step, task),
+                worker,
+                options,
+            );
+            if (options.isTrial) {
+                this.dependencies.crashes.beginTrial(entry);
             }
         }
-        this.parts.context.options.log.log(logEvents.runsOrdered, {
+        this.dependencies.context.options.log.log(logEvents.runsOrdered, {
             job: step.job.id,
             first: formatTaskAddress({
                 job: step.job.id,
@@ -327,6 +331,6 @@
     }
 }
 
-/** While a gang can be on time, room that comes later is of use to others sooner. */
-const latestUsefulStart = ({ deadlineStatus: prospect, latestStart }: RankedStep): Milliseconds =>
-    prospect === DeadlineStatus.OnTime ? latestStart : Infinity;
+/** While a gang can be on time, resources that come free too late for it are better left to others. */
+const latestUsefulStart = ({ deadlineStatus, latestStart }: RankedStep): Milliseconds =>
+    deadlineStatus === DeadlineStatus.OnTime ? latestStart : Infinity;
--- a/packages/cell/src/placing/reservations.ts
+++ b/packages/cell/src/placing/reservations.ts
@@ -1,11 +1,4 @@
-/**
- * Keeps room for what is wide and does not fit yet, and lets others use it meanwhile.
- *
- * For a gang the earliest time is worked out at which workers that it may run on will have room for all of it, from when
- * the runs there are expected to end. Until then those workers take only what will have ended by that time, or what
- * leaves enough room at that time. A plan stands from pass to pass: its tickets are for its workers, and room that is
- * kept at others each time is free nowhere. Steps that go before the gang may still use its room, for want of other.
- */
+/** Reservations of resources with backfilling. */
 import type { Milliseconds } from "@pebbledale/core";
 import {
     backfillMargin,
@@ -30,50 +23,57 @@
     workersPerReservation,
 } from "./constants.js";
 
-/** Room of one worker that is kept. */
+/** A reservation of one worker's resources. */
 interface Reservation {
     readonly step: Step;
-    /** When the kept room is expected to be needed, by the owner's monotonic clock. */
+    /** When the reserved resources are expected to be needed, by the owner's monotonic clock. */
     readonly availableAt: Milliseconds;
-    /** What is expected to be free then besides what is kept. */
+    /** Resources expected to be free then in addition to the reserved ones. */
     spare: ResourceAmounts;
 }
 
-/** A plan as it stands from pass to pass. */
+/** A plan that is kept over several cycles. */
 interface ActivePlan extends ReservationPlan {
     readonly madeAt: Milliseconds;
 }
 
-/** A step's place in the order of a pass. */
+/** A step with its position in the order of a cycle. */
 interface PositionedStep extends RankedStep {
     readonly position: number;
 }
 
-/** Added to the cost of a worker whose room is kept for a step further behind. */
+/** Cost added to a worker that is reserved for a step further behind. */
 const reservedCost = 400;
 
-/** See the module's comment. */
+/**
+ * Reserves resources for gangs and wide steps that do not fit yet, and lets others backfill them meanwhile.
+ *
+ * A plan names the workers that will have the resources earliest, by the expected ends of their runs. Until then those workers take
+ * only tasks that will have ended by that time or that leave enough free at that time. Plans are kept over cycles, as tickets
+ * are obtained for their workers and a reservation that moves each time never comes free. Steps ahead of the planned one may still use its
+ * workers, at a higher cost.
+ */
 export class Reservations {
     readonly #forecast = new CapacityForecast();
     readonly #reservations = new Map<WorkerState, Reservation>();
-    /** The steps of this pass with what decides their order, and their places in it. */
+    /** The steps of this cycle. */
     readonly #ranks = new Map<Step, PositionedStep>();
     #plans = new Map<Step, ActivePlan>();
     #attempts = 0;
 
     constructor(private readonly context: CellContext, private readonly policy: PreemptionPolicy) {}
 
-    /** Begins a pass over steps in their order: plans that can still be kept stand. */
+    /** Begins a cycle over steps in their order. Plans that are still valid are kept. */
     beginCycle(ranked: readonly RankedStep[], now: Milliseconds): void {
         this.#forecast.clear();
         this.#reservations.clear();
         this.#ranks.clear();
         this.#attempts = 0;
-        const former = this.#plans;
+        const previous = this.#plans;
         this.#plans = new Map();
-        ranked.forEach((entry, place) => this.#ranks.set(entry.step, { ...entry, position: place }));
+        ranked.forEach((entry, position) => this.#ranks.set(entry.step, { ...entry, position }));
         for (const { step } of ranked) {
-            const plan = former.get(step);
+            const plan = previous.get(step);
             if (plan !== undefined && this.#isStillValid(step, plan, now)) {
                 this.#reserve(step, { ...plan, availableAt: this.#availableAt(step, plan, now) }, now);
             }
@@ -81,45 +81,49 @@
     }
 
     /**
-     * Keeps room for `count` tasks of a step where they will fit first; undefined when they nowhere will, or not in time. `notAfter`: by
-     * when they have to begin to be of use.
+     * Reserves resources for `count` tasks of a step where they fit earliest. Undefined when they will not fit by `notAfter`, or when
+     * no further reservation is allowed.
      */
     plan(step: Step, count: number, now: Milliseconds, notAfter = Infinity): ReservationPlan | undefined {
         return this.#plans.get(step) ?? this.#createPlan(step, count, now, notAfter);
     }
 
-    /** How many tasks of a step a worker takes at most, so that what is kept there stays kept. */
+    /** Upper bound of a step's tasks on a worker, so that reservations of steps ahead are respected. */
     limitFor(worker: WorkerState, step: Step, now: Milliseconds): number {
-        const kept = this.#conflictingReservation(worker, step, now);
-        return kept === undefined || this.#precedes(step, kept.step) ? Infinity : countFittingIn(kept.spare, step);
+        const reservation = this.#conflictingReservation(worker, step, now);
+        return reservation === undefined || this.#precedes(step, reservation.step)
+            ? Infinity
+            : countFittingIn(reservation.spare, step);
     }
 
-    /** What is added to a worker's cost for a step that may use room which is kept for one behind it. */
+    /** Cost of a worker for a step that would use resources reserved there. */
     costOf(worker: WorkerState, step: Step, now: Milliseconds): number {
-        const kept = this.#conflictingReservation(worker, step, now);
-        return kept !== undefined && countFittingIn(kept.spare, step) === 0 ? reservedCost : 0;
+        const reservation = this.#conflictingReservation(worker, step, now);
+        return reservation !== undefined && countFittingIn(reservation.spare, step) === 0 ? reservedCost : 0;
     }
 
-    /** Tasks of a step were placed at a worker. */
+    /** Accounts for tasks of a step that were placed at a worker. */
     notePlaced(worker: WorkerState, step: Step, count: number, now: Milliseconds): void {
         this.#forecast.invalidate(worker);
-        const kept = this.#conflictingReservation(worker, step, now);
-        if (kept !== undefined) {
-            kept.spare = resourcesWithout(kept.spare, step, count);
+        const reservation = this.#conflictingReservation(worker, step, now);
+        if (reservation !== undefined) {
+            reservation.spare = resourcesWithout(reservation.spare, step, count);
         }
     }
 
-    /** The reservation that tasks of a step would use room of; undefined when they will have ended by then. */
+    /** The reservation that a step's tasks would compete with; undefined when they will have ended by then. */
     #conflictingReservation(worker: WorkerState, step: Step, now: Milliseconds): Reservation | undefined {
-        const kept = this.#reservations.get(worker);
-        return kept === undefined || kept.step === step || endsBefore(step, worker, kept, now) ? undefined : kept;
+        const reservation = this.#reservations.get(worker);
+        return reservation === undefined || reservation.step === step || endsBefore(step, worker, reservation, now)
+            ? undefined
+            : reservation;
     }
 
     #precedes(step: Step, other: Step): boolean {
         return (this.#ranks.get(step)?.position ?? Infinity) < (this.#ranks.get(other)?.position ?? Infinity);
     }
 
-    /** Whether a step may have room that is kept for another: it can earn more, or is more urgent. */
+    /** Whether a step may take over a reservation of another: it can earn more, or its queue is more urgent. */
     #outranks(step: Step, other: Step): boolean {
         const rank = this.#ranks.get(step);
         const otherRank = this.#ranks.get(other);
@@ -132,11 +136,11 @@
             return undefined;
         }
         this.#attempts++;
-        const waiting = this.#draftPlan(step, count, now, false);
-        const stopping = this.#draftPlan(step, count, now, true);
-        const isWorthStops =
-            (stopping?.availableAt ?? Infinity) + minPreemptionGain < (waiting?.availableAt ?? Infinity);
-        const plan = isWorthStops ? stopping : waiting;
+        const withoutPreemption = this.#draftPlan(step, count, now, false);
+        const withPreemption = this.#draftPlan(step, count, now, true);
+        const isPreemptionWorthwhile = (withPreemption?.availableAt ?? Infinity) + minPreemptionGain
+            < (withoutPreemption?.availableAt ?? Infinity);
+        const plan = isPreemptionWorthwhile ? withPreemption : withoutPreemption;
         if (plan !== undefined && plan.availableAt > notAfter) {
             return undefined;
         }
@@ -146,43 +150,45 @@
         return plan;
     }
 
-    /** Where and when tasks of a step will fit, with or without stops of what gives way; undefined when they will not. */
+    /** The earliest plan for tasks of a step, with or without preemption; undefined when they will not fit. */
     #draftPlan(step: Step, count: number, now: Milliseconds, preempts: boolean): ActivePlan | undefined {
-        const openings = this.#startSlots(step, count, now, preempts).slice(0, count);
-        const last = openings.at(-1);
-        // A gang starts whole; of other tasks those that will fit are served.
-        if (last === undefined || step.definition.isGang && openings.length < count) {
+        const slots = this.#startSlots(step, count, now, preempts).slice(0, count);
+        const lastSlot = slots.at(-1);
+        // A gang starts as a whole; of other steps a part may be planned.
+        if (lastSlot === undefined || step.definition.isGang && slots.length < count) {
             return undefined;
         }
-        const shares = new Map<WorkerState, number>();
-        openings.forEach(({ worker }) => shares.set(worker, (shares.get(worker) ?? 0) + 1));
-        return { madeAt: now, availableAt: last.at, tasksByWorker: shares, preempts };
+        const tasksByWorker = new Map<WorkerState, number>();
+        slots.forEach(({ worker }) => tasksByWorker.set(worker, (tasksByWorker.get(worker) ?? 0) + 1));
+        return { madeAt: now, availableAt: lastSlot.at, tasksByWorker, preempts };
     }
 
     /**
-     * Whether room may be kept for one more step: beyond these limits the cell would idle. A plan at one worker is limited
-     * by the share of kept workers alone. What is kept for steps that this one outranks does not count: it may have that.
+     * Whether one more step may reserve resources without leaving too much of the cell idle. Plans for a single worker count only towards
+     * the share of reserved workers. Reservations of steps that this one outranks do not count, as it may take them over.
      */
     #mayReserveMore(step: Step): boolean {
         const { size } = this.context.workers;
-        const most = Math.max(minReservations, Math.floor(size / workersPerReservation));
-        const kept = [...this.#reservations.values()].filter(({ step: other }) => !this.#outranks(step, other)).length;
+        const maxReservations = Math.max(minReservations, Math.floor(size / workersPerReservation));
+        const reserved =
+            [...this.#reservations.values()].filter(({ step: other }) => !this.#outranks(step, other)).length;
         const wide = [...this.#plans]
             .filter(([other, plan]) => plan.tasksByWorker.size > 1 && !this.#outranks(step, other))
             .length;
-        return kept <= size * maxReservedShare && wide < most && this.#attempts < most * attemptsPerReservation;
+        return reserved <= size * maxReservedShare && wide < maxReservations
+            && this.#attempts < maxReservations * attemptsPerReservation;
     }
 
-    /** Times at which single tasks of a step will fit, the earliest first. */
+    /** Times at which single tasks of a step will fit, earliest first. */
     #startSlots(step: Step, count: number, now: Milliseconds, preempts: boolean): StartSlot[] {
-        const openings: StartSlot[] = [];
+        const slots: StartSlot[] = [];
         const isStopped = this.#stopPredicateFor(step, preempts, now);
         for (const worker of this.#candidatesOf(step)) {
             if (this.#isUsable(worker, step, now)) {
-                openings.push(...this.#forecast.startSlotsOf(worker, step, count, now, isStopped));
+                slots.push(...this.#forecast.startSlotsOf(worker, step, count, now, isStopped));
             }
         }
-        return openings.sort((left, right) => left.at - right.at);
+        return slots.sort((left, right) => left.at - right.at);
     }
 
     #candidatesOf({ permits }: Step): Iterable<WorkerState> {
@@ -195,29 +201,29 @@
 
     #isUsable(worker: WorkerState, step: Step, now: Milliseconds): boolean {
         const isPermitted = step.permits === undefined || step.permits.isPermitted(worker.id);
-        const kept = this.#reservations.get(worker);
-        const isOpen = kept === undefined || this.#outranks(step, kept.step);
+        const reservation = this.#reservations.get(worker);
+        const isOpen = reservation === undefined || this.#outranks(step, reservation.step);
         return isPermitted && isOpen && isEligible(worker, step, step.job.terms.service, now);
     }
 
-    /** Whether a plan of an earlier pass can still be kept. */
-    #isStillValid(step: Step, { madeAt, tasksByWorker: shares }: ActivePlan, now: Milliseconds): boolean {
-        const planned = [...shares.values()].reduce((sum, tasks) => sum + tasks, 0);
+    /** Whether a plan of an earlier cycle still matches its step and workers. */
+    #isStillValid(step: Step, { madeAt, tasksByWorker }: ActivePlan, now: Milliseconds): boolean {
+        const planned = [...tasksByWorker.values()].reduce((sum, tasks) => sum + tasks, 0);
         const waiting = step.waitingTasks().length;
         return now - madeAt < planLifetime
             && (step.definition.isGang ? planned === waiting : planned <= waiting)
-            && [...shares.keys()].every(worker => this.#isUsable(worker, step, now));
+            && [...tasksByWorker.keys()].every(worker => this.#isUsable(worker, step, now));
     }
 
-    /** When the workers of a plan will have its room, as of now. */
-    #availableAt(step: Step, { tasksByWorker: shares, preempts }: ActivePlan, now: Milliseconds): Milliseconds {
+    /** When the workers of a plan will have its resources, as forecast now. */
+    #availableAt(step: Step, { tasksByWorker, preempts }: ActivePlan, now: Milliseconds): Milliseconds {
         const isStopped = this.#stopPredicateFor(step, preempts, now);
-        let from = now;
-        for (const [worker, tasks] of shares) {
-            const opening = this.#forecast.startSlotsOf(worker, step, tasks, now, isStopped)[tasks - 1];
-            from = Math.max(from, opening?.at ?? Infinity);
+        let availableAt = now;
+        for (const [worker, tasks] of tasksByWorker) {
+            const slot = this.#forecast.startSlotsOf(worker, step, tasks, now, isStopped)[tasks - 1];
+            availableAt = Math.max(availableAt, slot?.at ?? Infinity);
         }
-        return from;
+        return availableAt;
     }
 
     #reserve(step: Step, plan: ActivePlan, now: Milliseconds): void {
@@ -229,24 +235,24 @@
         }
     }
 
-    /** Drops the plan that keeps room of a worker: the step may have another. */
+    /** Drops the plan that reserves a worker, on all its workers. */
     #dropPlanAt(worker: WorkerState): void {
-        const kept = this.#reservations.get(worker);
-        if (kept === undefined) {
+        const reservation = this.#reservations.get(worker);
+        if (reservation === undefined) {
             return;
         }
-        const plan = this.#plans.get(kept.step);
-        this.#plans.delete(kept.step);
+        const plan = this.#plans.get(reservation.step);
+        this.#plans.delete(reservation.step);
         for (const other of plan?.tasksByWorker.keys() ?? []) {
             this.#reservations.delete(other);
         }
     }
 }
 
-/** Whether tasks of a step that start now will have ended when the kept room is needed. */
+/** Whether tasks of a step that start now will have ended when the reserved resources are needed. */
 const endsBefore = (
     { definition }: Step,
     { slowness }: WorkerState,
-    { availableAt: from }: Reservation,
+    { availableAt }: Reservation,
     now: Milliseconds,
-): boolean => !definition.isLasting && now + definition.estimate * slowness * backfillMargin <= from;
+): boolean => !definition.isLasting && now + definition.estimate * slowness * backfillMargin <= availableAt;
--- a/packages/cell/src/speeds/index.ts
+++ b/packages/cell/src/speeds/index.ts
@@ -1,3 +1,3 @@
-/** How fast workers are. */
-export * from "./speed-book.js";
+/** Estimates of workers' speeds. */
+export * from "./speed-estimator.js";
 export * from "./types.js";
--- a/packages/cell/src/watching/progress-watch.ts
+++ b/packages/cell/src/watching/progress-monitor.ts
@@ -1,29 +1,24 @@
-/**
- * Finds workers on which tasks stand still or are slow.
- *
- * A worker that is slow takes nothing new while it is, and what runs there is moved where that loses nothing: tasks that save their
- * progress are stopped and go on elsewhere, tasks that may have copies get one.
- */
+/** Monitoring of workers by the progress of their runs. */
 import { logEvents, type Milliseconds } from "@pebbledale/core";
 import type { CellContext, Step, TaskRun, WorkerState } from "../state/index.js";
 import type { WorkerRun } from "../task-worker/index.js";
 import { maxSlowShare, slowDuration } from "./constants.js";
-import { medianOf } from "./middle.js";
+import { medianOf } from "./median.js";
 import { paceOfCompleted, type RunPace, sampleRun } from "./run-paces.js";
 import { assessSpeed, isSlow, type SpeedFinding, type StepSamples } from "./slowness.js";
 import { StepPaces } from "./step-paces.js";
 
-/** See the module's comment. */
+/** Detects workers on which runs stall or are slow. They accept no new runs, and their runs are migrated or copied where possible. */
 export class ProgressMonitor {
     readonly #paces = new StepPaces();
 
     constructor(private readonly context: CellContext) {}
 
-    /** Takes in how far the runs of a worker are. `clock`: the worker's own, when it said so. */
-    note(worker: WorkerState, seen: readonly (readonly [TaskRun, WorkerRun])[], clock: Milliseconds): void {
+    /** Takes the progress of a worker's runs. `clock`: the worker's own clock at the time of the report. */
+    note(worker: WorkerState, reported: readonly (readonly [TaskRun, WorkerRun])[], clock: Milliseconds): void {
         const now = this.context.now();
         const samples = new Map<Step, RunPace[]>();
-        for (const [run, progress] of seen) {
+        for (const [run, progress] of reported) {
             const sample = sampleRun(run, progress, clock, now);
             const { step } = run.task;
             if (sample !== undefined) {
@@ -37,7 +32,7 @@
         }
     }
 
-    /** Takes in that a run has ended well: its time tells of its step's tasks elsewhere. */
+    /** Takes the duration of a completed run as a reference for tasks of its step elsewhere. */
     noteDone(run: TaskRun): void {
         const pace = paceOfCompleted(run, this.context.now());
         if (pace !== undefined) {
@@ -45,7 +40,7 @@
         }
     }
 
-    /** Whether runs of a worker are worth moving: it is slow, or it does not answer. */
+    /** Whether a worker is slow or does not answer, so that its runs are worth copying. */
     isDegraded(worker: WorkerState, now: Milliseconds): boolean {
         return worker.slowUntil > now || worker.silentSince !== undefined;
     }
@@ -54,12 +49,10 @@
         return {
             job: step.job.id,
             paces: paces.map(({ pace }) => pace),
-            // Members of a gang may hold each other up.
+            // Members of a gang may slow each other down.
             changes: step.definition.isGang
                 ? []
-                : paces.flatMap(({ pace, earlierPace: formerPace }) =>
-                    formerPace === undefined ? [] : [pace - formerPace]
-                ),
+                : paces.flatMap(({ pace, earlierPace }) => earlierPace === undefined ? [] : [pace - earlierPace]),
             roundingVariance: Math.max(...paces.map(({ roundingVariance }) => roundingVariance)),
             expected: this.#paces.expectedPaceOf(step, worker.id),
         };
@@ -77,7 +70,7 @@
         const all = [...this.context.workers.values()];
         const slow = all.filter(other => other !== worker && other.slowUntil > now).length;
         if (slow + 1 > all.length * maxSlowShare) {
-            // That many at once are no outliers.
+            // So many slow workers at once are no outliers.
             return;
         }
         worker.slowUntil = now + slowDuration;
@@ -88,7 +81,6 @@
     }
 }
 
-/** A finding as log lines tell it. */
 const logFieldsOf = ({ baseline: ground, speed, deviations, samples }: SpeedFinding) => ({
     ground,
     speed: Number(speed.toFixed(3)),
--- a/packages/cell/src/yielding/index.ts
+++ b/packages/cell/src/yielding/index.ts
@@ -1,3 +1,3 @@
-/** Which runs give way to more urgent work, and how. */
-export * from "./run-stopper.js";
-export * from "./yield-policy.js";
+/** Preemption of runs by more urgent work. */
+export * from "./preemption-policy.js";
+export * from "./run-preemptor.js";
--- a/packages/cell/src/yielding/yield-policy.ts
+++ b/packages/cell/src/yielding/preemption-policy.ts
@@ -1,33 +1,31 @@
-/** Decides which runs give way to more urgent work. */
+/** Policies of preemption. */
 import type { Milliseconds } from "@pebbledale/core";
 import { compareRanks, hasSlack, type RankedStep, rankStep } from "../choosing/index.js";
 import { type CellContext, RunPhase, type Step, type TaskRun } from "../state/index.js";
 import { maxPreemptions, minPercentLeft, minSlackToPreempt } from "./constants.js";
 
-/** Decides which runs give way to which steps. */
+/** Decides which runs may be preempted for which work. */
 export interface PreemptionPolicy {
-    /** Whether a run may be stopped to make room for tasks of a step. */
+    /** Whether a run may be stopped to free resources for tasks of a step. */
     mayPreemptFor(run: TaskRun, step: Step, now: Milliseconds): boolean;
-    /** Whether a run may be stopped for work of a priority that is still to come: its job has ample time. */
+    /** Whether a run may be stopped for expected work of a priority. It requires more slack than preemption for a given step. */
     mayPreemptForPriority(run: TaskRun, priority: number, now: Milliseconds): boolean;
 }
 
-/** Runs of less urgent queues give way if their progress is saved and their jobs can still be on time. */
+/** Allows preemption of runs of less urgent queues whose progress is saved and whose jobs can still be on time. */
 export class SavedProgressPreemption implements PreemptionPolicy {
     constructor(private readonly context: CellContext) {}
 
-    /** See {@link PreemptionPolicy.mayPreemptFor}. */
     mayPreemptFor(run: TaskRun, step: Step, now: Milliseconds): boolean {
         return isPreemptibleBy(run, step.job.terms.priority) && this.#isOutrankedInTime(run, step, now);
     }
 
-    /** See {@link PreemptionPolicy.mayPreemptForPriority}. */
     mayPreemptForPriority(run: TaskRun, priority: number, now: Milliseconds): boolean {
         const { step } = run.task;
         return isPreemptibleBy(run, priority) && hasSlack(step, slackOf(run, rankStep(this.context, step, now), now));
     }
 
-    /** Whether the step goes first, and the run's job is on time all the same. */
+    /** Whether the step ranks before the run's step, whose job can be on time nevertheless. */
     #isOutrankedInTime(run: TaskRun, step: Step, now: Milliseconds): boolean {
         const victim = rankStep(this.context, run.task.step, now);
         return slackOf(run, victim, now) > minSlackToPreempt
@@ -38,7 +36,7 @@
 const isPreemptibleBy = (run: TaskRun, priority: number): boolean =>
     run.task.step.job.terms.priority > priority && isCheapToStop(run) && run.task.preemptions < maxPreemptions;
 
-/** How much time a run's job has to spare, were the run stopped now. */
+/** The slack of a run's job if the run is stopped now with its progress saved. */
 const slackOf = ({ task, percent }: TaskRun, { latestStart }: RankedStep, now: Milliseconds): Milliseconds =>
     latestStart + task.step.definition.estimate * percent / 100 - now;
 
--- a/packages/cell/test/advising/advice-dispatcher.test.ts
+++ b/packages/cell/test/advising/advice-dispatcher.test.ts
@@ -3,7 +3,7 @@
 import { describe, it } from "node:test";
 import { AdviceDispatcher } from "../../src/index.js";
 
-const make = (...names: string[]) => {
+const makeDispatcher = (...names: string[]) => {
     const asked: { vm: string; question: number; step: string; }[] = [];
     const clock = new ManualClock();
     const unwanted = new Set<string>();
@@ -25,8 +25,8 @@
 };
 
 describe("questions to the advice service", () => {
-    it("are spread: a quick one never waits behind a slow one while there are other VMs", () => {
-        const { asked, ask } = make("a", "b", "c");
+    it("are distributed so that a quick one never waits behind a slow one while there are other VMs", () => {
+        const { asked, ask } = makeDispatcher("a", "b", "c");
         ["s1", "s2", "s3", "s4"].forEach(step => ask(step, 800));
         ask("quick", 10, 0);
         const vmOfQuick = asked.find(entry => entry.step === "quick")?.vm;
@@ -35,8 +35,8 @@
         expect(slow.some(entry => entry.vm === vmOfQuick)).toEqual(false);
     });
 
-    it("go on with one VM alone", () => {
-        const { dispatcher, asked, ask } = make("a");
+    it("are sent one after the other with a single VM", () => {
+        const { dispatcher, asked, ask } = makeDispatcher("a");
         ask("slow", 800);
         ask("next", 800);
         expect(asked.map(entry => entry.step)).toEqual(["slow"]);
@@ -44,8 +44,8 @@
         expect(asked.map(entry => entry.step)).toEqual(["slow", "next"]);
     });
 
-    it("of a VM that is gone are asked by another", () => {
-        const { dispatcher, asked, ask } = make("a", "b");
+    it("are sent to another VM when theirs is gone", () => {
+        const { dispatcher, asked, ask } = makeDispatcher("a", "b");
         ask("step", 10);
         dispatcher.leave(asked[0].vm);
         expect(asked.length).toEqual(2);
@@ -53,29 +53,29 @@
         expect(dispatcher.complete(asked[1].question)?.step).toEqual("step");
     });
 
-    it("wait in the order of their urgency", () => {
-        const { dispatcher, asked, ask } = make("a");
+    it("are sent in the order of their urgency", () => {
+        const { dispatcher, asked, ask } = makeDispatcher("a");
         ask("first", 800, 2);
-        ask("patient", 800, 2);
+        ask("deferrable", 800, 2);
         ask("urgent", 800, 0);
         dispatcher.complete(asked[0].question);
         expect(asked[1].step).toEqual("urgent");
     });
 
-    it("are not put off for ever by urgent ones that keep coming", () => {
-        const { dispatcher, asked, ask, clock } = make("a");
+    it("are not starved by more urgent ones that keep arriving", () => {
+        const { dispatcher, asked, ask, clock } = makeDispatcher("a");
         ask("first", 800, 1);
-        ask("patient", 800, 6);
-        for (let next = 0; next < 10 && !asked.some(entry => entry.step === "patient"); next++) {
+        ask("deferrable", 800, 6);
+        for (let next = 0; next < 10 && !asked.some(entry => entry.step === "deferrable"); next++) {
             ask(`urgent-${next}`, 800, 1);
             clock.advance(800);
             dispatcher.complete(asked.at(-1)!.question);
         }
-        expect(asked.some(entry => entry.step === "patient")).toEqual(true);
+        expect(asked.some(entry => entry.step === "deferrable")).toEqual(true);
     });
 
-    it("are dropped once their answers are of no use", () => {
-        const { dispatcher, asked, ask, unwanted, dropped } = make("a");
+    it("are discarded once their answers are of no use", () => {
+        const { dispatcher, asked, ask, unwanted, dropped } = makeDispatcher("a");
         ["first", "cancelled", "next"].forEach(step => ask(step, 800));
         unwanted.add("cancelled");
         dispatcher.complete(asked[0].question);
@@ -86,8 +86,8 @@
 
 const workersOf = (count: number) => Array.from({ length: count }, (_, index) => workerId(`w${index}`));
 
-/** As many VMs, and what each was asked. */
-const makeMany = (vms: number) => {
+/** A dispatcher with this many VMs, and the questions that each was sent. */
+const makeVms = (vms: number) => {
     const asked: { vm: string; question: number; workers: number; duration: number; }[] = [];
     const questioner = { isAdviceWanted: () => true, dropAdvice: () => undefined };
     const dispatcher = new AdviceDispatcher(() => 0, questioner);
@@ -105,32 +105,32 @@
     const policy = { decision: 600, eachWorker: 8.6, validity: 1_500 };
     const question = (workers: number) => ({ step: "s", workers: workersOf(workers), urgency: 1, policy });
 
-    it("goes in parts to half of the VMs that are free", () => {
-        const { dispatcher, asked } = makeMany(40);
+    it("is split over half of the free VMs", () => {
+        const { dispatcher, asked } = makeVms(40);
         dispatcher.ask(question(240));
         expect(new Set(asked.map(({ vm }) => vm)).size).toEqual(asked.length);
         expect(asked.length).toEqual(10);
         expect(asked.reduce((sum, { workers }) => sum + workers, 0)).toEqual(240);
-        // One VM alone would take 600 ms and 8.6 ms a worker for each 100 of them, one after the other.
+        // A single VM would need three calls in a row of 600 ms each, plus 8.6 ms for each worker.
         expect(Math.max(...asked.map(({ duration }) => duration))).toBeLessThan(850);
     });
 
-    it("names at least so many workers a part that naming them is worth a call", () => {
-        const { dispatcher, asked } = makeMany(90);
+    it("is not split into parts too small to be worth a call", () => {
+        const { dispatcher, asked } = makeVms(90);
         dispatcher.ask(question(50));
         expect(asked.map(({ workers }) => workers)).toEqual([24, 24, 2]);
     });
 
-    it("waits with what no VM is free for, and goes on as answers come", () => {
-        const { dispatcher, asked } = makeMany(4);
+    it("waits with the remainder until VMs are free", () => {
+        const { dispatcher, asked } = makeVms(4);
         dispatcher.ask(question(240));
         expect(asked.map(({ workers }) => workers)).toEqual([100, 100]);
         expect(dispatcher.complete(asked[0].question)?.workers.length).toEqual(100);
         expect(asked.map(({ workers }) => workers)).toEqual([100, 100, 40]);
     });
 
-    it("keeps its parts when a VM that had one is gone", () => {
-        const { dispatcher, asked } = makeMany(6);
+    it("has a part sent to another VM when its VM is gone", () => {
+        const { dispatcher, asked } = makeVms(6);
         dispatcher.ask(question(60));
         const parts = asked.length;
         dispatcher.leave(asked[0].vm);
@@ -140,10 +140,10 @@
     });
 });
 
-describe("a thousand questions that wait, as after a change of owner", () => {
+describe("a thousand waiting questions, as after a change of owner", () => {
     const policy = { decision: 16, eachWorker: 0.23, validity: 1_500 };
 
-    it("are looked at only as far as VMs are free: an answer costs no look at all of them", () => {
+    it("are examined only as far as VMs are free, not all of them for each answer", () => {
         let looks = 0;
         const questioner = { isAdviceWanted: () => ++looks > 0, dropAdvice: () => undefined };
         const dispatcher = new AdviceDispatcher(() => 0, questioner);
--- a/packages/cell/test/headroom/urgent-stops.test.ts
+++ b/packages/cell/test/headroom/urgent-stops.test.ts
@@ -13,10 +13,10 @@
     running,
 } from "../support/index.js";
 
-const queues = [makeQueue("urgent", { priority: 0 }), makeQueue("patient", { priority: 2, extension: 10 })];
+const queues = [makeQueue("urgent", { priority: 0 }), makeQueue("deferrable", { priority: 2, extension: 10 })];
 const workers = [makeWorker("w1"), makeWorker("w2")];
 /** Four of its tasks fill a worker. */
-const patientStep = makeStep({
+const deferrableStep = makeStep({
     taskCount: 8,
     size: { processorThousandths: 2_000, memoryMebibytes: 1_024, accelerators: 0 },
     estimate: 20_000,
@@ -27,24 +27,24 @@
 const jobOf = (queue: string, id: string, step = urgentStep, changes: Partial<JobDefinition> = {}): JobDefinition =>
     makeJob(id, [step], { queue: queueName(queue), ...changes });
 
-/** Two workers that patient tasks fill, each of which has done a quarter. */
-const filled = (
-    step = patientStep,
+/** Two workers filled by deferrable tasks, each of which is a quarter done. */
+const filledWorkers = (
+    step = deferrableStep,
     organisations: readonly Organisation[] = [],
     changes: Partial<JobDefinition> = {},
 ): { driver: CellDriver; starts: readonly StartCommand[]; } => {
     const driver = new CellDriver(undefined, makeConfiguration(1, queues, organisations));
     driver.addWorkers(...workers);
-    driver.cell.submit(jobOf("patient", "patient", step, changes));
+    driver.cell.submit(jobOf("deferrable", "deferrable", step, changes));
     const { starts } = driver.run();
     driver.confirm(...starts);
     driver.clock.advance(500);
-    showAll(driver, starts, () => 25);
+    pollAll(driver, starts, () => 25);
     return { driver, starts };
 };
 
-/** Looks at all workers. */
-const showAll = (
+/** Polls all workers. */
+const pollAll = (
     driver: CellDriver,
     starts: readonly StartCommand[],
     percentOf: (start: StartCommand) => number,
@@ -57,9 +57,9 @@
 const runOf = (starts: readonly StartCommand[], task: string): StartCommand =>
     starts.find(start => start.task === task)!;
 
-describe("an urgent step of few cores that finds no room", () => {
-    it("gets that of one patient run whose progress is saved, and no more than it needs", () => {
-        const { driver, starts } = filled();
+describe("an urgent narrow step that does not fit", () => {
+    it("preempts one deferrable run whose progress is saved, and no more than it needs", () => {
+        const { driver, starts } = filledWorkers();
         driver.cell.submit(jobOf("urgent", "urgent", { ...urgentStep, taskCount: 2 }));
         const { stops } = driver.run();
         expect(stops.length).toEqual(1);
@@ -67,41 +67,41 @@
         expect(driver.run().starts.map(({ task }) => task.split("/")[0])).toEqual(["urgent", "urgent"]);
     });
 
-    it("waits for what is about to end by itself", () => {
-        const { driver, starts } = filled();
+    it("waits for a run that is about to end", () => {
+        const { driver, starts } = filledWorkers();
         driver.clock.advance(500);
-        showAll(driver, starts, start => start === starts[0] ? 97 : 26);
+        pollAll(driver, starts, start => start === starts[0] ? 97 : 26);
         driver.cell.submit(jobOf("urgent", "urgent"));
         expect(driver.run().stops).toEqual([]);
     });
 
-    it("stops nothing whose progress would be lost, and nothing whose job would be late", () => {
-        for (const step of [{ ...patientStep, savesProgress: false }, { ...patientStep, estimate: 300 }]) {
-            const { driver } = filled(step);
+    it("preempts no run whose progress would be lost or whose job would be late", () => {
+        for (const step of [{ ...deferrableStep, savesProgress: false }, { ...deferrableStep, estimate: 300 }]) {
+            const { driver } = filledWorkers(step);
             driver.cell.submit(jobOf("urgent", "urgent"));
             expect(driver.run().stops).toEqual([]);
         }
     });
 
-    it("stops nothing where gangs share the service", () => {
-        const { driver } = filled();
+    it("preempts nothing where gangs share the service", () => {
+        const { driver } = filledWorkers();
         driver.cell.submit(jobOf("urgent", "gang", { ...urgentStep, isGang: true, requiredLabel: "elsewhere" }));
         driver.cell.submit(jobOf("urgent", "urgent"));
         expect(driver.run().stops).toEqual([]);
     });
 });
 
-describe("a stop for urgent work", () => {
-    it("is ordered once, however often its end is awaited", () => {
-        const { driver } = filled();
+describe("a preemption for urgent work", () => {
+    it("is ordered once while its end is awaited", () => {
+        const { driver } = filledWorkers();
         driver.cell.submit(jobOf("urgent", "urgent"));
         expect(driver.run().stops.length).toEqual(1);
         driver.clock.advance(300);
         expect(driver.run().stops).toEqual([]);
     });
 
-    it("whose worker falls silent frees nothing: another is made", () => {
-        const { driver } = filled();
+    it("is replaced by another when its worker stops answering", () => {
+        const { driver } = filledWorkers();
         driver.cell.submit(jobOf("urgent", "urgent"));
         const [first] = driver.run().stops;
         driver.cell.applySilence(first.worker, driver.clock.monotonic() + 6_000);
@@ -110,8 +110,8 @@
         expect(stops[0].worker).not.toEqual(first.worker);
     });
 
-    it("is neither lost nor doubled when its owner is lost", () => {
-        const { driver, starts } = filled();
+    it("is neither lost nor repeated after a change of owner", () => {
+        const { driver, starts } = filledWorkers();
         driver.cell.submit(jobOf("urgent", "urgent"));
         const { stops: [stop] } = driver.run();
         driver.takeOver();
@@ -134,9 +134,9 @@
         expect([again.task, again.checkpoint]).toEqual([stop.task, "saved"]);
     });
 
-    it("is not made for work that its organisation's limit has no place for, once that has fallen", () => {
+    it("is not ordered for work that exceeds its organisation's lowered limit", () => {
         const north = { organisation: organisationName("north") };
-        const { driver } = filled(patientStep, [makeOrganisation("north", 24)], north);
+        const { driver } = filledWorkers(deferrableStep, [makeOrganisation("north", 24)], north);
         driver.cell.configure(makeConfiguration(2, queues, [makeOrganisation("north", 12)]));
         driver.cell.submit(jobOf("urgent", "urgent", urgentStep, north));
         expect(driver.run().stops).toEqual([]);
