--- a/packages/cell/src/state/cell-context.ts
+++ b/packages/cell/src/state/cell-context.ts
@@ -1,4 +1,4 @@
-/** What the parts of a cell's owner share. */
+/** State and services shared by the components of a cell's owner. */
 import type { Clock, LogEvent, Milliseconds, OrganisationName, QueueName, WorkerId } from "@pebbledale/core";
 import { type CellConfiguration, QueueDirectory } from "../configuration/index.js";
 import { UsageBook } from "../organisations/index.js";
@@ -8,21 +8,23 @@
 import type { CellRecord } from "./records.js";
 import { WorkerState } from "./worker-state.js";
 
-/** Takes a line for each decision. */
+/** Receives the structured log events of scheduling decisions. */
 export interface DecisionLog {
-    /** Notes an event with what led to it. */
     log(event: LogEvent, fields?: Readonly<Record<string, unknown>>): void;
 }
 
-/** What a cell's owner is made from. */
+/** Dependencies of a cell's owner that a caller or a test supplies. */
 export interface CellOptions {
     readonly clock: Clock;
     readonly log: DecisionLog;
-    /** Told of a worker that says that it leaves. */
+    /** Called when a worker announces that it is draining. */
     readonly onWorkerLeaves?: (worker: WorkerId) => void;
 }
 
-/** See the module's comment. */
+/**
+ * Jobs, workers, organisation usage and queued output of one cell. It holds state and makes no decisions; every component of the
+ * scheduler reads and changes it.
+ */
 export class CellContext {
     readonly table: JobTable;
     readonly workers = new Map<WorkerId, WorkerState>();
@@ -34,17 +36,17 @@
         this.table = new JobTable(() => this.now());
     }
 
-    /** Now, by the monotonic clock. */
+    /** Current time of the monotonic clock, which the state's times refer to unless said otherwise. */
     now(): Milliseconds {
         return this.options.clock.monotonic();
     }
 
-    /** Now, in milliseconds since 1970. */
+    /** Current time in milliseconds since 1970. */
     wallClock(): number {
         return this.options.clock.now().getTime();
     }
 
-    /** Those of some workers that are known. */
+    /** States of the given workers; unknown ids are skipped. */
     workersOf(ids: Iterable<WorkerId>): WorkerState[] {
         const found: WorkerState[] = [];
         for (const id of ids) {
@@ -56,7 +58,7 @@
         return found;
     }
 
-    /** Takes a newer configuration. */
+    /** Applies a newer configuration, also to jobs that are already accepted. Terms of queues it no longer names stay as they were. */
     configure(configuration: CellConfiguration): void {
         this.queues = new QueueDirectory(configuration);
         this.usage.configure(configuration.organisations);
@@ -65,7 +67,7 @@
         }
     }
 
-    /** What a queue asks for of an organisation's jobs; undefined when no configuration has named both. */
+    /** Terms for jobs of an organisation in a queue; undefined when the configuration does not name both. */
     termsOf(queue: QueueName, organisation: OrganisationName | undefined): JobTerms | undefined {
         const configured = this.queues?.named(queue);
         const organisationLimit = organisation && this.usage.limitOf(organisation);
@@ -83,7 +85,7 @@
         };
     }
 
-    /** Applies a record and keeps it. */
+    /** Applies a record to the job table and queues it for the journal. */
     record(record: CellRecord): void {
         this.table.apply(record);
         this.outbox.record(record);
--- a/packages/cell/src/state/constants.ts
+++ b/packages/cell/src/state/constants.ts
@@ -1,3 +1,3 @@
-/** Times, sizes and weights of the state that are not settings. Times are in milliseconds. */
-/** Pace of a run that is not slowed down, in percent. */
+/** Constants of the state that are not settings. */
+/** Pace of a run that is not throttled, in percent. */
 export const fullPace = 100;
--- a/packages/cell/src/state/definition.ts
+++ b/packages/cell/src/state/definition.ts
@@ -1,4 +1,4 @@
-/** Jobs made of steps, as callers hand them in. */
+/** Definitions of jobs and their steps as callers submit them, and the addresses of their tasks. */
 import {
     type JobId,
     type Milliseconds,
@@ -14,40 +14,40 @@
 
 export type { TaskSize } from "../task-size/index.js";
 
-/** One step: tasks that are alike. */
+/** One step of a job: a number of identical tasks. Stored with the job. */
 export interface StepDefinition {
     readonly taskCount: number;
     readonly size: TaskSize;
-    /** The caller's rough guess of how long a task takes. */
+    /** The caller's estimate of how long one task takes. */
     readonly estimate: Milliseconds;
-    /** Earlier steps, from 0, whose tasks must all be done first. */
+    /** Indexes of earlier steps, from 0, that must be complete first. */
     readonly after: readonly number[];
     readonly savesProgress: boolean;
-    /** All tasks start together and end together. */
+    /** All tasks start together and end together (gang scheduling). */
     readonly isGang: boolean;
-    /** A gang that is spread over more than one rack takes longer. */
+    /** The gang runs more slowly when it is spread over several racks. */
     readonly wantsOneRack: boolean;
-    /** A label that the worker must have. */
+    /** Label that a worker must have to run the step. */
     readonly requiredLabel: string | undefined;
-    /** The rack that holds the data; elsewhere a task takes longer. */
+    /** Rack that holds the input data; tasks run more slowly on other racks. */
     readonly dataRack: string | undefined;
-    /** Most tasks of the step on one worker. */
+    /** Maximum number of tasks of the step on one worker. */
     readonly mostPerWorker: number | undefined;
-    /** Copies of a task may run at the same time; the first that ends counts. */
+    /** Speculative copies of a task may run at the same time; the first one to finish counts. */
     readonly allowsCopies: boolean;
-    /** The tasks run until the job is cancelled. */
+    /** Tasks run until the job is cancelled and are restarted when they end. */
     readonly isLasting: boolean;
-    /** Most tasks of a lasting step that may be away at once through our doing. */
+    /** Maximum number of tasks of a lasting step that the scheduler may interrupt at the same time. */
     readonly mayBeAway: number | undefined;
-    /** What the tasks run; tasks of one image behave alike. */
+    /** Image that the tasks run; tasks with the same image are expected to perform alike. */
     readonly image: string | undefined;
-    /** The tail of the answers' times that a lasting task is to keep under. */
+    /** Upper limit for the tail response time of a lasting task that serves requests. */
     readonly latencyTarget: Milliseconds | undefined;
-    /** Its processors are not counted: it gets what the others leave unused. */
+    /** Best-effort task: its processor demand is not reserved, it uses what other tasks leave idle. */
     readonly fills: boolean;
 }
 
-/** When a job's steps run more than once. */
+/** Schedule of a job whose steps run more than once. */
 export interface Timetable {
     readonly occurrences: number;
     /** Due time of the first occurrence, in milliseconds since 1970. */
@@ -55,19 +55,19 @@
     readonly interval: Milliseconds;
 }
 
-/** One job as it was handed in. */
+/** A job as its caller submitted it. Stored in the journal and sent between VMs. */
 export interface JobDefinition {
     readonly job: JobId;
     readonly queue: QueueName;
-    /** Whose job it is; undefined where its queue needs no key. Left out by programs that did not know of organisations. */
+    /** Organisation that submitted the job; absent where its queue needs no key, and in records of versions without organisations. */
     readonly organisation?: OrganisationName;
-    /** Passed on to each task as it is. */
+    /** Passed to each task unchanged. */
     readonly payload: string;
     readonly steps: readonly StepDefinition[];
     readonly timetable: Timetable | undefined;
 }
 
-/** What a job's queue asks for. Kept with the job, as a queue may be dropped while its jobs run. */
+/** Queue settings that apply to a job. Stored with the job, because a queue may be removed while its jobs are running. */
 export interface JobTerms {
     readonly service: ServiceName;
     readonly priority: number;
@@ -75,11 +75,11 @@
     readonly extension: number;
     readonly latencyTarget: Milliseconds;
     readonly advice: AdvicePolicy | undefined;
-    /** What its organisation may have at work; left out where that has no limit. */
+    /** Resources that all running tasks of its organisation may use together; absent when there is no limit. */
     readonly organisationLimit?: TaskSize;
 }
 
-/** State of a job as callers are told it. */
+/** Job state as reported to callers. */
 export enum CellJobState {
     Queued = "queued",
     Running = "running",
@@ -88,11 +88,11 @@
     Cancelled = "cancelled",
 }
 
-/** Whether a state is final. */
+/** Whether a job in this state never changes its state again. */
 export const isEndState = (state: CellJobState): boolean =>
     state === CellJobState.Completed || state === CellJobState.Failed || state === CellJobState.Cancelled;
 
-/** Where a task stands in its job. */
+/** Components of a task's address. */
 export interface TaskPlace {
     readonly job: JobId;
     readonly occurrence: number;
@@ -100,20 +100,20 @@
     readonly index: number;
 }
 
-/** One run of a task, named. */
+/** Identifies one run of a task. */
 export interface RunName {
     readonly task: TaskAddress;
     readonly run: RunNumber;
 }
 
-/** Names a step of an occurrence. */
+/** Formats the address of a step as `job/occurrence/step`. */
 export const stepAddress = (job: JobId, occurrence: number, step: number): string => `${job}/${occurrence}/${step}`;
 
-/** Names a task. */
+/** Formats a task's address as `job/occurrence/step/index`. */
 export const addressOf = ({ job, occurrence, step, index }: TaskPlace): TaskAddress =>
     taskAddress(`${job}/${occurrence}/${step}/${index}`);
 
-/** Reads a task's name; undefined when it is not one. */
+/** Parses a task's address; undefined when the text is not one. */
 export const placeOf = (address: TaskAddress): TaskPlace | undefined => {
     const [job, occurrence, step, index, rest] = address.split("/");
     if (index === undefined || rest !== undefined) {
--- a/packages/cell/src/state/entities.ts
+++ b/packages/cell/src/state/entities.ts
@@ -1,4 +1,4 @@
-/** The owner's view of jobs, their steps and tasks, and the runs of these. */
+/** Entities of the job table: jobs, occurrences, steps, tasks and their runs. */
 import type {
     JobId,
     Milliseconds,
@@ -22,100 +22,99 @@
 import { StrikeBook } from "./strikes.js";
 import type { WorkerState } from "./worker-state.js";
 
-/** Phase of one task. */
+/** Phase of a task across all its runs. */
 export enum TaskPhase {
-    /** Has no run at work. */
+    /** Has no run. */
     Waiting = "waiting",
-    /** Has at least one run that is ordered or at work. */
+    /** Has at least one run that is ordered, running or stopping. */
     Active = "active",
     Done = "done",
-    /** Will not be tried again. */
+    /** Has failed for good and is not retried. */
     Failed = "failed",
 }
 
-/** Phase of one run. */
+/** Phase of a run at its worker, as far as the owner knows. */
 export enum RunPhase {
-    /** Ordered; the worker has not confirmed it. */
+    /** Ordered and not yet confirmed by the worker. */
     Ordered = "ordered",
     AtWork = "at-work",
-    /** Told to stop; its room is free once its end is seen. */
+    /** Stop ordered; its resources stay allocated until the worker reports the end. */
     Stopping = "stopping",
 }
 
-/** What is known of a run at the life of a worker that it was ordered of, once another life answers. */
+/** What is known of a run under the incarnation of the worker that it was ordered from, once another incarnation answers. */
 export interface FormerLife {
     readonly life: WorkerLife | undefined;
-    /** How long that life was heard after it had taken the run; undefined when it was not heard to take it. */
+    /** Time from its confirmation of the run to its last answer; undefined when it never confirmed the run. */
     readonly stood: Milliseconds | undefined;
-    /** Whether that life had said that it leaves, so that its end was no crash. */
+    /** Whether it had announced that it leaves, so that its end was not a crash. */
     readonly wasLeaving: boolean;
 }
 
-/** Progress of a run, in percent, at a time by its worker's clock. */
+/** Progress of a run in percent, with the time of its worker's clock. */
 export interface ProgressMark {
     readonly percent: number;
     readonly at: Milliseconds;
 }
 
-/** Progress of a run from when it is watched, and at the latest sample. */
+/** First and latest progress sample of a run, from which its speed is estimated. */
 export interface ProgressMarks {
     readonly origin: ProgressMark;
     readonly last: ProgressMark;
 }
 
-/** One run of a task at a worker. */
+/** One attempt to run a task on a worker. */
 export interface TaskRun {
     readonly task: Task;
     readonly run: RunNumber;
-    /** Replaced when its worker starts again before it is known which of the two lives has the run. */
+    /** Replaced when the worker restarts before it is known which of its two incarnations has the run. */
     worker: WorkerState;
     phase: RunPhase;
-    /** When its order was handed to the worker's link, by the owner's monotonic clock; undefined before. */
+    /** When the order was passed to the worker's link, by the owner's monotonic clock; undefined before that. */
     sentAt: Milliseconds | undefined;
-    /** When the worker confirmed it. */
     confirmedAt: Milliseconds | undefined;
-    /** Progress as last seen, 0 to 100, and when it last changed; before the first change when the run was ordered. */
+    /** Last reported progress, 0 to 100, and when it last changed; initially the time of the order. */
     percent: number;
     progressedAt: Milliseconds;
-    /** Progress when this owner first saw some, and when that was. */
+    /** First progress that was reported to this owner, and when. */
     firstSeen: { readonly percent: number; readonly at: Milliseconds; } | undefined;
-    /** Its progress as it is sampled for its worker's speed; undefined while nothing was sampled. */
+    /** Progress samples used to estimate the worker's speed; undefined before the first sample. */
     marks: ProgressMarks | undefined;
     checkpoint: string;
-    /** Share of its speed at which it may work, in percent. */
+    /** Share of full speed at which the run may work, in percent. */
     pace: number;
-    /** Why it was told to stop; undefined while it was not. */
+    /** Reason for the stop order; undefined unless one was sent. */
     stopReason: string | undefined;
-    /** Whether its worker's life has shown it in a look: no other life will. */
+    /** Whether the worker's current incarnation has reported the run in a poll; no other incarnation will. */
     isShown: boolean;
-    /** Set while it was ordered of a former life of its worker and which life carried the order out is not known yet. */
+    /** Set while the run was ordered from a former incarnation and it is unknown which incarnation carried out the order. */
     formerLife: FormerLife | undefined;
-    /** Whether an earlier owner ordered it: it has been at work for longer than this owner knows of. */
+    /** Whether an earlier owner ordered it, so that it has been running for longer than this owner knows. */
     readonly isAdopted: boolean;
-    /** Whether it is tried apart: its worker takes nothing new meanwhile. */
+    /** Whether this is an isolated trial: the worker takes no new runs while it lasts. */
     isTrial: boolean;
 }
 
-/** Where a run was ordered. */
+/** Worker and incarnation from which a run was ordered. */
 export interface OpenRun {
     readonly worker: WorkerId;
     readonly life: WorkerLife | undefined;
 }
 
-/** One task of an occurrence of a step. */
+/** A task of a step, with all its runs. */
 export class Task {
     phase = TaskPhase.Waiting;
-    /** Highest run number that is known of. */
+    /** Highest run number known to this owner. */
     lastRun = 0;
     failures = 0;
-    /** The newest progress that is known of; empty when there is none. */
+    /** Latest known checkpoint; empty when there is none. */
     checkpoint = "";
     readonly runs: TaskRun[] = [];
-    /** How often a run of it was stopped for more urgent work, under this owner. */
+    /** How often a run was preempted by more urgent work under this owner. */
     preemptions = 0;
-    /** Runs whose ends were taken in. */
+    /** Runs whose ends have been applied. */
     readonly endedRuns = new Set<number>();
-    /** Where runs were recorded that are not over, by run. */
+    /** Recorded runs that have not ended, by run number. */
     readonly openRuns = new Map<RunNumber, OpenRun>();
     readonly address: TaskAddress;
 
@@ -128,7 +127,7 @@
         });
     }
 
-    /** Notes newer progress. Any member's serves for its gang, and all members start from the same. */
+    /** Stores a newer checkpoint. A checkpoint of one gang member applies to the whole gang, so that all members resume from the same one. */
     noteCheckpoint(checkpoint: string): void {
         if (checkpoint === "" || checkpoint === this.checkpoint) {
             return;
@@ -138,19 +137,19 @@
     }
 }
 
-/** One step of an occurrence. */
+/** A step of an occurrence, with its tasks. */
 export class Step {
     readonly tasks: Task[];
     doneCount = 0;
-    /** Failed runs of all its tasks. */
+    /** Number of failed runs across all its tasks. */
     failedRuns = 0;
-    /** Runs of the whole gang in which a member failed: each counts once, in whatever order their ends are seen. */
+    /** Gang runs in which a member failed. Each counts as one failure, whatever the order in which the ends arrive. */
     readonly failedGangRuns = new Set<number>();
-    /** When all it waits for was done, by the owner's monotonic clock. */
+    /** When all steps that it depends on were complete, by the owner's monotonic clock. */
     readyAt: Milliseconds | undefined;
-    /** Which workers may run it; undefined when all of the service may. */
+    /** Workers permitted by the advice service; undefined when every worker of the service may run the step. */
     permits: StepPermits | undefined;
-    /** Not before this, by the owner's monotonic clock. */
+    /** Earliest start of its tasks, by the owner's monotonic clock. */
     notBefore: Milliseconds = 0;
     readonly address: string;
 
@@ -163,36 +162,32 @@
         this.tasks = Array.from({ length: definition.taskCount }, (_, task) => new Task(this, task));
     }
 
-    /** The job it belongs to. */
     get job(): Job {
         return this.occurrence.job;
     }
 
-    /** Whether each of its tasks is done. */
     get isDone(): boolean {
         return this.doneCount === this.tasks.length;
     }
 
-    /** Whether all steps that it waits for are done. */
+    /** Whether all steps that it depends on are complete. */
     get isUnblocked(): boolean {
         return this.definition.after.every(index => this.occurrence.steps[index].isDone);
     }
 
-    /** Whether a task has no run. */
     get hasWaitingTask(): boolean {
         return this.tasks.some(task => task.phase === TaskPhase.Waiting);
     }
 
-    /** Tasks that have no run. */
     waitingTasks(): Task[] {
         return this.tasks.filter(task => task.phase === TaskPhase.Waiting);
     }
 }
 
-/** One time that a job's steps run. */
+/** One execution of all steps of a job; a job without a timetable has exactly one. */
 export class Occurrence {
     readonly steps: Step[];
-    /** By step, the longest chain of work from it to the end, by the caller's estimates. */
+    /** By step, the estimated duration of the longest chain of dependent steps from this step to the end. */
     readonly chains: readonly Milliseconds[];
 
     constructor(readonly job: Job, readonly number: number, definition: JobDefinition) {
@@ -200,80 +195,79 @@
         this.chains = chainsOf(definition.steps);
     }
 
-    /** The longest chain of work of all its steps. */
+    /** Estimated duration of the longest chain of dependent steps. */
     get longestChain(): Milliseconds {
         return Math.max(...this.chains);
     }
 
-    /** Whether each of its steps is done. */
     get isDone(): boolean {
         return this.steps.every(step => step.isDone);
     }
 }
 
-/** One job. */
+/** A job, with the occurrences that are known and not over. */
 export class Job {
     readonly occurrences = new Map<number, Occurrence>();
     state = CellJobState.Queued;
-    /** The state that callers are told: final only once its record is kept. */
+    /** State reported to callers; it becomes final only after the record that ends the job is persisted. */
     shownState = CellJobState.Queued;
-    /** Whether the record of its acceptance is kept. */
+    /** Whether the record that accepts the job is persisted. */
     isKept = false;
-    /** Occurrences that are done; nothing more is kept of them. */
+    /** Numbers of the occurrences that are complete. */
     readonly doneOccurrences = new Set<number>();
-    /** Workers that were lost with runs of its tasks. */
+    /** Worker losses held against its tasks. */
     readonly strikes = new StrikeBook();
-    /** The first occurrence whose time has not come. */
+    /** Number of the first occurrence that is not open yet. */
     nextOccurrence = 0;
-    /** When it ended, in milliseconds since 1970. */
+    /** In milliseconds since 1970. */
     endedAt: number | undefined;
     #definition: JobDefinition | undefined;
 
     constructor(
         readonly id: JobId,
         readonly queue: QueueName,
-        /** Milliseconds since 1970. */
+        /** In milliseconds since 1970. */
         readonly acceptedAt: number,
         definition: JobDefinition | undefined,
-        /** What its queue asks for, as last known. */
+        /** Latest known terms of its queue. */
         public terms: JobTerms,
-        /** By the owner's monotonic clock; of a job of an earlier owner the time at which it was read. */
+        /** By the owner's monotonic clock; for a job accepted by an earlier owner, the time at which its record was read. */
         readonly acceptedSteady: Milliseconds,
-        /** Whose it is, also once its definition is let go of; undefined where nobody is told apart. */
+        /** Kept after the definition is discarded; undefined in a cell without organisations. */
         readonly organisation: OrganisationName | undefined,
     ) {
         this.#definition = definition;
     }
 
-    /** What was handed in; undefined once the job is over and nothing of it runs. */
+    /** The submitted definition; undefined once the job is over and none of its tasks has a run. */
     get definition(): JobDefinition | undefined {
         return this.#definition;
     }
 
-    /** How often its steps run. */
+    /** Number of occurrences that its timetable asks for; 1 without a timetable. */
     get occurrenceCount(): number {
         return this.#definition?.timetable?.occurrences ?? 1;
     }
 
-    /** When an occurrence is due, in milliseconds since 1970; undefined for a job without a timetable. */
+    /** Due time of an occurrence, in milliseconds since 1970; undefined for a job without a timetable. */
     dueAt(number: number): number | undefined {
         const timetable = this.#definition?.timetable;
         return timetable === undefined ? undefined : timetable.firstAt + number * timetable.interval;
     }
 
-    /** Whether it has ended, kept or not. */
+    /** Whether it has ended, whether or not the record of that is persisted. */
     get isOver(): boolean {
         return isEndState(this.state);
     }
 
-    /** Lets go of all but its state. */
+    /** Frees the definition and all occurrences; the state remains for queries. */
     shrink(): void {
         this.#definition = undefined;
         this.occurrences.clear();
     }
 }
 
-/** All tasks of a job's occurrences that are known. */
+/** Tasks of all occurrences that are in memory. */
 export const tasksOf = (job: Job): Task[] =>
     [...job.occurrences.values()].flatMap(occurrence => occurrence.steps.flatMap(step => step.tasks));
 
--- a/packages/cell/src/state/index.ts
+++ b/packages/cell/src/state/index.ts
@@ -1,4 +1,4 @@
-/** What the owner knows: jobs, their steps and tasks, runs and workers, and the records that change it. No decisions. */
+/** State of a cell's owner: jobs, steps, tasks, runs and workers, and the journal records that change them. */
 export * from "./cell-context.js";
 export { fullPace } from "./constants.js";
 export * from "./definition.js";
--- a/packages/cell/src/state/job-table.ts
+++ b/packages/cell/src/state/job-table.ts
@@ -1,4 +1,4 @@
-/** All jobs of a cell, changed only by records, so that a replay of the journal gives the same. */
+/** The replayable state of a cell and its snapshots. */
 import type { JobId, Milliseconds, OrganisationName, RunNumber, WorkerId, WorkerLife } from "@pebbledale/core";
 import { RunEnd } from "../task-worker/index.js";
 import { CellJobState, type JobDefinition, type JobTerms, placeOf } from "./definition.js";
@@ -6,10 +6,10 @@
 import type { AcceptedRecord, CellRecord, EndedRecord, GivenUpRecord, LostRecord, StartedRecord } from "./records.js";
 import type { Strike } from "./strikes.js";
 
-/** A run that is not over as snapshots hold it: run, worker, and the life that it was ordered of where that is known. */
+/** Snapshot of a run that has not ended: run, worker, and the incarnation that it was ordered from if that is known. */
 type OpenRunSnapshot = readonly [RunNumber, WorkerId, WorkerLife?];
 
-/** A task as snapshots hold it: step, index, phase, last run, failures, checkpoint, ended runs, open runs. */
+/** Snapshot of a task: step, index, phase, last run, failures, checkpoint, ended runs, open runs. */
 type TaskSnapshot = readonly [
     number,
     number,
@@ -21,14 +21,14 @@
     readonly OpenRunSnapshot[],
 ];
 
-/** An occurrence as snapshots hold it: number, failed runs of each step's gang, changed tasks. */
+/** Snapshot of an occurrence: number, failed gang runs of each step, tasks that differ from their initial state. */
 type OccurrenceSnapshot = readonly [number, readonly (readonly number[])[], readonly TaskSnapshot[]];
 
-/** A job as snapshots hold it. */
+/** Stored form of a job. */
 export interface JobSnapshot {
     readonly id: JobId;
     readonly queue: Job["queue"];
-    /** Left out where it has none, and by programs that did not know of organisations. */
+    /** Absent where the job has none, and in snapshots of versions without organisations. */
     readonly organisation?: OrganisationName;
     readonly acceptedAt: number;
     readonly endedAt: number | undefined;
@@ -37,34 +37,34 @@
     readonly definition: JobDefinition | undefined;
     readonly terms: JobTerms;
     readonly occurrences: readonly OccurrenceSnapshot[];
-    /** Left out by programs that did not know of strikes. */
+    /** Absent in snapshots of versions without strikes. */
     readonly strikes?: readonly Strike[];
 }
 
-/** A worker as snapshots hold it: id, address, and its present life where that is known. */
+/** Snapshot of a worker: id, address, and its current incarnation if that is known. */
 type WorkerSnapshot = readonly [WorkerId, string, WorkerLife?];
 
-/** A cell as snapshots hold it. */
+/** Stored form of a cell's state, from which an owner restores a job table before it applies later records. */
 export interface CellSnapshot {
     readonly jobs: readonly JobSnapshot[];
     readonly workers: readonly WorkerSnapshot[];
 }
 
-/** A worker that runs may have been ordered on. */
+/** A worker from which runs may have been ordered, as the journal describes it. */
 export interface KnownWorker {
     readonly address: string;
     readonly life: WorkerLife | undefined;
 }
 
-/** See the module's comment. */
+/** All jobs of a cell. It changes only through records, so that replaying the journal yields the same state. */
 export class JobTable {
     readonly jobs = new Map<JobId, Job>();
-    /** Workers that runs may have been ordered on. */
+    /** Workers from which runs may have been ordered. */
     readonly knownWorkers = new Map<WorkerId, KnownWorker>();
 
     constructor(private readonly now: () => Milliseconds) {}
 
-    /** Changes the table as a record says; a record that no longer applies changes nothing. */
+    /** Applies a record; a record that no longer applies is ignored. */
     apply(record: CellRecord): void {
         switch (record.kind) {
             case "accepted":
@@ -103,7 +103,7 @@
         }
     }
 
-    /** The task of a name, if its job is known and not over. */
+    /** Task at an address; undefined when its job is unknown or its definition is discarded. */
     taskOf(address: EndedRecord["task"]): Task | undefined {
         const place = placeOf(address);
         const job = place === undefined ? undefined : this.jobs.get(place.job);
@@ -113,7 +113,7 @@
         return this.occurrenceOf(job, place.occurrence)?.steps[place.step]?.tasks[place.index];
     }
 
-    /** An occurrence of a job, made when it is first asked for. */
+    /** Returns an occurrence of a job and creates it if necessary; undefined when it is complete or does not exist. */
     occurrenceOf(job: Job, number: number): Occurrence | undefined {
         const known = job.occurrences.get(number);
         const isOver = number >= job.occurrenceCount || job.doneOccurrences.has(number);
@@ -125,7 +125,7 @@
         return made;
     }
 
-    /** All of it, in a form that JSON holds. */
+    /** Serializable copy of the state. */
     snapshot(): CellSnapshot {
         const workers = [...this.knownWorkers].map(([id, { address, life }]): WorkerSnapshot =>
             life === undefined ? [id, address] : [id, address, life]
@@ -133,7 +133,7 @@
         return { jobs: [...this.jobs.values()].map(snapshotOf), workers };
     }
 
-    /** Takes over a snapshot. */
+    /** Adds the contents of a snapshot to an empty table. */
     restore(snapshot: CellSnapshot): void {
         snapshot.workers.forEach(([worker, address, life]) => this.knownWorkers.set(worker, { address, life }));
         snapshot.jobs.forEach(saved => this.#restoreJob(saved));
@@ -191,11 +191,11 @@
         this.#noteBegun(task.step.job);
         task.noteCheckpoint(record.checkpoint);
         if (record.end === RunEnd.Done || record.end === RunEnd.Failed) {
-            // It came to its own end, and its worker lived.
+            // The run ended by itself and its worker survived it.
             task.step.job.strikes.clear(record.task);
         }
         if (task.step.definition.isLasting) {
-            // However a task that lasts ends, it is started again.
+            // Lasting tasks are restarted however they end.
             return;
         }
         if (record.end === RunEnd.Done) {
@@ -214,7 +214,7 @@
 
     #finishTask(task: Task, at: number): void {
         const { step } = task;
-        // The members of a gang end done together: one such end counts for all.
+        // Members of a gang complete together, so the completion of one counts for all.
         const finished = step.definition.isGang ? step.tasks : [task];
         for (const other of finished) {
             if (other.phase !== TaskPhase.Done) {
@@ -265,8 +265,8 @@
 }
 
 /**
- * Whether a job's tasks are still of use: also of one that is over while runs of it are, as they hold their workers' room and count for their
- * organisation until they have ended.
+ * Whether a snapshot must contain a job's tasks. Those of an ended job are included while runs of it are open, because these use
+ * workers' resources and count towards the organisation's limit.
  */
 const isHeld = (job: Job): boolean => !job.isOver || tasksOf(job).some(task => task.openRuns.size > 0);
 
--- a/packages/cell/src/state/outbox.ts
+++ b/packages/cell/src/state/outbox.ts
@@ -1,10 +1,10 @@
-/** Gathers what the inputs of one turn lead to: records to keep, orders to send, questions to ask. */
+/** Output of the cell's decisions: records for the journal, orders to workers, questions to the advice service. */
 import type { JobId, RunNumber, TaskAddress, WorkerId } from "@pebbledale/core";
 import type { AdvicePolicy } from "../advice/index.js";
 import type { CellRecord } from "./records.js";
 import type { WorkerState } from "./worker-state.js";
 
-/** Starts a run at a worker. */
+/** Orders a worker to start a run. Sent to entry VMs, as are the other commands. */
 export interface StartCommand {
     readonly kind: "start";
     readonly worker: WorkerId;
@@ -15,7 +15,7 @@
     readonly ticket?: string;
 }
 
-/** Stops a run at a worker. */
+/** Orders a worker to stop a run. */
 export interface StopCommand {
     readonly kind: "stop";
     readonly worker: WorkerId;
@@ -23,43 +23,41 @@
     readonly run: RunNumber;
 }
 
-/** Lets a run work at a share of its speed. */
+/** Throttles a run, or lifts the throttle. */
 export interface PaceCommand {
     readonly kind: "pace";
     readonly worker: WorkerId;
     readonly task: TaskAddress;
     readonly run: RunNumber;
-    /** From 0 to 100. */
+    /** Share of full speed, from 0 to 100. */
     readonly percent: number;
 }
 
-/** An order to a worker. */
+/** An order that an entry VM passes to a worker. */
 export type WorkerCommand = StartCommand | StopCommand | PaceCommand;
 
-/** A question to the advice service, or a part of one: it may be put in parts to several VMs at once. */
+/** A question to the advice service about a step. It may be split into parts that several VMs ask in parallel. */
 export interface AdviceCommand {
-    /** Address of the step. */
     readonly step: string;
     readonly workers: readonly WorkerId[];
-    /** Lower is asked first. */
+    /** Questions with lower values are asked first. */
     readonly urgency: number;
-    /** What calls take at the service. */
+    /** Policy of the step's queue, from which the duration of the call is estimated. */
     readonly policy: AdvicePolicy;
 }
 
-/** What one turn led to. */
+/** Everything that the inputs processed in one turn produced. */
 export interface Turn {
     readonly records: readonly CellRecord[];
-    /** Stops and paces are sent at once, starts once the records are kept. */
+    /** Stop and pace commands are sent immediately, start commands after the records are persisted. */
     readonly commands: readonly WorkerCommand[];
     readonly questions: readonly AdviceCommand[];
-    /** Once the records are kept: ends that a life of a worker may forget, by life the highest number. */
+    /** Highest number of the ends that each worker incarnation may forget, once the records are persisted. */
     readonly acknowledgements: ReadonlyMap<WorkerState, number>;
-    /** Jobs whose state may have changed. */
     readonly changedJobs: ReadonlySet<JobId>;
 }
 
-/** See the module's comment. */
+/** Collects the output of the components until the owner drains it at the end of a turn. */
 export class Outbox {
     #records: CellRecord[] = [];
     #commands: WorkerCommand[] = [];
@@ -67,38 +65,33 @@
     #acknowledgements = new Map<WorkerState, number>();
     #changedJobs = new Set<JobId>();
 
-    /** Whether anything was gathered. */
     get isEmpty(): boolean {
         return this.#records.length + this.#commands.length + this.#questions.length + this.#acknowledgements.size
                 + this.#changedJobs.size === 0;
     }
 
-    /** Adds a record. */
     record(record: CellRecord): void {
         this.#records.push(record);
     }
 
-    /** Adds an order to a worker. */
     command(command: WorkerCommand): void {
         this.#commands.push(command);
     }
 
-    /** Adds a question to the advice service. */
     ask(question: AdviceCommand): void {
         this.#questions.push(question);
     }
 
-    /** Lets a life of a worker forget its ends up to `through` once the records so far are kept. */
+    /** Lets a worker incarnation forget its ends up to number `through` once the records collected so far are persisted. */
     acknowledge(worker: WorkerState, through: number): void {
         this.#acknowledgements.set(worker, Math.max(through, this.#acknowledgements.get(worker) ?? 0));
     }
 
-    /** Notes that a job's state may have changed. */
     changed(job: JobId): void {
         this.#changedJobs.add(job);
     }
 
-    /** Takes out what was gathered. */
+    /** Returns the collected output and starts anew. */
     drain(): Turn {
         const step: Turn = {
             records: this.#records,
--- a/packages/cell/src/state/records.ts
+++ b/packages/cell/src/state/records.ts
@@ -1,37 +1,37 @@
-/** What the journal of a cell holds. */
+/** Records of a cell's journal. Their fields and kinds are a storage format. */
 import type { JobId, RunNumber, TaskAddress, WorkerId, WorkerLife } from "@pebbledale/core";
 import type { RunEnd } from "../task-worker/index.js";
 import type { JobDefinition, JobTerms } from "./definition.js";
 import type { Strike } from "./strikes.js";
 
-/** A job was accepted. Kept before its caller hears of it. */
+/** A job was accepted. Persisted before its caller gets the answer. */
 export interface AcceptedRecord {
     readonly kind: "accepted";
-    /** Milliseconds since 1970. */
+    /** In milliseconds since 1970. */
     readonly at: number;
     readonly definition: JobDefinition;
-    /** What its queue asks for. A later owner may not know the queue yet, or no longer. */
+    /** Stored because a later owner's configuration may not contain the queue. */
     readonly terms: JobTerms;
 }
 
-/** A job was cancelled by its caller. Kept before the caller hears of it. */
+/** A job was cancelled by its caller. Persisted before the caller gets the answer. */
 export interface CancelledRecord {
     readonly kind: "cancelled";
     readonly at: number;
     readonly job: JobId;
 }
 
-/** A run is ordered. Kept before the order is sent, so that a later owner knows where a task may be at work. */
+/** A run was ordered. Persisted before the order is sent, so that a later owner knows where the task may be running. */
 export interface StartedRecord {
     readonly kind: "started";
     readonly worker: WorkerId;
-    /** The life that it is ordered of; left out as in {@link WorkerRecord}. */
+    /** Incarnation from which the run was ordered; absent as in {@link WorkerRecord}. */
     readonly life?: WorkerLife;
     readonly task: TaskAddress;
     readonly run: RunNumber;
 }
 
-/** A run ended. Kept before its worker is told to forget it and before the job's state shows it. */
+/** A run ended. Persisted before the worker may forget the end and before the job's reported state changes. */
 export interface EndedRecord {
     readonly kind: "ended";
     readonly at: number;
@@ -39,20 +39,20 @@
     readonly run: RunNumber;
     readonly end: RunEnd;
     readonly checkpoint: string;
-    /** Whether the task has failed as often as it may, so that its job has failed. */
+    /** Whether the task has used up its attempts, so that its job has failed. */
     readonly isFinal: boolean;
 }
 
-/** A run that was ordered is over without an end that its worker listed: it was not started, or its lease is over. */
+/** An ordered run is over although its worker reported no end: it was not started, or its lease has expired. */
 export interface LostRecord {
     readonly kind: "lost";
     readonly task: TaskAddress;
     readonly run: RunNumber;
-    /** What is held against the task, as its worker may have crashed under it; left out when nothing is. */
+    /** Strike against the task because the worker may have crashed under it; absent when there is none. */
     readonly strike?: Strike;
 }
 
-/** Word of a worker that was lost with a run: it crashed, or it lived on. */
+/** It became known whether a worker that was lost with a run had crashed or was only unreachable. */
 export interface ExplainedRecord {
     readonly kind: "explained";
     readonly task: TaskAddress;
@@ -60,41 +60,41 @@
     readonly isCrash: boolean;
 }
 
-/** A run outlived what was held against its task. */
+/** A run outlived the strikes against its task, which are dropped. */
 export interface ClearedRecord {
     readonly kind: "cleared";
     readonly task: TaskAddress;
 }
 
-/** A task crashes the workers that start it: its job has failed. */
+/** A task repeatedly crashed its workers, so that its job has failed. */
 export interface GivenUpRecord {
     readonly kind: "given-up";
     readonly at: number;
     readonly task: TaskAddress;
 }
 
-/** A job that ended long enough ago is no longer known. */
+/** The retention period of an ended job is over: the job is removed. */
 export interface ForgottenRecord {
     readonly kind: "forgotten";
     readonly job: JobId;
 }
 
-/** A worker that runs may be ordered on. A later owner asks it before it trusts that nothing runs there. */
+/** A worker from which runs may be ordered. A later owner polls it before it assumes that nothing runs there. */
 export interface WorkerRecord {
     readonly kind: "worker";
     readonly worker: WorkerId;
     readonly address: string;
-    /** Its present life; left out while that is not known, and by programs that did not know of lives. */
+    /** Its current incarnation; absent while that is unknown, and in records of versions without incarnations. */
     readonly life?: WorkerLife;
 }
 
-/** A worker is gone: nothing of it can run any more. */
+/** A worker is gone: no run of it can be running any more. */
 export interface WorkerGoneRecord {
     readonly kind: "worker-gone";
     readonly worker: WorkerId;
 }
 
-/** One record. */
+/** Any record of the journal, by its `kind`. */
 export type CellRecord =
     | AcceptedRecord
     | CancelledRecord
--- a/packages/cell/src/state/step-permits.ts
+++ b/packages/cell/src/state/step-permits.ts
@@ -1,8 +1,8 @@
-/** What the advice service said of a step: which workers may run it, and with which ticket. */
+/** Answers of the advice service about a step. */
 import type { Milliseconds, WorkerId } from "@pebbledale/core";
 import type { Permit } from "../advice/index.js";
 
-/** A ticket is taken for over this long before it is, in milliseconds: a start takes some time to arrive. */
+/** Tickets are treated as expired this many milliseconds early, to leave time for a start order to arrive. */
 const ticketMargin: Milliseconds = 150;
 
 interface HeldTicket {
@@ -11,34 +11,34 @@
     until: Milliseconds;
 }
 
-/** See the module's comment. What was said of a worker holds for its life; tickets run out. */
+/**
+ * Workers that may run a step, and their tickets. A permission is valid for the worker's current incarnation; its ticket expires.
+ */
 export class StepPermits {
     readonly #held = new Map<WorkerId, HeldTicket>();
     readonly #asked = new Set<WorkerId>();
-    /** Workers that a question about is on its way. */
+    /** Workers covered by a question that is not answered yet. */
     readonly #pending = new Set<WorkerId>();
-    /** Those of them that have been started again since: the answer may be about the former life. */
+    /** Those of them that restarted after the question was sent: the answer may concern the former incarnation. */
     readonly #outdated = new Set<WorkerId>();
-    /** When the last call was asked for, by the owner's monotonic clock. */
+    /** By the owner's monotonic clock. */
     askedAt: Milliseconds = -Infinity;
 
-    /** Whether a question is on its way. */
     get isAsking(): boolean {
         return this.#pending.size > 0;
     }
 
-    /** Whether a question about a worker is on its way. */
+    /** Whether a question about the worker is not answered yet. */
     isPending(worker: WorkerId): boolean {
         return this.#pending.has(worker);
     }
 
-    /** A question about workers is on its way from `now` on. */
     expect(workers: readonly WorkerId[], now: Milliseconds): void {
         this.askedAt = now;
         workers.forEach(worker => this.#pending.add(worker));
     }
 
-    /** A question about workers, or a part of one, is over. */
+    /** Marks a question, or a part of one, as answered or given up. */
     settle(workers: readonly WorkerId[]): void {
         workers.forEach(worker => {
             this.#pending.delete(worker);
@@ -46,7 +46,7 @@
         });
     }
 
-    /** The worker's life is over: nothing is known of the next one, and what is on its way tells nothing of it. */
+    /** Drops what is known of a worker's former incarnation, and marks a pending answer about it as outdated. */
     forget(worker: WorkerId): void {
         this.#held.delete(worker);
         this.#asked.delete(worker);
@@ -55,27 +55,26 @@
         }
     }
 
-    /** Whether an answer that is on its way is surely about the worker's present life. */
+    /** Whether a pending answer is certain to concern the worker's current incarnation. */
     isOfPresentLife(worker: WorkerId): boolean {
         return !this.#outdated.has(worker);
     }
 
-    /** Whether the service was asked of a worker. */
+    /** Whether the service has answered about the worker. */
     wasAsked(worker: WorkerId): boolean {
         return this.#asked.has(worker);
     }
 
-    /** Workers that may run the step, as far as is known. */
+    /** Workers known to be permitted, whether or not their tickets are still valid. */
     get permitted(): Iterable<WorkerId> {
         return this.#held.keys();
     }
 
-    /** Whether a worker may run the step, as far as is known. */
     isPermitted(worker: WorkerId): boolean {
         return this.#held.has(worker);
     }
 
-    /** Workers whose tickets hold, with these. */
+    /** Workers whose tickets are valid at `now`, with their tickets. */
     ticketsAt(now: Milliseconds): (readonly [WorkerId, string])[] {
         const tickets: (readonly [WorkerId, string])[] = [];
         for (const [worker, { ticket, until }] of this.#held) {
@@ -86,13 +85,13 @@
         return tickets;
     }
 
-    /** The ticket of a worker, if it still holds. */
+    /** Ticket of a worker; undefined when it has none that is valid at `now`. */
     ticketOf(worker: WorkerId, now: Milliseconds): string | undefined {
         const held = this.#held.get(worker);
         return held !== undefined && held.until > now ? held.ticket : undefined;
     }
 
-    /** Takes an answer in. `until`: when its tickets run out. */
+    /** Applies an answer about the workers in `asked`. `until`: when its tickets expire. */
     take(asked: readonly WorkerId[], permits: readonly Permit[], until: Milliseconds): void {
         const named = new Set(permits.map(({ worker }) => worker));
         asked.forEach(worker => {
@@ -106,7 +105,7 @@
         }
     }
 
-    /** A worker refused its ticket. */
+    /** Invalidates the ticket that a worker refused; the worker remains permitted. */
     drop(worker: WorkerId): void {
         const held = this.#held.get(worker);
         if (held !== undefined) {
--- a/packages/cell/src/state/strikes.ts
+++ b/packages/cell/src/state/strikes.ts
@@ -1,59 +1,52 @@
-/** What is held against a task: workers that crashed, or may have, while a run of it was there. */
+/** Strikes: worker losses that a task may have caused. */
 import type { Milliseconds, RunNumber, TaskAddress, WorkerId, WorkerLife } from "@pebbledale/core";
 
-/** One worker that was lost with a run of a task on it. */
+/** One worker that crashed, or may have crashed, while it had a run of the task. Stored in records and snapshots. */
 export interface Strike {
     readonly task: TaskAddress;
     readonly run: RunNumber;
     readonly worker: WorkerId;
-    /** The life that was lost; left out where lives have no names, and by programs that did not know of lives. */
+    /** Incarnation that was lost; absent on platforms that do not name incarnations, and in records of versions without them. */
     readonly life?: WorkerLife;
-    /** Where the worker was: what answers there later tells whether it crashed. */
+    /** Address of the worker: what answers there later shows whether it crashed. */
     readonly address: string;
-    /** How long the worker was heard after it had taken the run; undefined when it was not heard to take it. */
+    /** Time from the worker's confirmation of the run to its last answer; undefined when it did not confirm the run. */
     readonly stood: Milliseconds | undefined;
-    /** Whether another life of the worker proves the crash; a silence alone may be a cut. */
+    /** Whether the crash is proved by another incarnation that answers; silence alone may be a network failure. */
     readonly isProved: boolean;
-    /** Whether the run was past its start and many other workers fell silent with its own, as no one task makes them. */
+    /** Whether the run was past its start and many other workers fell silent at the same time, which a single task does not cause. */
     readonly isShared: boolean;
 }
 
-/**
- * Strikes of the tasks of one job. A task keeps its strikes from one occurrence of a timed job to the next, as each time runs
- * the same work.
- */
+/** Strikes against the tasks of one job. Occurrences of a timed job share them, because they run the same work. */
 export class StrikeBook {
     readonly #strikes = new Map<string, Strike[]>();
 
-    /** Whether anything is held against any task. */
     get isEmpty(): boolean {
         return this.#strikes.size === 0;
     }
 
-    /** What is held against a task. */
+    /** Strikes against a task. */
     of(task: TaskAddress): readonly Strike[] {
         return this.#strikes.get(placeInJob(task)) ?? [];
     }
 
-    /** All that is held. */
     all(): Strike[] {
         return [...this.#strikes.values()].flat();
     }
 
-    /** Holds one more against its task. */
     add(strike: Strike): void {
         const place = placeInJob(strike.task);
         this.#strikes.set(place, [...this.#strikes.get(place) ?? [], strike]);
     }
 
-    /** Whether the worker of a strike crashed is known now: a crash is proved, anything else is held against nobody. */
+    /** Resolves the strike of a run: marks it as proved if the worker crashed, removes it otherwise. */
     explain(task: TaskAddress, run: RunNumber, isCrash: boolean): void {
         const isMeant = (strike: Strike) => strike.task === task && strike.run === run;
         const kept = this.of(task).filter(strike => isCrash || !isMeant(strike));
         this.#replace(task, kept.map(strike => isMeant(strike) ? { ...strike, isProved: true } : strike));
     }
 
-    /** Nothing is held against a task any more. */
     clear(task: TaskAddress): void {
         this.#replace(task, []);
     }
@@ -68,5 +61,5 @@
     }
 }
 
-/** A task's step and index, without its job and occurrence. */
+/** The step and index of a task's address, without job and occurrence. */
 const placeInJob = (task: TaskAddress): string => task.split("/").slice(2).join("/");
