--- a/packages/cell/src/scheduler/cell-scheduler.ts
+++ b/packages/cell/src/scheduler/cell-scheduler.ts
@@ -1,9 +1,4 @@
-/**
- * Decisions of a cell's owner.
- *
- * Each input changes the state and leaves records, orders and questions in an outbox, which the caller drains. The
- * class reads time only through the clock it is given and reaches nothing outside.
- */
+/** The scheduler of a cell: its inputs, and the wiring of its components. */
 import {
     type JobId,
     logEvents,
@@ -50,7 +45,10 @@
 
 const unexplainedSilence: Silence = { cause: "no answer" };
 
-/** See the module's comment. */
+/**
+ * Makes all decisions of a cell's owner. Each input changes the state and adds records, commands and questions to an outbox, which
+ * the caller drains. It performs no I/O and reads time only through the given clock, so that the same inputs lead to the same output.
+ */
 export class CellScheduler {
     readonly #context: CellContext;
     readonly #runs: RunBook;
@@ -124,27 +122,25 @@
         );
     }
 
-    /** All workers that are to be asked. */
+    /** All workers that are to be polled. */
     get workers(): ReadonlyMap<WorkerId, WorkerState> {
         return this.#pool.workers;
     }
 
-    /** All jobs that are known. */
     get jobs(): ReadonlyMap<JobId, Job> {
         return this.#context.table.jobs;
     }
 
-    /** Whether there is a configuration. */
     get isConfigured(): boolean {
         return this.#context.queues !== undefined;
     }
 
-    /** Whether a pass over what waits may place something. */
+    /** Whether something changed since the last scheduling cycle that may let waiting tasks start. */
     get wantsPass(): boolean {
         return this.#wantsPass;
     }
 
-    /** Takes over what the journal holds. Called once, before any other input. */
+    /** Restores the state from the journal. Called once, before any other input. */
     recover(snapshot: CellSnapshot | undefined, records: readonly CellRecord[]): void {
         const { table } = this.#context;
         if (snapshot !== undefined) {
@@ -162,15 +158,14 @@
         }
     }
 
-    /** Takes a newer configuration. */
     configure(configuration: CellConfiguration): void {
         this.#context.configure(configuration);
         this.#wantsPass = true;
     }
 
     /**
-     * Takes a job, which is known from then on; its caller is told once the record is kept. Undefined when the
-     * configuration that this owner knows does not name its queue or its organisation.
+     * Accepts a job, or returns the known one of the same id. The caller may be answered only after the record is persisted.
+     * Undefined when this owner's configuration does not name the job's queue or organisation.
      */
     submit(definition: JobDefinition): Job | undefined {
         const { table, outbox, options } = this.#context;
@@ -199,12 +194,12 @@
         return job;
     }
 
-    /** Whether the configuration that this owner knows names the queue and the organisation of a job. */
+    /** Whether this owner's configuration names the queue and the organisation of a job. */
     knowsTermsOf({ queue, organisation }: JobDefinition): boolean {
         return this.#context.termsOf(queue, organisation) !== undefined;
     }
 
-    /** Whether a job has a step that its organisation's limit can never hold: a gang as a whole, of other steps one task. */
+    /** Whether the organisation's limit is too low for any step of a job: for the whole of a gang, or for one task of another step. */
     isBeyondLimit({ organisation, steps }: JobDefinition): boolean {
         const { usage } = this.#context;
         return steps.some(({ size, isGang, taskCount }) =>
@@ -212,7 +207,7 @@
         );
     }
 
-    /** Cancels a job; false when it is not known. Its caller is told once the record is kept. */
+    /** Cancels a job; false when it is unknown. The caller may be answered only after the record is persisted. */
     cancel(id: JobId): boolean {
         const job = this.#context.table.jobs.get(id);
         if (job === undefined) {
@@ -222,19 +217,19 @@
             this.#context.record({ kind: "cancelled", at: this.#context.wallClock(), job: id });
             this.#context.options.log.log(logEvents.jobCancelled, { job: id });
             this.#context.outbox.changed(id);
-            this.#runs.stopJob(job, "its caller cancelled the job");
+            this.#runs.stopJob(job, "cancelled by the caller");
             this.#flow.jobEnded(job);
         }
         return true;
     }
 
-    /** The state of a job that its caller is told; undefined when it is not known. */
+    /** State of a job as reported to callers; undefined when it is unknown or its acceptance is not persisted yet. */
     stateOf(id: JobId): CellJobState | undefined {
         const job = this.#context.table.jobs.get(id);
         return job?.isKept === true ? job.shownState : undefined;
     }
 
-    /** Accepted jobs of a queue none of whose tasks has begun. */
+    /** Number of accepted jobs of a queue of which no task has started. */
     pendingOf(queue: QueueName): number {
         let count = 0;
         for (const job of this.#context.table.jobs.values()) {
@@ -243,12 +238,12 @@
         return count;
     }
 
-    /** Takes in all entries of workers. `unreadable`: workers that are listed by entries that cannot be read. */
+    /** Applies a complete listing of workers. `unreadable`: listed workers whose entries cannot be parsed. */
     listWorkers(entries: readonly WorkerEntry[], unreadable: readonly WorkerId[] = []): void {
         this.#pool.takeListing(entries, unreadable);
     }
 
-    /** Takes in changes of workers' entries. */
+    /** Applies changes of workers' entries since the last listing or change. */
     changeWorkers(
         changed: readonly WorkerEntry[],
         gone: readonly WorkerId[],
@@ -260,44 +255,44 @@
     }
 
     /**
-     * Takes in a whole look at a worker. `sentAt`: when it was asked for, by the owner's monotonic clock.
-     * `settledBefore`: orders from before this moment that it does not show were not carried out and will not be.
+     * Applies a full poll of a worker. `sentAt`: when the request was sent, by the owner's monotonic clock. `settledBefore`: start
+     * orders sent before this time whose runs are not reported were not carried out and will not be.
      */
     takeLook(worker: WorkerId, look: Look, sentAt: Milliseconds, settledBefore: Milliseconds): void {
         this.#pool.takeLook(worker, look, sentAt, settledBefore);
     }
 
-    /** Takes in ends that a worker lists. */
+    /** Applies ends of runs that a worker reported outside a full poll. */
     takeEnds(worker: WorkerId, ended: Look["ended"]): void {
         this.#pool.takeEnds(worker, ended);
     }
 
-    /** A worker does not answer. `lapsesAt`: when every lease there is over, if that is known. */
+    /** Applies that a worker does not answer. `lapsesAt`: when its last lease expires, if known. */
     takeSilence(worker: WorkerId, lapsesAt: Milliseconds | undefined, silence: Silence = unexplainedSilence): void {
         this.#pool.takeSilence(worker, lapsesAt, silence);
     }
 
-    /** A worker was started again under its id. `life`: undefined where lives have no names. */
+    /** Applies that a worker restarted under its id. `life`: undefined on platforms that do not name incarnations. */
     takeRestart(worker: WorkerId, life: WorkerLife | undefined): void {
         this.#pool.takeRestart(worker, life);
     }
 
-    /** A worker of another id answers at its address. */
+    /** Applies that a worker with another id answers at this worker's address. */
     takeOtherLife(worker: WorkerId): void {
         this.#pool.takeOver(worker);
     }
 
-    /** See {@link StartDesk.startTaken}. */
+    /** Applies that a worker accepted a start order. */
     startTaken(worker: WorkerId, task: TaskAddress, run: RunNumber): void {
         this.#starts.startTaken(worker, task, run);
     }
 
-    /** See {@link StartDesk.startRefused}. */
+    /** Applies that a start order was not carried out and will not be. `refusal`: undefined when it did not reach the worker. */
     startRefused(worker: WorkerId, task: TaskAddress, run: RunNumber, refusal: OrderRefusal | undefined): void {
         this.#starts.startRefused(worker, task, run, refusal);
     }
 
-    /** Takes in an answer of the advice service; undefined when there was none. */
+    /** Applies an answer of the advice service; undefined when the call failed, for the reason in `cause`. */
     takeAdvice(
         step: string,
         asked: readonly WorkerId[],
@@ -308,17 +303,17 @@
         this.#wantsPass = true;
     }
 
-    /** Whether a question that waits to be asked is still of use. */
+    /** Whether the answer to a queued question about a step would still be used. */
     isAdviceWanted(step: string): boolean {
         return this.#advice.isWanted(step);
     }
 
-    /** A question about workers is not asked: its answer would be of no use. */
+    /** Drops a queued question about a step. */
     dropAdvice(step: string, workers: readonly WorkerId[]): void {
         this.#advice.drop(step, workers);
     }
 
-    /** The records of a step are kept. */
+    /** Applies that all records of a turn are persisted. */
     kept(step: Turn): void {
         const { table, workers } = this.#context;
         for (const record of step.records) {
@@ -340,17 +335,17 @@
         step.changedJobs.forEach(id => this.#flow.showState(table.jobs.get(id)));
     }
 
-    /** See {@link StartDesk.sendStart}. */
+    /** Marks a start order as sent, now that its record is persisted; false when it must be dropped instead. */
     sendStart(worker: WorkerId, task: TaskAddress, run: RunNumber): boolean {
         return this.#starts.sendStart(worker, task, run);
     }
 
-    /** See {@link StartDesk.dropStart}. */
+    /** Drops a start order that was never sent. */
     dropStart(worker: WorkerId, task: TaskAddress, run: RunNumber): void {
         this.#starts.dropStart(worker, task, run);
     }
 
-    /** Looks at what time has brought. */
+    /** Handles everything that depends on the passing of time. Called at regular intervals. */
     tick(): void {
         this.#pool.tick();
         this.#crashes.tick();
@@ -360,7 +355,7 @@
         this.#wantsPass = true;
     }
 
-    /** Workers that take nothing new, as their VMs are about to have their upkeep. */
+    /** Replaces the set of workers that get no new runs because their VMs are about to undergo upkeep. */
     closeWorkers(closed: ReadonlySet<WorkerId>): void {
         for (const worker of this.workers.values()) {
             this.#wantsPass ||= worker.isClosed && !closed.has(worker.id);
@@ -368,20 +363,20 @@
         }
     }
 
-    /** What is known of a worker, for the planner of upkeep. */
+    /** State of a worker as the upkeep planner needs it. */
     plannedWorkerOf(id: WorkerId): PlannedWorker {
         const runs = [...this.workers.get(id)?.runs.values() ?? []];
         const holdsNeeded = runs.some(({ task: { step } }) => step.definition.isLasting && !mayLoseOne(step));
         return { runs: runs.length, holdsNeeded };
     }
 
-    /** Places what fits. */
+    /** Runs a scheduling cycle: starts the waiting tasks that fit. */
     place(): void {
         this.#wantsPass = false;
         this.#placer.place();
     }
 
-    /** How the cell stands, in figures. */
+    /** Figures about the cell for logs and metrics. */
     summary(): CellSummary & CrashSummary {
         return {
             ...summarize(
@@ -394,17 +389,17 @@
         };
     }
 
-    /** Takes out what the inputs so far led to. */
+    /** Returns and clears the output of all inputs so far. */
     drain(): Turn {
         return this.#context.outbox.drain();
     }
 
-    /** Whether the inputs so far led to anything. */
+    /** Whether there is output to drain. */
     get hasOutput(): boolean {
         return !this.#context.outbox.isEmpty;
     }
 
-    /** The whole state, in a form that JSON holds. */
+    /** Serializable copy of the state. */
     snapshot(): CellSnapshot {
         return this.#context.table.snapshot();
     }
--- a/packages/cell/src/scheduler/cell-summary.ts
+++ b/packages/cell/src/scheduler/cell-summary.ts
@@ -1,66 +1,64 @@
-/** How a cell stands, in a few figures, for logs and metrics. */
+/** Summary of a cell's state for logs and metrics. */
 import type { Milliseconds, OrganisationName, ServiceName } from "@pebbledale/core";
 import { type CellContext, type Step, TaskPhase, type WorkerState } from "../state/index.js";
 
-/** See the module's comment. */
+/** Figures about a cell at one moment. They are logged under these names. */
 export interface CellSummary {
     readonly workers: number;
-    /** Workers that may be ordered. */
+    /** Workers that may be given new runs. */
     readonly openWorkers: number;
-    /** Workers that do not answer. */
     readonly silentWorkers: number;
-    /** Thousandths of processors that all workers have, and that are free on open ones. */
+    /** Thousandths of processors: capacity of all workers, and free on open ones. */
     readonly processor: number;
     readonly freeProcessor: number;
     readonly runs: number;
-    /** Jobs that are not over. */
+    /** Jobs that have not ended. */
     readonly openJobs: number;
-    /** Tasks that wait, by the priority of their queue, and the processor that they ask for, in thousandths. */
+    /** Waiting tasks by the priority of their queue, and the thousandths of processors that they need. */
     readonly waiting: Readonly<Record<string, { readonly tasks: number; readonly processor: number; }>>;
-    /** Of these the tasks that the last pass held back, as a gang of a more urgent queue is short of room. */
+    /** Waiting tasks that the last scheduling cycle held back because a gang of a more urgent queue lacked resources. */
     readonly heldBack: number;
-    /** How each service stands. */
     readonly services: Readonly<Record<ServiceName, ServiceSummary>>;
-    /** Organisations whose work waits for their own limit, those with the most of it first; at most {@link mostToldOrganisations}. */
+    /** Organisations whose tasks wait because of their own limit, most waiting tasks first; at most {@link mostToldOrganisations}. */
     readonly atLimit: readonly WaitingOrganisation[];
 }
 
-/** How one service stands: what of its room is free on workers that may be ordered, and what waits for it. */
+/** Capacity and demand of one service. Free resources count on open workers only. */
 export interface ServiceSummary {
     readonly workers: number;
     readonly openWorkers: number;
-    /** Workers that take nothing new as their runs make little progress. */
+    /** Workers that get no new runs because their runs make too little progress. */
     readonly slowWorkers: number;
-    /** Thousandths of processors, mebibytes and accelerators. */
+    /** Thousandths of processors, mebibytes of memory, and accelerators. */
     readonly processor: number;
     readonly freeProcessor: number;
     readonly memory: number;
     readonly freeMemory: number;
     readonly accelerators: number;
     readonly freeAccelerators: number;
-    /** Tasks that wait, and thousandths of processors that they ask for. */
+    /** Waiting tasks; {@link waitingProcessor} is what they need, in thousandths of processors. */
     readonly waitingTasks: number;
-    /** Thousandths of processors that patient work leaves free for urgent work. */
+    /** Thousandths of processors that deferrable work leaves free for urgent work. */
     readonly keptProcessor: number;
     readonly waitingProcessor: number;
 }
 
-/** An organisation some of whose work would start, were its limit higher. */
+/** An organisation with tasks that would start if its limit were higher. */
 export interface WaitingOrganisation {
     readonly organisation: OrganisationName;
-    /** Tasks that wait for the limit. */
+    /** Tasks that wait because of the limit. */
     readonly tasks: number;
-    /** Thousandths of processors and mebibytes that it has at work, and that it may have; 0 stands for no limit. */
+    /** Thousandths of processors and mebibytes in use and allowed; an allowance of 0 means no limit. */
     readonly processor: number;
     readonly mostProcessor: number;
     readonly memory: number;
     readonly mostMemory: number;
 }
 
-/** Most organisations that one summary tells of: the line stays below two kilobytes. */
+/** Bounds the length of the log line to about two kilobytes. */
 const mostToldOrganisations = 10;
 
-/** Works the figures out. */
+/** Computes a summary. `ready`: steps with tasks that could start; `keptIn`: headroom kept in a service. */
 export const summarize = (
     context: CellContext,
     ready: ReadonlySet<Step>,
--- a/packages/cell/src/scheduler/constants.ts
+++ b/packages/cell/src/scheduler/constants.ts
@@ -1,3 +1,3 @@
-/** Times, sizes and weights of the scheduler that are not settings. Times are in milliseconds. */
-/** A task whose run failed waits this long before the next, so that a worker at fault is found out first. */
+/** Constants of the scheduler that are not settings. Times are in milliseconds. */
+/** Delay before a step's next start after a failed run, so that a faulty worker is detected first. */
 export const failedRunPause = 50;
--- a/packages/cell/src/scheduler/index.ts
+++ b/packages/cell/src/scheduler/index.ts
@@ -1,4 +1,4 @@
-/** Decisions of a cell's owner: jobs made of steps, on workers that are leased and fenced. */
+/** The scheduler of a cell: runs jobs made of steps on leased and fenced workers. */
 export * from "./cell-scheduler.js";
 export * from "./cell-summary.js";
 export * from "./timetable-watch.js";
--- a/packages/cell/src/scheduler/job-flow.ts
+++ b/packages/cell/src/scheduler/job-flow.ts
@@ -1,34 +1,34 @@
-/** The way of jobs from step to step: which steps are opened, when an occurrence is let go of, and when a job is. */
+/** Progress of jobs from step to step. */
 import { logEvents } from "@pebbledale/core";
 import type { Placer } from "../placing/index.js";
 import { type CellContext, CellJobState, isEndState, type Job, type Occurrence, type Step } from "../state/index.js";
 import type { HealthWatch } from "../watching/index.js";
 import type { TimetableWatch } from "./timetable-watch.js";
 
-/** What the way of a job leads through. */
+/** Components that follow the progress of jobs. */
 export interface JobFlowParts {
     readonly placer: Placer;
     readonly timetables: TimetableWatch;
     readonly health: HealthWatch;
 }
 
-/** See the module's comment. */
+/** Opens steps as their dependencies complete, closes complete occurrences, and releases jobs that have ended. */
 export class JobFlow {
-    /** `onWork`: told when there may be something to place. */
+    /** `onWork`: called when tasks may have become ready to start. */
     constructor(
         private readonly context: CellContext,
         private readonly parts: JobFlowParts,
         private readonly onWork: () => void,
     ) {}
 
-    /** Shows the state of a job whose records are kept: a final one only then. */
+    /** Reports the state of a job to callers once the records that led to it are persisted. */
     showState(job: Job | undefined): void {
         if (job !== undefined && (job.shownState === CellJobState.Queued || isEndState(job.state))) {
             job.shownState = job.state;
         }
     }
 
-    /** Opens the steps of a job that wait for nothing. */
+    /** Opens all steps of a job whose dependencies are complete. */
     openSteps(job: Job): void {
         if (job.isOver) {
             return;
@@ -40,7 +40,7 @@
         this.onWork();
     }
 
-    /** Opens the steps of an occurrence that wait for nothing any more. */
+    /** Opens all steps of an occurrence whose dependencies are complete. */
     openOccurrence(occurrence: Occurrence): void {
         for (const step of occurrence.steps) {
             if (!step.isDone && step.isUnblocked) {
@@ -49,7 +49,7 @@
         }
     }
 
-    /** Lets go of an occurrence that is done, unless it is its job's only one. */
+    /** Removes a complete occurrence without runs, unless it is the only one of its job. */
     #closeOccurrence({ job, number, steps }: Occurrence): void {
         const isOver = job.doneOccurrences.has(number) && steps.every(hasNoRuns);
         if (isOver && job.occurrenceCount > 1) {
@@ -66,7 +66,7 @@
         this.onWork();
     }
 
-    /** A task of a step waits again, or all of the step is done. */
+    /** Handles that a task of a step waits again or that the step is complete. */
     stepChanged(step: Step): void {
         this.onWork();
         this.context.outbox.changed(step.job.id);
@@ -79,7 +79,7 @@
         this.#open(step);
     }
 
-    /** A job is over: nothing of it waits, and it is let go of once nothing of it runs. */
+    /** Handles that a job has ended: removes its waiting tasks, and frees the job once it has no runs. */
     jobEnded(job: Job): void {
         for (const occurrence of job.occurrences.values()) {
             occurrence.steps.forEach(step => this.parts.placer.remove(step));
--- a/packages/cell/src/scheduler/start-desk.ts
+++ b/packages/cell/src/scheduler/start-desk.ts
@@ -1,19 +1,18 @@
-/** What becomes of orders to start: sent once their records are kept, taken, refused or dropped. */
+/** Handling of start orders between the decision and the worker's answer. */
 import { logEvents, type RunNumber, type TaskAddress, type WorkerId } from "@pebbledale/core";
 import type { RunBook } from "../runs/index.js";
 import { type CellContext, RunPhase, type Step } from "../state/index.js";
 import { OrderRefusal } from "../task-worker/index.js";
 
-/** See the module's comment. */
+/** Follows start orders: sent after their records are persisted, then accepted, refused, or dropped before they are sent. */
 export class StartDesk {
-    /** `onRoom`: told when room may have come free. */
+    /** `onRoom`: called when resources may have become free. */
     constructor(
         private readonly context: CellContext,
         private readonly runs: RunBook,
         private readonly onRoom: () => void,
     ) {}
 
-    /** A worker has taken a start. */
     startTaken(worker: WorkerId, task: TaskAddress, run: RunNumber): void {
         const entry = this.context.workers.get(worker)?.runOf(task, run);
         if (entry !== undefined) {
@@ -22,7 +21,7 @@
         }
     }
 
-    /** A start was not done and will not be. `refusal`: undefined when it never reached the worker. */
+    /** Handles that a start was not carried out and will not be. `refusal`: undefined when it never reached the worker. */
     startRefused(worker: WorkerId, task: TaskAddress, run: RunNumber, refusal: OrderRefusal | undefined): void {
         const entry = this.context.workers.get(worker)?.runOf(task, run);
         this.context.options.log.log(logEvents.runRefused, { worker, task, run, refusal: refusal ?? "not delivered" });
@@ -40,26 +39,26 @@
         this.onRoom();
     }
 
-    /** Whether a run that was ordered is still to be started, now that its record is kept; it is then sent. */
+    /** Marks a start order as sent, now that its record is persisted; false when the run must not be started any more. */
     sendStart(worker: WorkerId, task: TaskAddress, run: RunNumber): boolean {
         const entry = this.context.workers.get(worker)?.runOf(task, run);
         if (entry?.phase !== RunPhase.Ordered) {
             return false;
         }
         if (entry.worker.isOverfull) {
-            // The room has shrunk since the run was decided on.
+            // The worker's capacity has shrunk since the decision.
             return false;
         }
         const { permits } = entry.task.step;
         if (permits !== undefined && permits.ticketOf(worker, this.context.now()) === undefined) {
-            // The record took so long that the ticket no longer holds.
+            // The ticket expired while the record was being written.
             return false;
         }
         entry.sentAt = this.context.now();
         return true;
     }
 
-    /** A run that was ordered is not sent: it is no longer wanted. */
+    /** Abandons a start order that was never sent. */
     dropStart(worker: WorkerId, task: TaskAddress, run: RunNumber): void {
         const entry = this.context.workers.get(worker)?.runOf(task, run);
         if (entry === undefined || entry.confirmedAt !== undefined) {
@@ -72,7 +71,7 @@
         this.onRoom();
     }
 
-    /** Stops what is left of a gang's run, so that it waits for no member that will not come. */
+    /** Stops the remaining members of a gang, which would wait for a member that does not start. */
     stopMembers(step: Step, reason: string): void {
         for (const task of step.tasks) {
             task.runs.forEach(run => this.runs.stop(run, reason));
--- a/packages/cell/src/scheduler/timetable-watch.ts
+++ b/packages/cell/src/scheduler/timetable-watch.ts
@@ -1,27 +1,24 @@
-/** Opens the occurrences of timed jobs as their time comes. */
+/** Occurrences of jobs with a timetable. */
 import type { Milliseconds } from "@pebbledale/core";
 import type { CellContext, Job, Occurrence } from "../state/index.js";
 
-/**
- * An occurrence is opened this long before it is due: the advice service is asked meanwhile. Its tasks start only when
- * it is due. In milliseconds: about what the slowest question takes.
- */
+/** Occurrences open this many milliseconds before they are due, so that the advice service can answer before the tasks start. */
 const openAhead: Milliseconds = 1_000;
 
-/** See the module's comment. */
+/** Opens the occurrences of jobs with a timetable shortly before they are due. */
 export class TimetableWatch {
     readonly #timed = new Set<Job>();
 
     constructor(private readonly context: CellContext, private readonly open: (occurrence: Occurrence) => void) {}
 
-    /** Watches a job, if it has a timetable. */
+    /** Adds a job; one without a timetable is ignored. */
     add(job: Job): void {
         if (job.definition?.timetable !== undefined && !job.isOver) {
             this.#timed.add(job);
         }
     }
 
-    /** Opens what is due soon. */
+    /** Opens the occurrences that are due soon. */
     tick(): void {
         const wallClock = this.context.wallClock();
         for (const job of this.#timed) {
