--- a/packages/cell/src/crashes/constants.ts
+++ b/packages/cell/src/crashes/constants.ts
@@ -1,56 +1,49 @@
-/** Times, weights and shares of the judgement on crashes that are not settings. Times are in milliseconds. */
+/** Constants of the judgement on crashes that are not settings. Times are in milliseconds. */
 import type { Milliseconds } from "@pebbledale/core";
 
 /**
- * A worker that was heard for less than this after it had taken a run may have crashed as it started it. A crash at the start
- * takes some 10 ms; word of the last answer and of the start may be apart by a tenth of a second on a busy owner.
+ * A crash counts as one at the start of a run when the worker's last answer came less than this after it confirmed the run. Wide
+ * enough for the delays with which a busy owner sees confirmations and answers.
  */
 export const startWindow: Milliseconds = 250;
 /**
- * Weight of a crash at the start of a run, of any other, and the weight from which a task is given up: after three of the first
- * kind, or five of any. Five are two starts more than the three crashes from which the users count starts (their rules). An innocent
- * run is at its start for a small part of its time, so a crash then says more.
+ * Weight of a strike whose crash came at the start of the run. It exceeds {@link weightLater} because an innocent run is rarely at its
+ * start when its worker crashes for another reason.
  */
 export const weightAtStart = 5;
-/** See {@link weightAtStart}. */
+/** Weight of a strike whose crash came later in the run. */
 export const weightLater = 3;
-/** See {@link weightAtStart}. */
+/** Total weight at which a task is given up: three crashes at the start of its runs, or five at any time. */
 export const weightOfGuilt = 15;
 /**
- * Weight of a loss that many workers shared while the run was past its start: no one task takes them all down, so it says little.
- * Where a fifth of the workers crashes at once every few seconds, a member of a wide gang can be hit five times.
+ * Weight of a strike for a shared loss. It is low because a single task does not take down many workers at once, while repeated mass
+ * failures can hit the same innocent gang member several times.
  */
 export const weightShared = 1;
-/** A loss is shared when at least so many other workers fell silent at the same moment, and this share of the service. */
+/** Minimum number of other workers that fell silent at the same time for a loss to be shared. */
 export const fewestSharing = 3;
-/** See {@link fewestSharing}. */
+/** Minimum share of the service's workers that fell silent at the same time for a loss to be shared. */
 export const leastShareSharing = 0.05;
-/** Silences of workers that crashed together are noticed within this time of each other: a look without an answer takes as long. */
+/** Maximum difference between silences that count as simultaneous: about the timeout of a poll, by which they are detected. */
 export const sharingWindow: Milliseconds = 500;
-/** From this weight on a task is tried apart from others, or from its first crash at a start on. */
+/** Total weight from which a task runs only in isolated trials; one crash at the start of a run is enough as well. */
 export const weightOfSuspicion = 9;
-/** A run that is at work this much longer than any run of its task that went with its worker clears the task. */
+/** A run clears its task once it has run this much longer than each run that was lost with its worker. */
 export const outliveMargin: Milliseconds = 500;
-/**
- * A run whose order had no answer, or that an earlier owner ordered, is taken to have stood this long: what a look takes to show
- * it, and what a change of owner takes, twice over.
- */
+/** Run time assumed for lost runs whose run time is unknown, because their order had no answer or an earlier owner sent it. */
 export const unknownStood: Milliseconds = 3_000;
-/**
- * Most jobs on trial at once, as a share of a service's workers: each may cost a worker. The first crash under a task comes
- * without a warning; from the second on tasks at fault keep under a tenth of the service down (the issue of the incident).
- */
+/** Maximum number of concurrent trials, as a share of the service's workers, since each trial may cost a worker. */
 export const trialShare = 0.1;
-/** No task is tried while more than this share of a service's workers is silent: the rest is needed. */
+/** No trial starts while more than this share of the service's workers is silent. */
 export const mostSilentShare = 0.34;
 /**
- * A task that silences alone would give up waits this long for their explanation, twice as long each further time: a crashed
- * worker is back after some seconds, and one that is lost for good never tells.
+ * Time for which a task waits for silent workers to return, when unproved strikes would be decisive. A crashed worker usually restarts
+ * within seconds; one that is gone for good never explains its silence.
  */
 export const explanationWait: Milliseconds = 10_000;
-/** With more unexplained silences than this the wait doubles for each: three at the start of a run are the fewest that lead to one. */
+/** The wait doubles for each unexplained silence beyond this number, the lowest at which a task waits at all. */
 export const fewestToWait = 3;
-/** Most doublings of that wait. */
+/** Maximum number of doublings of {@link explanationWait}. */
 export const explanationDoublings = 5;
-/** Added to the cost of a worker for each run that a trial there would put at risk; more than the processors of a worker. */
+/** Placement cost of each run that a trial on the same worker would put at risk; higher than any worker's number of processors. */
 export const riskCost = 200;
--- a/packages/cell/src/crashes/crash-watch.ts
+++ b/packages/cell/src/crashes/crash-watch.ts
@@ -1,4 +1,4 @@
-/** Keeps what is known of crashes from loss to judgement: silences that wait for an explanation, trials, tasks that are cleared. */
+/** Tasks suspected of crashing their workers. */
 import { logEvents, type Milliseconds, type ServiceName, type WorkerId, type WorkerLife } from "@pebbledale/core";
 import {
     type CellContext,
@@ -13,41 +13,40 @@
 import { judge, outlives } from "./judgement.js";
 import { Judgement } from "./types.js";
 
-/** Waiting tasks of a step by what they may do. */
+/** Waiting tasks of a step by how they may be started. */
 export interface SortedTasks {
     readonly trusted: readonly Task[];
-    /** Tasks that may be tried apart now. */
+    /** Tasks that may be started now, as isolated trials. */
     readonly suspects: readonly Task[];
-    /** Whether other tasks wait for their trial, or for word of silent workers. */
+    /** Whether further tasks have to wait for their trial or for an explanation of silences. */
     readonly hasHeld: boolean;
 }
 
-/** How many tasks and jobs are under suspicion. */
+/** Figures about suspected tasks. They are logged under these names. */
 export interface CrashSummary {
     readonly suspects: number;
     readonly trials: number;
 }
 
-/** A worker that was lost as silent: what answers there later tells whether it crashed. */
+/** A worker that was lost while silent. What answers at its address later shows whether it crashed. */
 interface LostWorker {
     readonly address: string;
     readonly life: WorkerLife | undefined;
 }
 
-/** See the module's comment. */
+/** Follows strikes until they are explained or cleared, limits trials of suspected tasks, and reports tasks that are at fault. */
 export class CrashWatch {
-    /** Jobs with anything held against a task. */
     readonly #struck = new Set<Job>();
     readonly #trials = new Set<TaskRun>();
-    /** Workers of strikes that are not explained. */
+    /** Workers of unproved strikes. */
     readonly #silences = new Map<WorkerId, LostWorker>();
-    /** Until when tasks wait for word of silent workers, by the owner's monotonic clock. */
+    /** Until when tasks wait for an explanation of silences, by the owner's monotonic clock. */
     readonly #heldUntil = new Map<Task, Milliseconds>();
 
-    /** `giveUp`: told of tasks at fault. */
+    /** `giveUp`: called with tasks that are at fault. */
     constructor(private readonly context: CellContext, private readonly giveUp: (task: Task) => void) {}
 
-    /** Takes over what the journal holds against tasks. */
+    /** Restores the strikes of the journal. */
     recover(): void {
         for (const job of this.context.table.jobs.values()) {
             if (!job.isOver && !job.strikes.isEmpty) {
@@ -57,13 +56,12 @@
         }
     }
 
-    /** A strike was recorded. */
     note({ step: { job } }: Task, strike: Strike): void {
         this.#struck.add(job);
         this.#noteSilence(strike);
     }
 
-    /** A run is tried apart from others. */
+    /** Starts to follow a run that was ordered as an isolated trial. */
     begin(run: TaskRun): void {
         this.#trials.add(run);
         this.context.options.log.log(logEvents.taskOnTrial, {
@@ -75,20 +73,20 @@
         });
     }
 
-    /** Word of a lost worker: it crashed, or it lived on. */
+    /** Resolves the unproved strikes of a worker: it crashed, or it was only unreachable. */
     explain(worker: WorkerId, isCrash: boolean): void {
         if (this.#silences.delete(worker)) {
             this.#explainAll(worker, isCrash);
         }
     }
 
-    /** A life of a worker answers: the one that fell silent lived on if it is the same, and has crashed if it is another. */
+    /** Explains a worker's silence when it answers again: another incarnation proves a crash, the same one disproves it. */
     noteAnswer(worker: WorkerId, life: WorkerLife | undefined): void {
         const lost = this.#silences.get(worker)?.life;
         this.explain(worker, lost !== undefined && life !== undefined && lost !== life);
     }
 
-    /** A worker that was not known is listed at an address: whoever was there before and is silent has crashed. */
+    /** Explains the silence of workers at an address at which a new worker is listed: they have crashed. */
     noteNewLife(worker: WorkerId, address: string): void {
         for (const [silent, lost] of this.#silences) {
             if (lost.address === address && silent !== worker) {
@@ -97,7 +95,7 @@
         }
     }
 
-    /** Sorts waiting tasks of a step by what they may do now. */
+    /** Sorts the waiting tasks of a step by how they may be started now. */
     sort(step: Step, waiting: readonly Task[], now: Milliseconds): SortedTasks {
         const { strikes } = step.job;
         if (strikes.isEmpty) {
@@ -109,12 +107,12 @@
         return { trusted, suspects, hasHeld: suspects.length < others.length };
     }
 
-    /** Whether a copy of a run may be started beside it: a task that workers may have crashed under has one run at a time. */
+    /** Whether a speculative copy of a run may be started. A task with strikes has one run at a time. */
     mayCopy({ task }: TaskRun): boolean {
         return task.step.job.strikes.of(task.address).length === 0;
     }
 
-    /** Looks at which runs have outlived what is held against their tasks. */
+    /** Ends decided trials and clears tasks whose runs have outlived their strikes. */
     tick(): void {
         this.#trials.forEach(run => this.#endIfDecided(run));
         for (const job of this.#struck) {
@@ -132,7 +130,6 @@
         }
     }
 
-    /** Figures for logs and metrics. */
     summary(): CrashSummary {
         let suspects = 0;
         for (const job of this.#struck) {
@@ -169,7 +166,7 @@
         }
     }
 
-    /** A trial ends with its run or its job, or once the run has outlived what is held against its task. */
+    /** Ends a trial with its run or job, or once the run has outlived the strikes against its task. */
     #endIfDecided(run: TaskRun): void {
         const { task } = run;
         const { job } = task.step;
@@ -195,7 +192,7 @@
         });
     }
 
-    /** One trial a job at a time, a few in all, and none while too much of the service is away. */
+    /** Allows one trial per job, a limited number per service, and none while too many of its workers are silent. */
     #mayTry({ job }: Step): boolean {
         const { service } = job.terms;
         let trials = 0;
--- a/packages/cell/src/crashes/index.ts
+++ b/packages/cell/src/crashes/index.ts
@@ -1,4 +1,4 @@
-/** Which tasks crash the workers that start them: what is held against each, how it is tried, when it is given up. */
+/** Detection of tasks that crash their workers: strikes, isolated trials, and giving up. */
 export { riskCost } from "./constants.js";
 export * from "./crash-watch.js";
 export * from "./judgement.js";
--- a/packages/cell/src/crashes/judgement.ts
+++ b/packages/cell/src/crashes/judgement.ts
@@ -1,11 +1,9 @@
 /**
- * Judges whether a task crashes the workers that start it.
+ * Judges whether a task crashes its workers.
  *
- * The load that it answers: tasks under which each worker crashes, beside many that are innocent and are lost with them, while
- * workers also crash, or are cut off, for reasons of their own. A count of lost runs alone would give innocent work up: in a play with
- * some five such tasks one innocent task was on three workers that crashed, and three others were lost twice within 0.2 s of their start.
- * So a crash at the start of a run weighs more than a later one, a task that is struck is tried apart, which is a test
- * that its neighbours' faults cannot spoil, and a run that outlives all earlier ones clears it.
+ * A plain count of lost runs would convict innocent tasks, which are lost together with faulty ones or with workers that fail for other
+ * reasons. Therefore a crash at the start of a run weighs more than a later one, suspected tasks run in isolated trials, which no
+ * neighbour can spoil, and a run that outlives all lost ones clears its task.
  */
 import type { Milliseconds } from "@pebbledale/core";
 import type { FormerLife, Strike, TaskRun, WorkerState } from "../state/index.js";
@@ -21,7 +19,7 @@
 } from "./constants.js";
 import { Judgement, LossCause } from "./types.js";
 
-/** Judges a task by what is held against it. */
+/** Judges a task by its strikes. Unproved strikes can make it suspect but cannot convict it. */
 export const judge = (strikes: readonly Strike[]): Judgement => {
     const proved = weightOf(strikes.filter(strike => strike.isProved));
     const all = weightOf(strikes);
@@ -34,7 +32,7 @@
     return strikes.some(isAtStart) || all >= weightOfSuspicion ? Judgement.Suspect : Judgement.Trusted;
 };
 
-/** What is held against a run's task when its worker is lost; undefined when nothing is. */
+/** Strike against a run's task when its worker is lost; undefined when the loss cannot be the task's fault. */
 export const strikeOf = (run: TaskRun, cause: LossCause, isShared: boolean): Strike | undefined => {
     const { task, worker } = run;
     const wasSent = run.sentAt !== undefined || run.confirmedAt !== undefined;
@@ -55,8 +53,8 @@
 };
 
 /**
- * How long a worker was heard after it had taken a run; undefined when it was not heard to take it, or when an earlier owner
- * ordered the run. What a run did after its worker was last heard is not known.
+ * Time for which a run is known to have run: from its confirmation to the worker's last answer. Undefined when the worker did not
+ * confirm it, or when an earlier owner ordered it.
  */
 export const stoodFor = (run: TaskRun): Milliseconds | undefined => {
     if (run.formerLife !== undefined) {
@@ -65,14 +63,14 @@
     return run.isAdopted || run.confirmedAt === undefined ? undefined : Math.round(heardFor(run));
 };
 
-/** What is known of a run at the life of its worker that is over. */
+/** Facts about a run under its worker's current incarnation, to be kept when that one is succeeded. */
 export const formerLifeOf = (run: TaskRun): FormerLife => ({
     life: run.worker.life,
     stood: stoodFor(run),
     wasLeaving: isLeaving(run.worker),
 });
 
-/** Whether a run is past its start, so that a crash from now on says little against its task. */
+/** Whether a run is past its start window, so that a crash from now on says little against its task. */
 export const isPastStart = (run: TaskRun): boolean => {
     if (run.formerLife !== undefined) {
         return (run.formerLife.stood ?? 0) >= startWindow;
@@ -80,17 +78,17 @@
     return run.confirmedAt !== undefined && (run.isAdopted || heardFor(run) >= startWindow);
 };
 
-/** Whether a run has been at work for longer than any before that went with its worker. */
+/** Whether a run has run clearly longer than each lost run among the strikes. */
 export const outlives = (run: TaskRun, strikes: readonly Strike[]): boolean => {
     const longest = Math.max(0, ...strikes.map(strike => strike.stood ?? unknownStood));
     return heardFor(run) > longest + outliveMargin;
 };
 
-/** How long a worker was heard since this owner knows that it has a run. */
+/** Time from the confirmation of a run to this owner until the worker's last answer. */
 const heardFor = ({ worker, confirmedAt }: TaskRun): Milliseconds =>
     Math.max(0, (worker.heardAt ?? -Infinity) - (confirmedAt ?? Infinity));
 
-/** Whether a worker's end is no crash: it said that it leaves, or answered after it was taken off the list. */
+/** Whether a worker's end is not a crash: it announced that it leaves, or it answered after its entry was removed. */
 const isLeaving = ({ entry, unlistedSince, heardAt }: WorkerState): boolean =>
     entry?.isDraining === true || unlistedSince !== undefined && heardAt !== undefined && heardAt > unlistedSince;
 
--- a/packages/cell/src/crashes/silence-log.ts
+++ b/packages/cell/src/crashes/silence-log.ts
@@ -1,23 +1,22 @@
-/** Remembers when workers fell silent, so that a loss that many shared is told from one that a task may have brought about. */
+/** Times at which workers fell silent. */
 import type { Milliseconds, ServiceName, WorkerId } from "@pebbledale/core";
 import { fewestSharing, leastShareSharing, sharingWindow } from "./constants.js";
 
-/** Most silences that are remembered: a few times all workers of a large cell. */
+/** Bounds the history to a few times the number of workers in a large cell. */
 const mostRemembered = 2_000;
 
-/** A worker fell silent. It is remembered also once the worker is gone: others that were lost with it are looked at after it. */
+/** The latest silence of a worker. Kept after the worker is gone, because losses at the same time may be judged later. */
 interface RememberedSilence {
     readonly at: Milliseconds;
-    /** Undefined when the platform had not listed the worker to this owner. */
+    /** Undefined when this owner had no entry of the worker. */
     readonly service: ServiceName | undefined;
 }
 
-/** See the module's comment. */
+/** Distinguishes losses that many workers shared, such as a network failure, from those that a task may have caused. */
 export class SilenceLog {
-    /** The latest silence of each worker, the oldest first. */
+    /** Latest silence of each worker, oldest first. */
     readonly #silences = new Map<WorkerId, RememberedSilence>();
 
-    /** A worker of a service fell silent. */
     note(worker: WorkerId, service: ServiceName | undefined, at: Milliseconds): void {
         this.#silences.delete(worker);
         this.#silences.set(worker, { at, service });
@@ -27,7 +26,7 @@
         }
     }
 
-    /** Whether many others of its service, which has so many `workers`, fell silent together with a worker. */
+    /** Whether many other workers of its service fell silent together with a worker. `workers`: size of the service. */
     isShared(worker: WorkerId, workers: number): boolean {
         const silence = this.#silences.get(worker);
         if (silence === undefined) {
--- a/packages/cell/src/crashes/types.ts
+++ b/packages/cell/src/crashes/types.ts
@@ -1,23 +1,23 @@
-/** Words of the judgement on crashes. */
+/** Types of the judgement on crashes. */
 
-/** What became of a worker that was lost with runs on it. */
+/** What is known about a worker that no longer has its runs. */
 export enum LossCause {
-    /** Another life answers at its address: it crashed. */
+    /** It crashed: another incarnation or another worker answers at its address. */
     Crashed = "crashed",
-    /** It is silent until every lease there is over: it crashed, or is cut off and runs on. */
+    /** It was silent until its leases expired: it crashed or is only unreachable. */
     Silent = "silent",
-    /** It lives, or has left in peace, and no longer has the run. */
+    /** It answers without the run, or left in an orderly way. */
     Alive = "alive",
 }
 
-/** What a task may do, by what is held against it. */
+/** Verdict on a task by the strikes against it. */
 export enum Judgement {
-    /** It is placed like any other. */
+    /** It is placed like any other task. */
     Trusted = "trusted",
-    /** It is tried apart from others. */
+    /** It runs only in isolated trials. */
     Suspect = "suspect",
-    /** Crashes and silences together would give it up, crashes alone do not: it waits for word of the silent workers. */
+    /** Its proved strikes do not convict it, but all strikes together would: it waits for an explanation of the silences. */
     Unclear = "unclear",
-    /** It crashes the workers that start it. */
+    /** It is given up, because it crashes its workers. */
     AtFault = "at-fault",
 }
--- a/packages/cell/src/index.ts
+++ b/packages/cell/src/index.ts
@@ -1,4 +1,4 @@
-/** Public items of the cell: decisions on jobs made of steps, and the interfaces of what is outside. */
+/** Public interface of the cell's scheduler, and the interfaces that a platform implements. */
 export * from "./advice/index.js";
 export { AdviceDispatcher, type Questioner } from "./advising/index.js";
 export * from "./configuration/index.js";
--- a/packages/cell/src/task-size/index.ts
+++ b/packages/cell/src/task-size/index.ts
@@ -1,6 +1,6 @@
-/** Room: what a task asks for and what a worker has. */
+/** Amounts of resources. */
 
-/** What one task takes of a worker, and what a worker has. */
+/** Resources that a task needs or that a worker has. Stored with jobs. */
 export interface TaskSize {
     readonly processorThousandths: number;
     readonly memoryMebibytes: number;
--- a/packages/cell/src/task-worker/index.ts
+++ b/packages/cell/src/task-worker/index.ts
@@ -1,2 +1,2 @@
-/** Workers that run tasks under fencing tokens and leases, as the product sees them. */
+/** Interface to workers that run tasks under fencing tokens and leases. */
 export * from "./types.js";
--- a/packages/cell/src/task-worker/types.ts
+++ b/packages/cell/src/task-worker/types.ts
@@ -1,35 +1,35 @@
-/** The orders a worker takes and what it answers. One adapter implements the client for each real protocol. */
+/** Calls to workers and their answers. A platform adapter implements the client for its workers' protocol. */
 import type { FencingToken, Milliseconds, RunNumber, TaskAddress, WorkerId, WorkerLife } from "@pebbledale/core";
 
-/** One run that a worker has at work. */
+/** A run in progress, as its worker reports it. */
 export interface WorkerRun {
     readonly task: TaskAddress;
     readonly run: RunNumber;
-    /** The newest progress that was saved; empty when there is none. */
+    /** Latest saved checkpoint; empty when there is none. */
     readonly checkpoint: string;
-    /** How much of the task is done, from 0 to 100. */
+    /** Progress of the task, from 0 to 100. */
     readonly percent: number;
-    /** Rough: latency tail in milliseconds of a task that serves, otherwise thousandths of a processor in use. */
+    /** Approximate. For a task that serves requests its tail latency in milliseconds, otherwise thousandths of a processor in use. */
     readonly measure: number;
 }
 
 /** How a run ended. */
 export enum RunEnd {
     Done = "done",
-    /** By its own fault or the worker's. */
+    /** The task or the worker failed. */
     Failed = "failed",
     Stopped = "stopped",
     /** The worker's lease ran out. */
     Lapsed = "lapsed",
     /** Another member of the gang ended. */
     Broken = "broken",
-    /** The other members of the gang did not come in time. */
+    /** Other members of the gang did not start in time. */
     Alone = "alone",
 }
 
-/** One run that ended and that the worker was not yet told to forget. */
+/** A run that ended, as its worker reports it until the end is acknowledged. */
 export interface EndedRun {
-    /** Counts the ends of a worker's life from 1. */
+    /** Number of the end, counted from 1 in each incarnation of the worker. */
     readonly number: number;
     readonly task: TaskAddress;
     readonly run: RunNumber;
@@ -37,30 +37,30 @@
     readonly checkpoint: string;
 }
 
-/** Time on a worker's steady clock. It may run 2% slow against ours. */
+/** Time of a worker's monotonic clock, which may run up to 2% slower than the owner's. */
 export type WorkerTime = Milliseconds;
 
-/** Asks for what runs and what ended, and renews the lease of all that runs. */
+/** Asks a worker for its runs and ends, and may renew the lease of all its runs. */
 export interface LookRequest {
     readonly token: FencingToken;
-    /** Ends up to this number are kept by us: the worker may forget them. */
+    /** Ends up to this number are persisted, so that the worker may forget them. */
     readonly forgetThrough: number;
-    /** Everything there may run until then; left out, the lease stands as it is. */
+    /** New end of the lease of all its runs; absent to leave the lease as it is. */
     readonly leaseUntil?: WorkerTime;
-    /** The answer waits this long for an end. */
+    /** Maximum time for which the worker delays its answer until a run ends (long poll). */
     readonly wait?: Milliseconds;
 }
 
-/** What a worker has. */
+/** Runs and ends of a worker at one moment. Sent between VMs. */
 export interface Look {
-    /** Which life of the worker answers; left out where the platform gives a restarted worker another id. */
+    /** Incarnation that answers; absent on platforms that give a restarted worker another id. */
     readonly life?: WorkerLife;
     readonly clock: WorkerTime;
     readonly running: readonly WorkerRun[];
     readonly ended: readonly EndedRun[];
 }
 
-/** Starts one run. */
+/** Orders a worker to start a run. */
 export interface StartOrder {
     readonly task: TaskAddress;
     readonly run: RunNumber;
@@ -68,68 +68,67 @@
     readonly token: FencingToken;
     readonly leaseUntil: WorkerTime;
     readonly checkpoint: string;
-    /** What the advice service gave for this step and worker, if it was asked. */
+    /** Ticket that the advice service issued for this step and worker, if it was asked. */
     readonly ticket?: string;
 }
 
-/** Ends one run. */
+/** Orders a worker to stop a run. */
 export interface StopOrder {
     readonly task: TaskAddress;
     readonly run: RunNumber;
     readonly token: FencingToken;
 }
 
-/** Lets a run work at a share of its speed. */
+/** Orders a worker to throttle a run, or to lift the throttle. */
 export interface PaceOrder extends StopOrder {
-    /** From 0 to 100. */
+    /** Share of full speed, from 0 to 100. */
     readonly percent: number;
 }
 
-/** Why a worker did not do what it was told. What was refused was not done and will not be. */
+/** Why a worker refused an order. A refused order was not carried out and will not be. */
 export enum OrderRefusal {
     /** It has seen a higher fencing token. */
     Fenced = "fenced",
-    /** It has had this run, or a later one. */
+    /** It has already had this run or a later one. */
     OldRun = "old-run",
-    /** The lease that came with the order is over. */
+    /** The lease in the order has expired. */
     Late = "late",
     NoRoom = "no-room",
-    /** The ticket does not hold. */
+    /** The ticket is missing or not valid. */
     Ticket = "ticket",
-    /** The worker is not well; it did nothing. */
+    /** The worker reports itself as unhealthy. */
     Unhealthy = "unhealthy",
-    /** Another life of the worker answers at this address: the one meant is over. */
+    /** Another worker or incarnation answers at this address: the addressed one is gone. */
     OtherLife = "other-life",
-    /** It could not read the order. */
+    /** It could not parse the order. */
     Malformed = "malformed",
 }
 
-/** Answer to an order. */
+/** Answer to an order. The time of the worker's clock is unknown where the refusal does not contain it. */
 export type OrderAnswer =
     | { readonly kind: "taken"; readonly clock: WorkerTime; }
     | { readonly kind: "refused"; readonly refusal: OrderRefusal; readonly clock: WorkerTime | undefined; };
 
-/** Answer to a look. */
+/** Answer to a poll. */
 export type LookAnswer =
     | { readonly kind: "seen"; readonly look: Look; }
     | { readonly kind: "refused"; readonly refusal: OrderRefusal; };
 
-/** Calls of one life of a worker. Each rejects with `WorkerUnreachableError` when no answer came. */
+/** Calls to one incarnation of a worker. Each rejects with `WorkerUnreachableError` when there is no answer. */
 export interface TaskWorkerClient {
-    /** See {@link LookRequest}. `limit`: without an answer by then the call has failed. */
+    /** Polls the worker. `limit`: timeout of the call, as in the other methods. */
     look(request: LookRequest, limit: Milliseconds, signal: AbortSignal): Promise<LookAnswer>;
-    /** Starts a run; a copy of a start that was taken is taken again without effect. */
+    /** Starts a run. Idempotent: a repeated order for a run that was started is accepted without effect. */
     start(order: StartOrder, limit: Milliseconds, signal: AbortSignal): Promise<OrderAnswer>;
-    /** Asks for the end of a run; the end itself is seen by a look. */
+    /** Stops a run. Its end is reported by a later poll. */
     stop(order: StopOrder, limit: Milliseconds, signal: AbortSignal): Promise<OrderAnswer>;
-    /** Slows a run down, or lets it work in full again. */
     pace(order: PaceOrder, limit: Milliseconds, signal: AbortSignal): Promise<OrderAnswer>;
-    /** Gives its connections up. */
+    /** Closes the connections. */
     close(): Promise<void>;
 }
 
-/** Makes clients of workers. */
+/** Factory for clients of workers. */
 export interface TaskWorkerClients {
-    /** A client of one life of a worker at its address. */
+    /** Creates a client for one incarnation of a worker at its address. */
     clientOf(worker: WorkerId, address: string): TaskWorkerClient;
 }
--- a/packages/cell/src/worker-directory/index.ts
+++ b/packages/cell/src/worker-directory/index.ts
@@ -1,50 +1,49 @@
-/** Workers as they record themselves in the platform's store. */
+/** Directory of workers, which publish their entries in the platform's store. */
 import type { Milliseconds, ServiceName, WorkerId, WorkerLife } from "@pebbledale/core";
 import type { TaskSize } from "../task-size/index.js";
 import type { VmId } from "../upkeep/index.js";
 
-/** One life of a worker, as it last described itself. */
+/** Entry of one incarnation of a worker, as it last published it. */
 export interface WorkerEntry {
     readonly worker: WorkerId;
-    /** Left out where the platform gives a restarted worker another id. */
+    /** Absent on platforms that give a restarted worker another id. */
     readonly life?: WorkerLife;
-    /** IP number and port. */
+    /** IP address and port. */
     readonly address: string;
     readonly service: ServiceName;
     readonly dataHall: string;
-    /** The VM that it lives on; its rack and room are the VM's. Empty when it names none. */
+    /** VM that hosts the worker; empty when the entry names none. */
     readonly vm: VmId;
     readonly capacity: TaskSize;
-    /** Its kind and its rack, among what a step may require. */
+    /** Labels that a step may require, among them its kind and its rack. */
     readonly labels: readonly string[];
     readonly rack: string | undefined;
     readonly isDraining: boolean;
-    /** While it drains: the least time before it leaves. */
+    /** While it drains: minimum time until it leaves. */
     readonly leavesIn: Milliseconds | undefined;
 }
 
-/** All workers at a moment. */
+/** Entries of all workers at one moment. */
 export interface WorkerListing {
     readonly workers: readonly WorkerEntry[];
-    /** Workers whose entries cannot be read. */
+    /** Workers whose entries cannot be parsed. */
     readonly unreadable: readonly WorkerId[];
-    /** Where {@link WorkerDirectory.follow} goes on. */
+    /** Position from which {@link WorkerDirectory.follow} continues. */
     readonly cursor: string;
 }
 
-/** What changed since a cursor. */
+/** Changes of entries since a cursor. */
 export interface WorkerChanges {
     readonly changed: readonly WorkerEntry[];
-    /** Workers whose entries can no longer be read. */
+    /** Workers whose entries can no longer be parsed. */
     readonly unreadable: readonly WorkerId[];
     readonly gone: readonly WorkerId[];
     readonly cursor: string;
 }
 
-/** Reads and follows the workers' entries. Calls reject with `PlatformUnavailableError` when no answer came. */
+/** Lists and watches workers' entries. Calls reject with `PlatformUnavailableError` when there is no answer. */
 export interface WorkerDirectory {
-    /** Reads all entries. */
     list(signal: AbortSignal): Promise<WorkerListing>;
-    /** Waits for changes; undefined when the history since `cursor` is gone and all must be read again. */
+    /** Waits for changes; undefined when the history since `cursor` is no longer available and all entries must be listed again. */
     follow(cursor: string, wait: Milliseconds, signal: AbortSignal): Promise<WorkerChanges | undefined>;
 }
