--- a/packages/cell/test/crashes/crash-fuzz.test.ts
+++ b/packages/cell/test/crashes/crash-fuzz.test.ts
@@ -1,23 +1,23 @@
-/** Many small worlds with tasks at fault and innocent ones, crashes, cuts, owners that are lost, and answers that are. */
+/** Fuzz test of crash detection: faulty and innocent tasks under crashes, network failures, takeovers and lost answers. */
 import { jobId, logEvents, SeededRandom, type TaskAddress } from "@pebbledale/core";
 import { expect } from "earl";
 import { describe, it } from "node:test";
 import { CellJobState, type JobDefinition, placeOf } from "../../src/index.js";
 import { type Conduct, CrashingCell, makeJob, makeStep } from "../support/index.js";
 
-/** Seeds 1 to so many; CRASH_WORLDS=1000 plays the long run by hand, some two minutes. */
+/** Number of seeds, from 1; the variable CRASH_WORLDS selects a longer run by hand. */
 const worlds = Number(process.env["CRASH_WORLDS"] ?? 150);
 const workers = 24;
-/** Two starts more than the three crashes from which starts are counted. */
+/** Workers that a task at fault may crash before it is given up. */
 const mostStarts = 5;
 const stepTime = 50;
-/** A task at fault most often crashes its worker this long after it was started. */
+/** Delay after which most tasks at fault crash their worker. */
 const atStart = 10;
 const troubleSteps = 500;
-/** By then each job has its end: trials of all tasks at fault, one after the other. */
+/** Time within which every job must end, with trials of all tasks at fault one after the other. */
 const longestRest = 240_000;
 
-/** One world. */
+/** One seeded scenario. */
 class CrashWorld {
     readonly cell: CrashingCell;
     readonly #random: SeededRandom;
@@ -32,7 +32,7 @@
         this.cell.losesAnswer = () => this.#happens(0.03);
     }
 
-    /** Plays it; returns what was broken. */
+    /** Runs the scenario and returns the violations. */
     play(): readonly string[] {
         for (let step = 0; step < troubleSteps; step++) {
             if (step % 10 === 0 && this.#jobs.length < 40) {
@@ -69,7 +69,7 @@
             this.#jobs.forEach(job => this.cell.driver.cell.submit(job));
         }
         if (this.#happens(0.006)) {
-            // Workers also crash for reasons of their own, a fifth of them at once.
+            // Workers also crash without a faulty task, a fifth of them at once.
             for (let index = 0; index < workers; index++) {
                 if (this.#happens(0.2)) {
                     this.cell.crash(index, this.#happens(0.1));
@@ -95,7 +95,7 @@
         return conduct;
     }
 
-    /** Most tasks at fault crash their worker as they start; some do so later. */
+    /** Most tasks at fault crash their worker as they start, some later. */
     #crashTime(): number {
         return this.#happens(0.8) ? atStart : 100 + this.#below(2_000);
     }
@@ -112,7 +112,7 @@
         for (const { job } of this.#jobs) {
             const wanted = this.#guilty.has(job) ? CellJobState.Failed : CellJobState.Completed;
             if (this.#stateOf(job) !== wanted && !this.#isBeyondTelling(job)) {
-                this.#broken.push(`${job} is ${this.#stateOf(job)} and not ${wanted}`);
+                this.#broken.push(`${job} is ${this.#stateOf(job)} instead of ${wanted}`);
             }
         }
         for (const job of this.#guilty) {
@@ -124,8 +124,8 @@
     }
 
     /**
-     * Five workers crashed one after the other under one innocent task, with no run that ended or lasted in between: seeds 465, 871
-     * and 898. No test of three or four starts tells such a task from one at fault, and two crashes are all that the users ask for.
+     * Whether an innocent task was on as many crashing workers as a task at fault, without a run in between that ended or lasted. Such a
+     * task cannot be distinguished from one at fault.
      */
     #isBeyondTelling(job: string): boolean {
         const tasks = new Set(
@@ -137,7 +137,7 @@
             );
     }
 
-    /** A task that crashes its worker in the middle of its work is not told from others while many workers fall silent. */
+    /** Number of shared losses of a job: during those, a task that crashes its worker late cannot be distinguished from others. */
     #sharedOf(job: string): number {
         const isMeant = ({ task }: Readonly<Record<string, unknown>>) => task === `${job}/0/0/0`;
         const lost = this.cell.driver.logged.filter(({ event }) => event === logEvents.runLost);
@@ -156,8 +156,8 @@
 const isOpen = (state: CellJobState | undefined): boolean =>
     state === CellJobState.Queued || state === CellJobState.Running;
 
-describe("tasks at fault among innocent ones", () => {
-    it("are given up after five workers at most, and nobody else is", () => {
+describe("tasks that crash their workers, among innocent tasks", () => {
+    it("are given up after at most five workers, and innocent tasks are not", () => {
         const broken: Record<number, readonly string[]> = {};
         for (let seed = 1; seed <= worlds; seed++) {
             const found = new CrashWorld(seed).play();
--- a/packages/cell/test/crashes/judgement.test.ts
+++ b/packages/cell/test/crashes/judgement.test.ts
@@ -11,7 +11,7 @@
 const stateOf = (cell: CrashingCell, job: string): CellJobState | undefined => cell.driver.cell.stateOf(jobId(job));
 
 describe("a task whose worker was lost", () => {
-    it("is tried with nothing else started beside it", () => {
+    it("is retried in isolation", () => {
         const cell = new CrashingCell(8, conductOf(10));
         cell.driver.cell.submit(makeJob("bad", [makeStep()]));
         cell.pass(3_500);
@@ -22,7 +22,7 @@
         expect(beside).toEqual([]);
     });
 
-    it("is not given up when it sat beside a task at fault twice and crashes nothing itself", () => {
+    it("is not given up when it was lost twice beside a task at fault", () => {
         const cell = new CrashingCell(2, conductOf(10));
         cell.driver.cell.submit(makeJob("good", [makeStep({ taskCount: 6 })]));
         cell.driver.cell.submit(makeJob("bad", [makeStep({ taskCount: 6 })]));
@@ -31,7 +31,7 @@
         expect(stateOf(cell, "bad")).toEqual(CellJobState.Failed);
     });
 
-    it("is given up after five crashes when it crashes its workers in the middle of its work", () => {
+    it("is given up after five crashes when these come late in its runs", () => {
         const cell = new CrashingCell(8, conductOf(1_500));
         cell.driver.cell.submit(makeJob("bad", [makeStep()]));
         cell.pass(60_000);
@@ -39,7 +39,7 @@
         expect(stateOf(cell, "bad")).toEqual(CellJobState.Failed);
     });
 
-    it("is not given up on silences: it waits for word of the workers, then goes on", () => {
+    it("is not given up because of silences: it waits for an explanation and then continues", () => {
         const cell = new CrashingCell(8, conductOf(10));
         cell.driver.cell.submit(makeJob("good", [makeStep()]));
         for (let cuts = 0; cuts < 6; cuts++) {
@@ -53,7 +53,7 @@
         expect(stateOf(cell, "good")).toEqual(CellJobState.Completed);
     });
 
-    it("is given up once for its job when word of one silent worker convicts two of its tasks", () => {
+    it("ends its job only once when the explanation of one silence convicts two of its tasks", () => {
         const cell = new CrashingCell(8, conductOf(10));
         cell.driver.cell.submit(makeJob("bad", [makeStep({ taskCount: 2 })]));
         cell.pass(40_000);
@@ -62,7 +62,7 @@
         expect(cell.driver.logged.filter(({ event }) => event === logEvents.taskGivenUp).length).toEqual(1);
     });
 
-    it("that lasts is given up too, though it has no limit of failed runs", () => {
+    it("is given up also if it is a lasting task, whose failed runs are not limited", () => {
         const cell = new CrashingCell(8, conductOf(10));
         cell.driver.cell.submit(makeJob("bad", [makeStep({ isLasting: true })]));
         cell.pass(60_000);
@@ -70,7 +70,7 @@
         expect(stateOf(cell, "bad")).toEqual(CellJobState.Failed);
     });
 
-    it("keeps what is held against it from one occurrence of its job to the next", () => {
+    it("keeps its strikes from one occurrence of its job to the next", () => {
         const cell = new CrashingCell(8, conductOf(10));
         const timetable = { occurrences: 20, firstAt: cell.clock.now().getTime(), interval: 4_000 };
         cell.driver.cell.submit(makeJob("bad", [makeStep()], { timetable }));
@@ -79,7 +79,7 @@
         expect(stateOf(cell, "bad")).toEqual(CellJobState.Failed);
     });
 
-    it("costs at most a tenth of the workers at a time once it is known, however many tasks are at fault", () => {
+    it("takes down at most a tenth of the workers at a time once it has crashed one, however many tasks are at fault", () => {
         const workers = 30;
         const cell = new CrashingCell(workers, conductOf(10));
         for (let job = 0; job < 20; job++) {
--- a/packages/cell/test/crashes/silence-log.test.ts
+++ b/packages/cell/test/crashes/silence-log.test.ts
@@ -1,7 +1,4 @@
-/*
- * A loss that many workers share says little against the tasks there. Its share was taken of all workers of the cell, so that a fifth of a
- * small service beside a large one counted as a few single losses, and innocent tasks were struck in full.
- */
+/* Guards against shared losses in a small service that count as single ones because the cell also has a large service. */
 import { serviceName } from "@pebbledale/core";
 import { expect } from "earl";
 import { describe, it } from "node:test";
@@ -37,11 +34,11 @@
 };
 
 describe("a loss of several workers", () => {
-    it("is shared by its share of their service, also for the last of them that is found gone", () => {
+    it("is shared if they are a large enough part of their service, also for the last one found to have crashed", () => {
         expect(strikesAfter(5)).toEqual([true, true, true, true, true]);
     });
 
-    it("is not shared by two or three of them", () => {
+    it("is not shared if they are only three", () => {
         expect(strikesAfter(3)).toEqual([false, false, false]);
     });
 });
--- a/packages/cell/test/crashes/tasks-that-crash-workers.test.ts
+++ b/packages/cell/test/crashes/tasks-that-crash-workers.test.ts
@@ -1,10 +1,4 @@
-/*
- * A few jobs held a task under which each worker that started it crashed after some 10 ms. Only ends that a worker listed as
- * failed were counted, and a crashed worker lists none, so nothing limited the starts of these tasks: two of them stood at runs
- * 34 and 35 when the day ended, 291 workers had been started anew, and four or five of 33 were down at any moment (4401). The log
- * showed a start 22 ms after the proof of the last crash: 4205 "another life of the worker answers at its address" for run 6 at
- * 29.295 s, 4201 for run 7. What ran beside them was lost as often: 17 of the 22 runs that 4205 names in 2.4 s.
- */
+/* Guards against unlimited restarts of a task that crashes its workers: a crashed worker reports no failed run that would count. */
 import { jobId } from "@pebbledale/core";
 import { expect } from "earl";
 import { describe, it } from "node:test";
@@ -13,11 +7,11 @@
 
 const atFault: Conduct = { crashesAfter: 10, takes: 640 };
 const innocent: Conduct = { crashesAfter: undefined, takes: 640 };
-/** Starts after which nothing more of a task may be started: as many workers have crashed under it. */
+/** Number of crashes after which a task must not be started again. */
 const mostCrashes = 3;
 
 describe("a task that crashes each worker that starts it", () => {
-    it("is given up after three workers, and its job is shown as failed", () => {
+    it("is given up after three workers, and its job is reported as failed", () => {
         const cell = new CrashingCell(33, task => task.startsWith("bad") ? atFault : innocent);
         const job = cell.driver.cell.submit(makeJob("bad", [makeStep()]))!;
         cell.pass(120_000);
@@ -25,7 +19,7 @@
         expect(cell.driver.cell.stateOf(job.id)).toEqual(CellJobState.Failed);
     });
 
-    it("is given up as soon under owners that follow each other", () => {
+    it("is given up nearly as soon when the owner changes repeatedly", () => {
         const cell = new CrashingCell(33, task => task.startsWith("bad") ? atFault : innocent);
         cell.driver.cell.submit(makeJob("bad", [makeStep()]));
         for (let owner = 0; owner < 30; owner++) {
--- a/packages/cell/test/scheduler/advice.test.ts
+++ b/packages/cell/test/scheduler/advice.test.ts
@@ -14,7 +14,7 @@
 const permit = (worker: string, ticket: string) => ({ worker: idOf(worker), ticket });
 
 describe("advice", () => {
-    it("is asked for as soon as a job is taken, and its ticket goes with the start", () => {
+    it("is requested as soon as a job is accepted, and its ticket is sent with the start", () => {
         const driver = advised();
         const { questions, starts } = driver.run();
         expect(starts).toEqual([]);
@@ -24,7 +24,7 @@
         expect(driver.run().starts.map(start => [String(start.worker), start.ticket])).toEqual([["w2", "ticket-2"]]);
     });
 
-    it("is asked for again for the permitted workers alone once a ticket ran out", () => {
+    it("is requested again only for the permitted workers once a ticket has expired", () => {
         const driver = advised();
         const { questions } = driver.run();
         const answer = { kind: "advised" as const, permits: [permit("w2", "ticket-2")], validity: 1_500 };
@@ -35,7 +35,7 @@
         expect(later.questions.map(question => question.workers.map(String))).toEqual([["w2"]]);
     });
 
-    it("does not send a start whose ticket ran out while its record was written", () => {
+    it("does not send a start whose ticket expired while its record was being written", () => {
         const driver = advised();
         const { questions } = driver.run();
         const answer = { kind: "advised" as const, permits: [permit("w2", "ticket-2")], validity: 1_500 };
@@ -46,7 +46,7 @@
         expect(driver.run().questions.length).toEqual(1);
     });
 
-    it("that had no answer is asked for again", () => {
+    it("is requested again when the question got no answer", () => {
         const driver = advised();
         const { questions } = driver.run();
         driver.cell.takeAdvice("j/0/0", questions[0].workers, undefined);
@@ -74,7 +74,7 @@
         return { driver, holder };
     };
 
-    it("is not asked for again and again while there is no room for all of it", () => {
+    it("is not requested repeatedly while the gang does not fit as a whole", () => {
         const { driver } = waitingGang();
         let questions = 0;
         for (let second = 0; second < 20; second++) {
@@ -84,7 +84,7 @@
         expect(questions).toEqual(0);
     });
 
-    it("is asked for once there is room for all of it", () => {
+    it("is requested once the gang fits as a whole", () => {
         const { driver, holder } = waitingGang();
         driver.clock.advance(5_000);
         driver.run();
@@ -93,8 +93,8 @@
     });
 });
 
-describe("the share of workers that may run a queue's steps", () => {
-    it("is not learned from workers that were known to be permitted", () => {
+describe("the estimated share of workers permitted to run a queue's steps", () => {
+    it("ignores answers about workers already known to be permitted", () => {
         const driver = new CellDriver(undefined, makeConfiguration(1, [makeQueue("work", { advice: policy })]));
         const names = Array.from({ length: 100 }, (_, index) => `w${index}`);
         driver.addWorkers(...names.map(name => makeWorker(name)));
@@ -104,7 +104,7 @@
             return driver.run().questions[0].workers.length;
         };
         const before = firstQuestion("before");
-        // Tickets of one and the same permitted worker are renewed time and again.
+        // Tickets of the same permitted worker are renewed repeatedly.
         for (let round = 0; round < 20; round++) {
             driver.cell.takeAdvice("before/0/0", [idOf("w0")], {
                 kind: "advised",
--- a/packages/cell/test/scheduler/fuzz.test.ts
+++ b/packages/cell/test/scheduler/fuzz.test.ts
@@ -4,12 +4,12 @@
 
 const seeds = 40;
 const stepsUnderFaults = 400;
-/** Steps of 50 ms after the faults in which every job must reach its end: 100 s. */
+/** Steps of 50 ms after the faults within which every job must end. */
 const stepsToFinish = 2_000;
 const mostJobs = 30;
 const workers = 4;
 
-/** Plays one seed; returns what was broken. */
+/** Runs one seed and returns the violations. */
 const play = (seed: number, faults: Faults): readonly string[] => {
     const world = new World(seed, faults, workers);
     for (let step = 0; step < stepsUnderFaults; step++) {
@@ -21,7 +21,7 @@
     for (let step = 0; step < stepsToFinish && !world.isFinished; step++) {
         world.step(false);
     }
-    return world.isFinished ? world.broken : [...world.broken, "not every job reached its end"];
+    return world.isFinished ? world.broken : [...world.broken, "not every job has ended"];
 };
 
 const kinds: Readonly<Record<string, Faults>> = {
@@ -29,13 +29,13 @@
     "failing tasks": { ...noFaults, fail: 0.2 },
     "lost and late starts": { ...noFaults, start: 0.2 },
     "crashes": { ...noFaults, crash: 0.005 },
-    "cut workers": { ...noFaults, cut: 0.01 },
-    "owners that die": { ...noFaults, takeOver: 0.03 },
+    "unreachable workers": { ...noFaults, cut: 0.01 },
+    "owners that fail": { ...noFaults, takeOver: 0.03 },
     "cancelled jobs": { ...noFaults, cancel: 0.03 },
-    "rooms that shrink and grow": { ...noFaults, resize: 0.02, cut: 0.002, takeOver: 0.01 },
+    "capacities that shrink and grow": { ...noFaults, resize: 0.02, cut: 0.002, takeOver: 0.01 },
     "advice": { ...noFaults, advice: 0 },
-    "questions that are lost": { ...noFaults, advice: 0.3 },
-    "all at once, advised": {
+    "lost questions to the advice service": { ...noFaults, advice: 0.3 },
+    "all faults at once, with advice": {
         crash: 0.002,
         cut: 0.005,
         takeOver: 0.01,
@@ -44,8 +44,8 @@
         fail: 0.1,
         advice: 0.1,
     },
-    "limits that fall and rise": { ...noFaults, limits: 0.02 },
-    "limits, and all else at once": {
+    "limits that are lowered and raised": { ...noFaults, limits: 0.02 },
+    "all faults at once, with advice and changing limits": {
         crash: 0.002,
         cut: 0.005,
         takeOver: 0.01,
@@ -55,10 +55,18 @@
         advice: 0.1,
         limits: 0.02,
     },
-    "all at once": { ...noFaults, crash: 0.002, cut: 0.005, takeOver: 0.01, cancel: 0.01, start: 0.1, fail: 0.1 },
+    "all faults at once": {
+        ...noFaults,
+        crash: 0.002,
+        cut: 0.005,
+        takeOver: 0.01,
+        cancel: 0.01,
+        start: 0.1,
+        fail: 0.1,
+    },
 };
 
-describe("a cell under random faults keeps what must hold, and every job reaches its end", () => {
+describe("a cell under random faults keeps its invariants, and every job ends", () => {
     for (const [name, faults] of Object.entries(kinds)) {
         it(name, () => {
             for (let seed = 1; seed <= seeds; seed++) {
--- a/packages/cell/test/scheduler/gangs.test.ts
+++ b/packages/cell/test/scheduler/gangs.test.ts
@@ -17,7 +17,7 @@
 };
 
 describe("gangs", () => {
-    it("give all members one run number, also on several workers", () => {
+    it("use the same run number for all members, also on several workers", () => {
         const driver = withWorkers("w1", "w2");
         driver.cell.submit(makeJob("g", [gangOf(4)]));
         const { starts } = driver.run();
@@ -26,7 +26,7 @@
         expect([...new Set<number>(starts.map(start => start.run))]).toEqual([1]);
     });
 
-    it("start whole or not at all", () => {
+    it("start as a whole or not at all", () => {
         const driver = withWorkers("w1");
         driver.cell.submit(makeJob("g", [gangOf(3)]));
         expect(driver.run().starts).toEqual([]);
@@ -34,7 +34,7 @@
         expect(driver.run().starts.length).toEqual(3);
     });
 
-    it("are stopped whole when one member is refused, and start again with the next number", () => {
+    it("are stopped as a whole when one member is refused, and restart with the next run number", () => {
         const driver = withWorkers("w1", "w2");
         driver.cell.submit(makeJob("g", [gangOf(4)]));
         const { starts } = driver.run();
@@ -49,7 +49,7 @@
         expect(again.length).toEqual(4);
     });
 
-    it("count one failure a run, whichever members fail", () => {
+    it("count one failure per gang run, however many members fail", () => {
         const driver = withWorkers("w1", "w2");
         const job = driver.cell.submit(makeJob("g", [gangOf(2)]))!;
         for (let run = 1; run <= 3; run++) {
@@ -62,18 +62,18 @@
         expect(driver.cell.stateOf(job.id)).toEqual("failed" as never);
     });
 
-    it("are done when one member is", () => {
+    it("are complete when one member is done", () => {
         const driver = withWorkers("w1", "w2");
         const job = driver.cell.submit(makeJob("g", [gangOf(3)]))!;
         const { starts } = driver.run();
         driver.confirm(...starts);
         driver.end(starts[0], RunEnd.Done);
-        // The others end by themselves: the worker ends a gang as a whole.
+        // The other members end by themselves, because workers end a gang as a whole.
         expect(driver.run().stops).toEqual([]);
         expect(driver.cell.stateOf(job.id)).toEqual("completed" as never);
     });
 
-    it("bring one checkpoint to all members", () => {
+    it("resume all members from the checkpoint of one", () => {
         const driver = withWorkers("w1", "w2");
         driver.cell.submit(makeJob("g", [gangOf(3)]));
         const { starts } = driver.run();
@@ -86,7 +86,7 @@
         expect(again.map(start => start.checkpoint)).toEqual(["half-way", "half-way", "half-way"]);
     });
 
-    it("that want one rack get one, and are spread only when none has room for long", () => {
+    it("that want one rack are spread over several only after none has had enough capacity for a while", () => {
         const driver = new CellDriver();
         const rackOf = (rack: string) => ({ rack, labels: ["a", rack] });
         driver.addWorkers(
@@ -103,7 +103,7 @@
         expect(driver.run().starts.length).toEqual(3);
     });
 
-    it("count a failed run whose end is seen after that of a later one", () => {
+    it("count a failed run whose end is reported after that of a later run", () => {
         const driver = withWorkers("w1", "w2");
         const job = driver.cell.submit(makeJob("g", [gangOf(1)]))!;
         const [first] = driver.run().starts;
--- a/packages/cell/test/scheduler/health.test.ts
+++ b/packages/cell/test/scheduler/health.test.ts
@@ -4,8 +4,8 @@
 import { RunEnd } from "../../src/index.js";
 import { CellDriver, idOf, makeJob, makeStep, makeWorker } from "../support/index.js";
 
-describe("a worker that fails what it starts", () => {
-    it("takes nothing new for a while, then one run at a time until one succeeds", () => {
+describe("a worker whose runs fail", () => {
+    it("is quarantined, then gets one run at a time until one succeeds", () => {
         const driver = new CellDriver();
         driver.addWorkers(makeWorker("bad"), makeWorker("w1"), makeWorker("w2"));
         for (const id of ["j", "k"]) {
@@ -25,7 +25,7 @@
         expect(driver.run().starts.filter(start => start.worker === idOf("bad")).length > 1).toEqual(true);
     });
 
-    it("is not blamed for a job that fails elsewhere too", () => {
+    it("is not blamed for a job that also fails on other workers", () => {
         const driver = new CellDriver();
         driver.addWorkers(makeWorker("w1"), makeWorker("w2"), makeWorker("w3"));
         driver.cell.submit(makeJob("j", [makeStep({ taskCount: 24 })]));
@@ -35,7 +35,7 @@
         expect(used.size).toEqual(3);
     });
 
-    it("does not get the next try of a task that failed there", () => {
+    it("does not get the next attempt of a task that failed there", () => {
         const driver = new CellDriver();
         driver.addWorkers(makeWorker("w1"), makeWorker("w2"));
         driver.cell.submit(makeJob("j", [makeStep()]));
@@ -46,7 +46,7 @@
         expect(second.worker === first.worker).toEqual(false);
     });
 
-    it("takes a gang that needs it, where nothing else comes to try it", () => {
+    it("gets a gang that needs it when no other task arrives to probe it", () => {
         const driver = new CellDriver();
         driver.addWorkers(makeWorker("bad"), makeWorker("w1"), makeWorker("w2"));
         for (const id of ["j", "k"]) {
@@ -54,7 +54,7 @@
         }
         driver.run().starts.forEach(start => driver.end(start, RunEnd.Failed));
         ["j", "k"].forEach(id => driver.cell.cancel(jobId(id)));
-        // Its members need all of three workers.
+        // The members need the whole capacity of three workers.
         driver.cell.submit(makeJob("gang", [makeStep({ taskCount: 24, isGang: true })]));
         let started = 0;
         for (let waited = 0; started === 0 && waited < 20_000; waited += 100) {
--- a/packages/cell/test/scheduler/jobs.test.ts
+++ b/packages/cell/test/scheduler/jobs.test.ts
@@ -11,7 +11,7 @@
 };
 
 describe("a job", () => {
-    it("is not known to its caller before its record is kept", () => {
+    it("is not reported to its caller before its record is persisted", () => {
         const driver = ready();
         const { id } = driver.cell.submit(makeJob("j", [makeStep()]))!;
         driver.decide();
@@ -20,7 +20,7 @@
         expect(driver.cell.stateOf(id)).toEqual(CellJobState.Queued);
     });
 
-    it("is one job however often it is handed in", () => {
+    it("is accepted once however often it is submitted", () => {
         const driver = ready();
         driver.cell.submit(makeJob("j", [makeStep()]));
         driver.cell.submit(makeJob("j", [makeStep()]));
@@ -28,7 +28,7 @@
         expect(driver.records.filter(record => record.kind === "accepted").length).toEqual(1);
     });
 
-    it("is shown as completed only once the last end is kept", () => {
+    it("is reported as completed only after its last end is persisted", () => {
         const driver = ready();
         const { id } = driver.cell.submit(makeJob("j", [makeStep()]))!;
         const [start] = driver.run().starts;
@@ -40,7 +40,7 @@
         expect(driver.cell.stateOf(id)).toEqual(CellJobState.Completed);
     });
 
-    it("lets a worker forget an end only once it is kept", () => {
+    it("lets a worker forget an end only after it is persisted", () => {
         const driver = ready();
         driver.cell.submit(makeJob("j", [makeStep()]));
         const [start] = driver.run().starts;
@@ -49,7 +49,7 @@
         expect(driver.keep().acknowledged).toEqual({ w1: 1 });
     });
 
-    it("begins a step once all tasks of the steps before it are done", () => {
+    it("starts a step once all tasks of the steps that it depends on are done", () => {
         const driver = ready();
         driver.cell.submit(makeJob("j", [makeStep({ taskCount: 2 }), makeStep({ after: [0] })]));
         const [first, second] = driver.run().starts;
@@ -59,7 +59,7 @@
         expect(driver.run().starts.map(start => String(start.task))).toEqual(["j/0/1/0"]);
     });
 
-    it("fails after as many failed runs of a task as its queue allows, and stops the rest", () => {
+    it("fails once a task has used up the attempts of its queue, and stops its remaining runs", () => {
         const driver = ready();
         const { id } = driver.cell.submit(makeJob("j", [makeStep({ taskCount: 2 })]))!;
         const [failing, other] = driver.run().starts;
@@ -89,7 +89,7 @@
 });
 
 describe("a cancelled job", () => {
-    it("stops what runs and starts nothing more", () => {
+    it("stops its runs and starts no more", () => {
         const driver = ready();
         const { id } = driver.cell.submit(makeJob("j", [makeStep({ taskCount: 12 })]))!;
         const { starts } = driver.run();
@@ -110,7 +110,7 @@
         expect(driver.run().starts).toEqual([]);
     });
 
-    it("is stopped again as long as a look shows it at work", () => {
+    it("is stopped again as long as a poll reports its run", () => {
         const driver = ready();
         const { id } = driver.cell.submit(makeJob("j", [makeStep()]))!;
         const [start] = driver.run().starts;
@@ -121,14 +121,14 @@
         expect(driver.run().stops.length).toEqual(1);
     });
 
-    it("is unknown to one who never had it", () => {
+    it("cannot be cancelled if it was never submitted", () => {
         const driver = ready();
         expect(driver.cell.cancel(makeJob("never", [makeStep()]).job)).toEqual(false);
     });
 });
 
 describe("a worker", () => {
-    it("is never given more than it has, also while a run is being stopped", () => {
+    it("is never overcommitted, also while a run is being stopped", () => {
         const driver = ready();
         const big = makeStep({ size: { processorThousandths: 8_000, memoryMebibytes: 1, accelerators: 0 } });
         const { id } = driver.cell.submit(makeJob("j", [big]))!;
@@ -141,14 +141,14 @@
         expect(driver.run().starts.length).toEqual(1);
     });
 
-    it("takes nothing new while it drains", () => {
+    it("gets no new runs while it drains", () => {
         const driver = ready();
         driver.cell.changeWorkers([makeWorker("w1", { isDraining: true, leavesIn: 2_000 })], []);
         driver.cell.submit(makeJob("j", [makeStep()]));
         expect(driver.run().starts).toEqual([]);
     });
 
-    it("takes nothing before this owner has seen what runs there", () => {
+    it("gets no runs before this owner has polled it", () => {
         const driver = new CellDriver();
         driver.cell.changeWorkers([makeWorker("w1")], []);
         driver.cell.submit(makeJob("j", [makeStep()]));
@@ -157,7 +157,7 @@
         expect(driver.run().starts.length).toEqual(1);
     });
 
-    it("loses what ran there when another life answers at its address", () => {
+    it("loses its runs when another worker answers at its address", () => {
         const driver = ready();
         driver.cell.submit(makeJob("j", [makeStep()]));
         const [start] = driver.run().starts;
@@ -167,20 +167,20 @@
         expect(driver.run().starts.map(again => [String(again.worker), Number(again.run)])).toEqual([["w2", 2]]);
     });
 
-    it("is told in the log with how long each run is known to have stood when it is lost", () => {
+    it("has the known run time of each lost run logged", () => {
         const driver = ready();
         driver.cell.submit(makeJob("j", [makeStep({ taskCount: 2 })]));
         const [confirmed] = driver.run().starts;
         driver.confirm(confirmed);
         driver.clock.advance(400);
-        // The last answer came 150 ms before the silence was noticed, so the run is known to have stood 250 ms.
+        // The last answer came 150 ms before the silence was noticed, so the run is known to have run for 250 ms.
         driver.cell.takeSilence(idOf("w1"), driver.clock.monotonic() + 6_000, { cause: "no answer", heardAgo: 150 });
         driver.cell.takeOtherLife(idOf("w1"));
         const lost = driver.logged.filter(line => line.event === logEvents.runLost);
         expect(lost.map(({ fields }) => fields["stood"])).toEqual([250, undefined]);
     });
 
-    it("that is silent keeps its tasks until every lease there is over", () => {
+    it("keeps its tasks while it is silent until all its leases have expired", () => {
         const driver = ready();
         driver.cell.submit(makeJob("j", [makeStep()]));
         const [start] = driver.run().starts;
--- a/packages/cell/test/scheduler/lasting.test.ts
+++ b/packages/cell/test/scheduler/lasting.test.ts
@@ -11,8 +11,8 @@
 
 const measured = (start: StartCommand, measure: number): WorkerRun => ({ ...running(start, 100), measure });
 
-describe("a task that lasts", () => {
-    it("starts again however it ends, and fails no job", () => {
+describe("a lasting task", () => {
+    it("is restarted however it ends, and does not fail its job", () => {
         const driver = ready();
         const { id } = driver.cell.submit(makeJob("j", [makeStep({ isLasting: true })]))!;
         const ends = [RunEnd.Failed, RunEnd.Done, RunEnd.Failed, RunEnd.Failed, RunEnd.Lapsed];
@@ -26,13 +26,13 @@
         expect(driver.cell.stateOf(id)).toEqual(CellJobState.Running);
     });
 
-    it("is owed a place before all else, however full the workers are", () => {
+    it("gets a reservation before all other work, however full the workers are", () => {
         const driver = ready();
         driver.cell.submit(makeJob("j", [makeStep({ taskCount: 30 })]));
         const { starts } = driver.run();
         const big = { processorThousandths: 6_000, memoryMebibytes: 1, accelerators: 0 };
         driver.cell.submit(makeJob("l", [makeStep({ isLasting: true, size: big })]));
-        // The runs end one after the other; the job has as many more tasks that want their room.
+        // The runs end one after the other, and the job has as many waiting tasks that would take their place.
         let ended = 0;
         let started: readonly StartCommand[] = [];
         while (!started.some(start => start.task.startsWith("l/")) && ended < starts.length) {
@@ -40,14 +40,14 @@
             driver.end(starts[ended++]);
             started = [...started, ...driver.run().starts];
         }
-        // Room for two is left beside it: no more of the others start before it does.
+        // Two other tasks fit beside it; no more than those start before it does.
         expect(started.filter(start => start.task.startsWith("l/")).length).toEqual(1);
         expect(started.length <= 3).toEqual(true);
     });
 });
 
-describe("tasks that last and do not all fit", () => {
-    it("are owed as many places as there can be", () => {
+describe("lasting tasks that do not all fit", () => {
+    it("get as many reservations as fit", () => {
         const driver = ready();
         driver.cell.submit(makeJob("j", [makeStep({ taskCount: 30 })]));
         const { starts } = driver.run();
@@ -63,7 +63,7 @@
     });
 });
 
-describe("tasks that fill", () => {
+describe("best-effort tasks", () => {
     const target = 100;
     const fillerAndServer = () => {
         const driver = ready();
@@ -80,7 +80,7 @@
         return driver.keep().paces.map(pace => pace.percent);
     };
 
-    it("take no processor of a worker's room", () => {
+    it("reserve no processors of a worker", () => {
         const driver = ready();
         const whole = { processorThousandths: 8_000, memoryMebibytes: 1, accelerators: 0 };
         driver.cell.submit(makeJob("f", [makeStep({ fills: true, size: whole })]));
@@ -88,7 +88,7 @@
         expect(driver.run().starts.length).toEqual(2);
     });
 
-    it("are slowed down while a task that serves is near its target, and let go in steps", () => {
+    it("are throttled while a serving task is near its latency target, and released in steps", () => {
         const { driver, server, filler } = fillerAndServer();
         const look = (tail: number): number[] => {
             driver.clock.advance(500);
@@ -102,7 +102,7 @@
         expect(look(40)).toEqual([35]);
     });
 
-    it("stand still rather than crawl", () => {
+    it("are paused rather than throttled to a minimal pace", () => {
         const { driver, server, filler } = fillerAndServer();
         let last: number[] = [];
         for (let look = 0; look < 8; look++) {
@@ -128,7 +128,7 @@
         return { driver, id, at };
     };
 
-    it("starts each occurrence when it is due, not before", () => {
+    it("starts each occurrence when it is due and not before", () => {
         const { at } = timed(2);
         expect(at(interval - 100)).toEqual([]);
         expect(at(100).map(start => String(start.task))).toEqual(["t/0/0/0"]);
@@ -136,7 +136,7 @@
         expect(at(100).map(start => String(start.task))).toEqual(["t/1/0/0"]);
     });
 
-    it("is completed once all occurrences are done, and a next owner knows which are", () => {
+    it("is completed once all occurrences are, and the next owner knows which are", () => {
         const { driver, id, at } = timed(2);
         const [first] = at(interval);
         driver.end(first);
@@ -153,8 +153,8 @@
     });
 });
 
-describe("a hindered run", () => {
-    it("gets a copy elsewhere if its step allows copies, and the first that is done ends the other", () => {
+describe("a degraded run", () => {
+    it("gets a copy on another worker if its step allows copies, and the first one done stops the other", () => {
         const driver = ready();
         driver.cell.submit(makeJob("j", [makeStep({ allowsCopies: true })]));
         const [first] = driver.run().starts;
@@ -167,7 +167,7 @@
         expect(driver.run().stops.map(stop => Number(stop.run))).toEqual([1]);
     });
 
-    it("is moved from a slow worker if its progress is saved, and goes on from there", () => {
+    it("is moved from a slow worker if its step saves progress, and resumes from its checkpoint", () => {
         const driver = new CellDriver();
         driver.addWorkers(makeWorker("w1"), makeWorker("w2"), makeWorker("w3"));
         driver.cell.submit(makeJob("j", [makeStep({ taskCount: 5, savesProgress: true, estimate: 2_000 })]));
@@ -186,7 +186,7 @@
         expect(again.length).toEqual(5);
     });
 
-    it("is moved from a worker that leaves before it would end, if its progress is saved", () => {
+    it("is moved from a worker that leaves before the run would end, if its step saves progress", () => {
         const driver = ready();
         driver.cell.submit(makeJob("j", [makeStep({ savesProgress: true, estimate: 8_000 })]));
         driver.cell.submit(makeJob("k", [makeStep({ estimate: 8_000 })]));
--- a/packages/cell/test/scheduler/late-jobs.test.ts
+++ b/packages/cell/test/scheduler/late-jobs.test.ts
@@ -8,7 +8,7 @@
     makeQueue("urgent", { priority: 0, extension: 1, latencyTarget: 500 }),
     makeQueue("patient", { priority: 2, extension: 10 }),
 ];
-/** Takes all of a worker. */
+/** A task that needs a whole worker. */
 const whole = makeStep({
     size: { processorThousandths: 8_000, memoryMebibytes: 1, accelerators: 0 },
     estimate: 2_000,
@@ -17,7 +17,7 @@
 const jobOf = (queue: string, id: string, step = whole): JobDefinition =>
     makeJob(id, [step], { queue: queueName(queue) });
 
-/** One worker whose room opens once an urgent job and a patient one have waited for it for so long. */
+/** The job that starts next when the only worker becomes free after an urgent and a deferrable job have waited for it. */
 const nextAfter = (waits: number, patient = whole, urgent = whole): string => {
     const driver = new CellDriver(undefined, makeConfiguration(1, queues));
     driver.addWorkers(makeWorker("w1"));
@@ -33,15 +33,15 @@
 };
 
 describe("a late job of the most urgent queue", () => {
-    it("goes before patient work that can wait", () => {
+    it("starts before deferrable work that can wait", () => {
         expect(nextAfter(1_000)).toEqual("urgent");
     });
 
-    it("goes behind patient work that would be late otherwise", () => {
+    it("starts after deferrable work that would otherwise be late", () => {
         expect(nextAfter(1_000, { ...whole, estimate: 200 })).toEqual("patient");
     });
 
-    it("goes behind all that is on time once it earns nothing", () => {
+    it("starts after all work that is on time once it is too late to be of value", () => {
         expect(nextAfter(8_000)).toEqual("patient");
     });
 });
--- a/packages/cell/test/scheduler/preemption.test.ts
+++ b/packages/cell/test/scheduler/preemption.test.ts
@@ -7,7 +7,7 @@
 const urgent = makeQueue("urgent", { priority: 0 });
 const patient = makeQueue("patient", { priority: 2, extension: 10 });
 
-/** A task that takes nearly all of a worker. */
+/** A task that needs nearly a whole worker. */
 const wideStep = makeStep({ size: { processorThousandths: 7_500, memoryMebibytes: 1, accelerators: 0 } });
 const smallStep = makeStep({
     size: { processorThousandths: 1_000, memoryMebibytes: 1, accelerators: 0 },
@@ -18,7 +18,7 @@
 const jobOf = (queue: string, id: string, step = smallStep): JobDefinition =>
     makeJob(id, [step], { queue: queueName(queue) });
 
-/** One worker on which a small task is at work, and a wide one that waits for long enough. */
+/** One worker with a running small task, and a wide task that has waited long enough to preempt. */
 const withWaiting = (holder: JobDefinition): { driver: CellDriver; held: StartCommand; } => {
     const driver = new CellDriver(undefined, makeConfiguration(1, [urgent, patient]));
     driver.addWorkers(makeWorker("w1"));
@@ -32,8 +32,8 @@
     return { driver, held };
 };
 
-describe("work that finds no room", () => {
-    it("gets that of a less urgent run whose progress is saved, which goes on later", () => {
+describe("an urgent task that does not fit", () => {
+    it("preempts a less urgent run that saves progress, which resumes later", () => {
         const { driver, held } = withWaiting(jobOf("patient", "small"));
         expect(driver.run().stops.map(stop => stop.task)).toEqual([held.task]);
         driver.end(held, RunEnd.Stopped, "saved");
@@ -45,22 +45,22 @@
         expect([again.task, again.checkpoint]).toEqual([held.task, "saved"]);
     });
 
-    it("stops nothing whose progress would be lost", () => {
+    it("does not preempt a run whose progress would be lost", () => {
         const { driver } = withWaiting(jobOf("patient", "small", { ...smallStep, savesProgress: false }));
         expect(driver.run().stops).toEqual([]);
     });
 
-    it("stops nothing that is as urgent", () => {
+    it("does not preempt a run that is as urgent", () => {
         const { driver } = withWaiting(jobOf("urgent", "small"));
         expect(driver.run().stops).toEqual([]);
     });
 
-    it("stops nothing whose job would be late by it", () => {
+    it("does not preempt a run whose job would then be late", () => {
         const { driver } = withWaiting(jobOf("patient", "small", { ...smallStep, estimate: 100 }));
         expect(driver.run().stops).toEqual([]);
     });
 
-    it("stops nothing where stops would not make the room", () => {
+    it("preempts nothing when that would not free enough resources", () => {
         const driver = new CellDriver(undefined, makeConfiguration(1, [urgent, patient]));
         driver.addWorkers(makeWorker("w1"));
         driver.cell.submit(jobOf("patient", "small"));
--- a/packages/cell/test/scheduler/reservations.test.ts
+++ b/packages/cell/test/scheduler/reservations.test.ts
@@ -5,10 +5,10 @@
 import { CellDriver, makeConfiguration, makeJob, makeQueue, makeStep, makeWorker, running } from "../support/index.js";
 
 const sizeOf = (processorThousandths: number) => ({ processorThousandths, memoryMebibytes: 1, accelerators: 0 });
-/** A gang that needs all of a worker's eight cores. */
+/** A gang that needs a whole worker. */
 const wideGang = makeStep({ taskCount: 2, isGang: true, size: sizeOf(4_000) });
 
-/** One worker with half of its room taken for a while longer. */
+/** One worker that is half full, with a gang waiting for the other half. */
 const halfFull = (estimate = 2_000): { driver: CellDriver; holder: StartCommand; } => {
     const driver = new CellDriver();
     driver.addWorkers(makeWorker("w1"));
@@ -22,14 +22,14 @@
 
 const startedJobs = (driver: CellDriver): string[] => driver.run().starts.map(start => start.task.split("/")[0]);
 
-describe("room that a gang waits for", () => {
-    it("is used meanwhile by what will have ended by then", () => {
+describe("capacity that is reserved for a gang", () => {
+    it("is used meanwhile by tasks that end in time", () => {
         const { driver } = halfFull();
         driver.cell.submit(makeJob("short", [makeStep({ size: sizeOf(4_000), estimate: 1_000 })]));
         expect(startedJobs(driver)).toEqual(["short"]);
     });
 
-    it("is not given to what would still run by then", () => {
+    it("is not used by tasks that would still run at that time", () => {
         const { driver, holder } = halfFull();
         driver.cell.submit(makeJob("long", [makeStep({ size: sizeOf(4_000), estimate: 3_000 })]));
         expect(startedJobs(driver)).toEqual([]);
@@ -37,9 +37,9 @@
         expect(startedJobs(driver)).toEqual(["gang", "gang"]);
     });
 
-    it("is worked out anew from how fast the runs there turn out to be", () => {
+    it("is forecast again from the measured speed of the runs there", () => {
         const { driver, holder } = halfFull();
-        // It takes ten times as long as its caller said: what is long has ended well before.
+        // The holder takes ten times its estimate, so that even the long task ends well before it.
         [500, 1_500].forEach((at, index) => {
             driver.clock.advance(at - index * 500);
             driver.look("w1", [running(holder, 2 + index * 10)], [], false);
@@ -48,7 +48,7 @@
         expect(startedJobs(driver)).toEqual(["long"]);
     });
 
-    it("takes progress from before this owner for no sign of speed", () => {
+    it("is not forecast from progress made under an earlier owner", () => {
         const { driver, holder } = halfFull(10_000);
         driver.takeOver();
         driver.cell.changeWorkers([makeWorker("w1")], []);
@@ -57,20 +57,20 @@
         driver.run();
         driver.clock.advance(10);
         driver.look("w1", [running(holder, 50)], [], false);
-        // Half of its ten seconds are left: three seconds fit before the gang's turn.
+        // Half of the holder's ten seconds are left, so that three seconds fit before the gang starts.
         driver.cell.submit(makeJob("short", [makeStep({ size: sizeOf(4_000), estimate: 3_000 })]));
         expect(startedJobs(driver)).toEqual(["short"]);
     });
 });
 
-/** A worker of 8 cores with 8 accelerators. */
+/** A worker with 8 cores and 8 accelerators. */
 const acceleratedWorker = (id: string) =>
     makeWorker(id, { capacity: { processorThousandths: 8_000, memoryMebibytes: 32_768, accelerators: 8 } });
 const acceleratedStep = (accelerators: number, estimate = 1_000) =>
     makeStep({ size: { processorThousandths: 100, memoryMebibytes: 1, accelerators }, estimate });
 
 describe("a task that needs all accelerators of a worker", () => {
-    it("gets its room kept, and small ones wait that would still hold some by then", () => {
+    it("gets a reservation, and small tasks that would still hold some of them have to wait", () => {
         const driver = new CellDriver();
         driver.addWorkers(acceleratedWorker("w1"));
         driver.cell.submit(makeJob("holder", [acceleratedStep(4, 2_000)]));
@@ -86,14 +86,14 @@
         expect(startedJobs(driver)).toEqual(["wide"]);
     });
 
-    it("finds a worker that is free of small ones, as these share one", () => {
+    it("finds a worker without small tasks, because these are packed on one worker", () => {
         const driver = new CellDriver();
         driver.addWorkers(acceleratedWorker("w1"), acceleratedWorker("w2"));
         const sizeWith = (processorThousandths: number, accelerators: number) =>
             makeStep({ size: { processorThousandths, memoryMebibytes: 1, accelerators }, estimate: 5_000 });
         driver.cell.submit(makeJob("one", [sizeWith(1_000, 4)]));
         const [first] = driver.run().starts;
-        // Fits the other worker alone, and leaves it fewer processors than the first has.
+        // Fits only the other worker and leaves it fewer processors than the first one has.
         driver.cell.submit(makeJob("processors", [sizeWith(7_500, 0)]));
         driver.run();
         driver.cell.submit(makeJob("two", [sizeWith(100, 4)]));
@@ -104,7 +104,7 @@
     });
 });
 
-/** Two workers that are full until two and sixty seconds from now, with two queues. */
+/** Two workers that are full for another two and sixty seconds. */
 const unevenlyFull = (): { driver: CellDriver; holders: readonly StartCommand[]; } => {
     const queues = [makeQueue("work", { priority: 1 }), makeQueue("patient", { priority: 2, extension: 6 })];
     const driver = new CellDriver(undefined, makeConfiguration(1, queues));
@@ -117,12 +117,12 @@
     return { driver, holders };
 };
 
-/** A gang that needs both of these workers. */
+/** A gang that needs both workers. */
 const gangOfBoth = (estimate: number) => makeStep({ taskCount: 2, isGang: true, size: sizeOf(8_000), estimate });
 const longPatient = () => makeJob("patient", [makeStep({ estimate: 100_000 })], { queue: queueName("patient") });
 
-describe("room of several workers for gangs that can't all be on time", () => {
-    it("is kept for one that can be, before one that is late already", () => {
+describe("capacity of several workers for gangs that cannot all be on time", () => {
+    it("is reserved for a gang that can be on time rather than one that is late already", () => {
         const { driver, holders } = unevenlyFull();
         driver.cell.submit(makeJob("late", [gangOfBoth(100)]));
         driver.run();
@@ -135,9 +135,9 @@
         expect(startedJobs(driver)).toEqual([]);
     });
 
-    it("is not kept for one that would be late by then", () => {
+    it("is not reserved for a gang that would be late", () => {
         const { driver, holders } = unevenlyFull();
-        driver.cell.submit(makeJob("hopeless", [gangOfBoth(100)]));
+        driver.cell.submit(makeJob("infeasible", [gangOfBoth(100)]));
         driver.run();
         driver.end(holders[0]);
         driver.cell.submit(longPatient());
--- a/packages/cell/test/scheduler/restarts.test.ts
+++ b/packages/cell/test/scheduler/restarts.test.ts
@@ -1,6 +1,6 @@
 /*
- * A worker that was started again under its id may be of another kind. What the advice service said of its former life was kept by
- * id, so a worker that was refused once was never asked about again, and one that was permitted was sent starts with tickets that it refused.
+ * Guards against state of a former incarnation that is applied to the next one: advice kept by worker id, strikes left unexplained, and
+ * orders left unsettled.
  */
 import { logEvents, workerLife } from "@pebbledale/core";
 import { expect } from "earl";
@@ -13,7 +13,7 @@
 const formerLife = workerLife(1_000);
 const presentLife = workerLife(2_000);
 
-/** A cell of one worker with a step that its service has judged on. */
+/** A cell of one worker, with a step about which the advice service has answered. */
 const begin = (permits: readonly Permit[]): CellDriver => {
     const advice = { decision: 10, eachWorker: 1, validity };
     const driver = new CellDriver(undefined, makeConfiguration(1, [makeQueue("work", { advice })]));
@@ -35,8 +35,8 @@
     driver.clock.advance(1_000);
 };
 
-describe("what the advice service said of a worker's former life", () => {
-    it("says nothing of the next one, which is asked about anew", () => {
+describe("advice about a worker's former incarnation", () => {
+    it("does not apply to the next one, about which the service is asked again", () => {
         for (const permits of [[], [{ worker, ticket: "former" }]]) {
             const driver = begin(permits);
             restart(driver);
@@ -47,8 +47,8 @@
     });
 });
 
-describe("a worker that was given up as silent and comes back under its id", () => {
-    /** A run goes with its worker, which is dropped once its leases are over, and is listed again. */
+describe("a worker that was removed as silent and returns under its id", () => {
+    /** A worker is lost with a run, removed once its leases have expired, and listed again. */
     const comeBack = (life: typeof formerLife): unknown[] => {
         const driver = new CellDriver();
         driver.addWorkers(makeWorker("w", { life: formerLife }));
@@ -66,14 +66,14 @@
             .map(({ fields }) => fields["isCrash"]);
     };
 
-    it("has crashed when it is another life, and lived on when it is the same", () => {
+    it("has crashed if it is another incarnation, and was only unreachable if it is the same", () => {
         expect(comeBack(presentLife)).toEqual([true]);
         expect(comeBack(formerLife)).toEqual([false]);
     });
 });
 
-describe("a restart that an owner did not live to settle", () => {
-    it("is settled by the next one, which holds the crash against what was ordered of the former life", () => {
+describe("a restart that an owner could not settle before it failed", () => {
+    it("is settled by the next owner, which attributes the crash to runs ordered from the former incarnation", () => {
         for (const fromSnapshot of [false, true]) {
             const driver = new CellDriver();
             driver.addWorkers(makeWorker("w", { life: formerLife }));
@@ -95,8 +95,8 @@
     });
 });
 
-describe("a worker that the journal names without a life", () => {
-    it("is used as it is listed once the life that its entry names answers, though another one had answered before", () => {
+describe("a worker that the journal names without an incarnation", () => {
+    it("is used with its listed entry once the incarnation in that entry answers, although another one answered before", () => {
         const driver = new CellDriver();
         driver.addWorkers(makeWorker("w"));
         driver.takeOver();
--- a/packages/cell/test/scheduler/rooms.test.ts
+++ b/packages/cell/test/scheduler/rooms.test.ts
@@ -1,4 +1,4 @@
-/** Workers whose room shrinks and grows while they run, and workers whose entries cannot be read. */
+/** Workers whose capacity changes while they have runs, and workers whose entries cannot be parsed. */
 import { expect } from "earl";
 import { describe, it } from "node:test";
 import { RunEnd, type StartCommand } from "../../src/index.js";
@@ -20,8 +20,8 @@
     return { driver, starts };
 };
 
-describe("a worker whose room shrinks below what runs there", () => {
-    it("takes nothing new until as much has ended, and what runs there is not stopped", () => {
+describe("a worker whose capacity shrinks below what its runs use", () => {
+    it("gets no new runs until enough have ended, and its runs are not stopped", () => {
         const { driver, starts } = full();
         driver.cell.changeWorkers([withRoom("w1", 4)], []);
         expect(driver.run().stops).toEqual([]);
@@ -31,7 +31,7 @@
         expect(driver.run().starts.length).toEqual(1);
     });
 
-    it("counts as full, not as less than nothing, in the figures of the cell", () => {
+    it("counts as full in the cell's summary, without negative free resources", () => {
         const { driver } = full();
         driver.addWorkers(withRoom("w2", 8));
         driver.run();
@@ -40,7 +40,7 @@
         expect(freeProcessor).toEqual(4_000);
     });
 
-    it("does not get a start that was decided before and is not sent yet", () => {
+    it("does not get a start that was decided before and has not been sent", () => {
         const driver = new CellDriver();
         driver.addWorkers(withRoom("w1", 8), withRoom("w2", 8));
         driver.cell.submit(makeJob("j", [makeStep({ taskCount: 8 })]));
@@ -52,7 +52,7 @@
         expect(starts.length + later.length).toEqual(8);
     });
 
-    it("keeps its smaller room over a change of owner", () => {
+    it("keeps its smaller capacity across a change of owner", () => {
         const { driver, starts } = full();
         driver.cell.changeWorkers([withRoom("w1", 4)], []);
         driver.run();
@@ -63,7 +63,7 @@
         expect(driver.run().starts).toEqual([]);
     });
 
-    it("is not waited for by a gang that only the room before would hold", () => {
+    it("is not waited for by a gang that fits only its former capacity", () => {
         const driver = new CellDriver();
         driver.addWorkers(withRoom("w1", 8), withRoom("w2", 8));
         driver.cell.submit(makeJob("gang", [makeStep({ taskCount: 12, isGang: true, savesProgress: false })]));
@@ -76,16 +76,16 @@
     });
 });
 
-describe("a worker whose room grows", () => {
-    it("is given more in the next pass", () => {
+describe("a worker whose capacity grows", () => {
+    it("gets more runs in the next scheduling cycle", () => {
         const { driver } = full();
         driver.cell.changeWorkers([withRoom("w1", 12)], []);
         expect(driver.run().starts.length).toEqual(4);
     });
 });
 
-describe("a worker whose entry can no longer be read", () => {
-    it("takes nothing new until it can, and what runs there goes on", () => {
+describe("a worker whose entry can no longer be parsed", () => {
+    it("gets no new runs until it can be parsed again, and its runs continue", () => {
         const { driver, starts } = full();
         driver.cell.changeWorkers([], [], [idOf("w1")]);
         driver.end(starts[0]);
@@ -96,7 +96,7 @@
         expect(driver.run().starts.length).toEqual(2);
     });
 
-    it("is not taken for gone by a list that names it so", () => {
+    it("is not considered gone by a listing that contains its unreadable entry", () => {
         const { driver, starts } = full();
         driver.cell.listWorkers([], [idOf("w1")]);
         driver.clock.advance(20_000);
--- a/packages/cell/test/scheduler/take-over.test.ts
+++ b/packages/cell/test/scheduler/take-over.test.ts
@@ -3,7 +3,7 @@
 import { CellJobState, RunEnd } from "../../src/index.js";
 import { CellDriver, idOf, makeJob, makeStep, makeWorker, running } from "../support/index.js";
 
-/** Any time after the former owner's leases. */
+/** Longer than any lease of the former owner. */
 const longAfter = 60_000;
 
 const started = () => {
@@ -15,8 +15,8 @@
     return { driver, job, starts };
 };
 
-describe("a take-over", () => {
-    it("starts nothing again that a worker still runs", () => {
+describe("a takeover", () => {
+    it("does not restart tasks that workers still run", () => {
         const { driver, starts } = started();
         driver.takeOver();
         driver.cell.changeWorkers([makeWorker("w1"), makeWorker("w2")], []);
@@ -27,7 +27,7 @@
         expect(driver.run().starts).toEqual([]);
     });
 
-    it("starts again, with a higher number, what a worker's first look does not show", () => {
+    it("restarts, with a higher run number, a task that its worker's first poll does not report", () => {
         const { driver, starts } = started();
         driver.takeOver();
         driver.cell.changeWorkers([makeWorker("w1"), makeWorker("w2")], []);
@@ -41,7 +41,7 @@
         expect(again.map<number>(start => start.run)).toEqual([2]);
     });
 
-    it("holds only the tasks of a worker that is silent, until its leases are over", () => {
+    it("delays only the tasks of a silent worker, until its leases have expired", () => {
         const { driver, starts } = started();
         const waiting = driver.cell.submit(makeJob("k", [makeStep({ taskCount: 2 })]))!;
         driver.run();
@@ -49,7 +49,7 @@
         driver.cell.changeWorkers([makeWorker("w1")], []);
         driver.look("w1", starts.filter(start => start.worker === idOf("w1")).map(start => running(start)));
         driver.cell.takeSilence(idOf("w2"), driver.clock.monotonic() + 6_000);
-        // The waiting job is not held up by the silent worker.
+        // The waiting job is not delayed by the silent worker.
         starts.filter(start => start.worker === idOf("w1")).slice(0, 2).forEach(start => driver.end(start));
         const free = driver.run().starts;
         expect(free.every(start => start.task.startsWith(waiting.id))).toEqual(true);
@@ -60,7 +60,7 @@
         expect(later.every(start => start.worker === idOf("w1"))).toEqual(true);
     });
 
-    it("knows from a snapshot what it knows from the records", () => {
+    it("restores the same state from a snapshot as from the records", () => {
         const { driver, starts } = started();
         driver.end(starts[0], RunEnd.Done);
         driver.end(starts[1], RunEnd.Failed);
@@ -72,7 +72,7 @@
         expect(JSON.stringify(driver.cell.snapshot())).toEqual(JSON.stringify(snapshot));
     });
 
-    it("takes a done end in that the former owner did not record", () => {
+    it("applies a done end that the former owner did not record", () => {
         const { driver, job, starts } = started();
         driver.takeOver();
         driver.cell.changeWorkers([makeWorker("w1"), makeWorker("w2")], []);
@@ -88,7 +88,7 @@
 });
 
 describe("an owner without a configuration", () => {
-    it("knows of each job how often its tasks may fail, and where they may run", () => {
+    it("knows the attempts and the service of each job from its record", () => {
         const { driver, job, starts } = started();
         driver.takeOver(undefined, false);
         driver.cell.changeWorkers([makeWorker("w1"), makeWorker("w2")], []);
@@ -106,21 +106,21 @@
     });
 });
 
-describe("a link that is given to another VM", () => {
-    it("does not settle orders that were decided but not handed to a link yet", () => {
+describe("a link that is assigned to another VM", () => {
+    it("does not settle orders that were decided but not sent yet", () => {
         const driver = new CellDriver();
         driver.addWorkers(makeWorker("w1"));
         driver.cell.submit(makeJob("j", [makeStep()]));
         driver.decide();
         driver.clock.advance(5);
-        // The record of the start is still being written when the worker's new link looks for the first time.
+        // The record of the start is still being written when the worker's new link polls for the first time.
         driver.look("w1");
         const { starts } = driver.keep();
         expect(starts.length).toEqual(1);
         expect(driver.run().starts).toEqual([]);
     });
 
-    it("settles orders that were sent on the former link", () => {
+    it("settles orders that were sent over the former link", () => {
         const driver = new CellDriver();
         driver.addWorkers(makeWorker("w1"));
         driver.cell.submit(makeJob("j", [makeStep()]));
@@ -133,7 +133,7 @@
 });
 
 describe("a task whose job was cancelled", () => {
-    /** A job whose only start had no answer when it was cancelled; its link has settled it as not begun. */
+    /** A job that was cancelled while its only start had no answer, which the link then settled as not started. */
     const cancelled = () => {
         const driver = new CellDriver();
         driver.addWorkers(makeWorker("w1"));
@@ -147,7 +147,7 @@
         return { driver, start };
     };
 
-    it("is stopped by each look that shows it, when its worker starts it late", () => {
+    it("is stopped after each poll that reports it when its worker starts it late", () => {
         const { driver, start } = cancelled();
         driver.clock.advance(5_000);
         for (let looks = 0; looks < 2; looks++) {
@@ -156,7 +156,7 @@
         }
     });
 
-    it("is stopped by the next owner's first look, when the VM that started it is gone", () => {
+    it("is stopped after the next owner's first poll when the VM that sent the start is gone", () => {
         const { driver, start } = cancelled();
         driver.takeOver();
         driver.cell.changeWorkers([makeWorker("w1")], []);
--- a/packages/cell/test/support/builders.ts
+++ b/packages/cell/test/support/builders.ts
@@ -1,4 +1,4 @@
-/** Makes what tests of the cell hand in. */
+/** Builders of the inputs that tests of the cell use. */
 import { jobId, organisationName, queueName, serviceName, type WorkerId, workerId } from "@pebbledale/core";
 import {
     type CellConfiguration,
@@ -11,10 +11,10 @@
     type WorkerEntry,
 } from "../../src/index.js";
 
-/** The one service of most tests. */
+/** Service that tests use unless they need several. */
 export const service = serviceName("pool");
 
-/** A queue without advice; `changes` replaces parts. */
+/** Builds a queue without advice. */
 export const makeQueue = (name: string, changes: Partial<QueueConfiguration> = {}): QueueConfiguration => ({
     name: queueName(name),
     host: "jobs.example",
@@ -30,7 +30,7 @@
     ...changes,
 });
 
-/** A configuration of these queues. */
+/** Builds a configuration with the one service of the tests. */
 export const makeConfiguration = (
     version: number,
     queues: readonly QueueConfiguration[],
@@ -43,7 +43,7 @@
     bodyLimit: 262_144,
 });
 
-/** An organisation that may have so many cores at work; `changes` replaces parts. */
+/** Builds an organisation whose running tasks may use `cores` cores; its memory and accelerators are not limited. */
 export const makeOrganisation = (
     name: string,
     cores: number,
@@ -56,7 +56,7 @@
     ...changes,
 });
 
-/** A step of tasks that each take 1 core and 1 GB. */
+/** Builds a step of one task that needs 1 core and 1 GiB. */
 export const makeStep = (changes: Partial<StepDefinition> = {}): StepDefinition => ({
     taskCount: 1,
     size: { processorThousandths: 1_000, memoryMebibytes: 1_024, accelerators: 0 },
@@ -77,7 +77,7 @@
     ...changes,
 });
 
-/** A job of these steps. */
+/** Builds a job for the queue `work`. */
 export const makeJob = (
     id: string,
     steps: readonly StepDefinition[],
@@ -91,13 +91,13 @@
     ...changes,
 });
 
-/** An address for a worker, which no other of a test has. */
+/** Derives an address that is unique among the workers of a test. */
 const addressOf = (id: string): string => {
     const number = [...id].reduce((sum, letter) => (sum * 31 + letter.charCodeAt(0)) % 16_777_213, 7);
     return `10.${number >> 16}.${(number >> 8) & 0xff}.${number & 0xff}:80`;
 };
 
-/** A worker of 8 cores and 32 GB. */
+/** Builds the entry of a worker with 8 cores and 32 GiB. */
 export const makeWorker = (id: string, changes: Partial<WorkerEntry> = {}): WorkerEntry => ({
     worker: workerId(id),
     address: addressOf(id),
@@ -112,5 +112,5 @@
     ...changes,
 });
 
-/** Names a worker. */
+/** Shorthand for the id of a worker. */
 export const idOf = (name: string): WorkerId => workerId(name);
--- a/packages/cell/test/support/cell-driver.ts
+++ b/packages/cell/test/support/cell-driver.ts
@@ -1,4 +1,4 @@
-/** Drives a cell's decisions in a test: time, a journal in memory, and what is drained. */
+/** Driver for tests of the cell's scheduler. */
 import { type LogEvent, ManualClock, type RunNumber, type TaskAddress } from "@pebbledale/core";
 import {
     type AdviceCommand,
@@ -18,22 +18,22 @@
 } from "../../src/index.js";
 import { idOf, makeConfiguration, makeQueue } from "./builders.js";
 
-/** What a turn led to, sorted. */
+/** Output of one or more turns, by kind of command. */
 export interface Output {
     readonly starts: readonly StartCommand[];
     readonly stops: readonly StopCommand[];
     readonly paces: readonly PaceCommand[];
     readonly questions: readonly AdviceCommand[];
-    /** Ends that a worker may forget, by its name. */
+    /** Highest number of the ends that each worker may forget, by worker id. */
     readonly acknowledged: Readonly<Record<string, number>>;
 }
 
-/** See the module's comment. */
+/** Runs a scheduler with a manual clock and a journal in memory; persisting can be delayed, and another owner can take over. */
 export class CellDriver {
     cell: CellScheduler;
     readonly records: CellRecord[] = [];
     readonly logged: { readonly event: LogEvent; readonly fields: Readonly<Record<string, unknown>>; }[] = [];
-    /** Turns whose records are not kept yet. */
+    /** Turns whose records are not persisted yet. */
     #unkept: Turn[] = [];
     #numbers = new Map<string, number>();
 
@@ -44,33 +44,33 @@
         this.cell = this.#makeCell();
     }
 
-    /** Lists workers and lets each answer its first look. */
+    /** Lists workers and has each answer its first poll. */
     addWorkers(...entries: WorkerEntry[]): void {
         this.cell.changeWorkers(entries, []);
         this.run();
         entries.forEach(entry => this.look(entry.worker));
     }
 
-    /** A look at a worker that shows `running` and `ended`; `isFirst` of a link settles what was sent before. */
+    /** Applies a poll that reports `running` and `ended`. `isFirst`: whether it is the first of a link, which settles earlier orders. */
     look(worker: string, running: readonly WorkerRun[] = [], ended: readonly EndedRun[] = [], isFirst = true): void {
         const now = this.clock.monotonic();
         const look: Look = { clock: now, running, ended };
         this.cell.takeLook(idOf(worker), look, now, isFirst ? now : -Infinity);
     }
 
-    /** One turn: places, keeps the records, and tells what is to be sent. */
+    /** Runs a scheduling cycle, persists its records, and returns the commands to be sent. */
     run(): Output {
         this.decide();
         return this.keep();
     }
 
-    /** Places, and leaves the records unkept. */
+    /** Runs a scheduling cycle without persisting its records. */
     decide(): void {
         this.cell.place();
         this.#unkept.push(this.cell.drain());
     }
 
-    /** Keeps all records and tells what is to be sent. */
+    /** Persists all records and returns the commands to be sent. */
     keep(): Output {
         const turns = this.#unkept;
         this.#unkept = [];
@@ -84,29 +84,29 @@
         };
     }
 
-    /** The worker of a start confirms it. */
+    /** Confirms starts on behalf of their workers. */
     confirm(...starts: StartCommand[]): void {
         starts.forEach(({ worker, task, run }) => this.cell.startTaken(worker, task, run));
     }
 
-    /** A worker lists the end of a run. */
+    /** Reports the end of a run on behalf of its worker. */
     end({ worker, task, run }: StartCommand, end: RunEnd = RunEnd.Done, checkpoint = ""): void {
         this.cell.takeEnds(worker, [this.ended(worker, task, run, end, checkpoint)]);
     }
 
-    /** An end as a worker lists it, with the worker's next number. */
+    /** Builds an end with the worker's next end number. */
     ended(worker: string, task: TaskAddress, run: RunNumber, end: RunEnd, checkpoint = ""): EndedRun {
         const number = (this.#numbers.get(worker) ?? 0) + 1;
         this.#numbers.set(worker, number);
         return { number, task, run, end, checkpoint };
     }
 
-    /** Another life of a worker counts its ends from 1. */
+    /** Restarts the end numbers of a worker at 1, as a new incarnation does. */
     countAnew(worker: string): void {
         this.#numbers.delete(worker);
     }
 
-    /** Another owner takes over with what is kept, and with the configuration or without one. */
+    /** Replaces the scheduler by one that is restored from `snapshot`, or from the persisted records. Records not persisted are lost. */
     takeOver(snapshot?: CellSnapshot, isConfigured = true): void {
         this.#unkept = [];
         const records = snapshot === undefined ? [...this.records] : [];
@@ -148,7 +148,7 @@
     }
 }
 
-/** A run as a worker's look shows it. */
+/** Builds the report of a run in progress. */
 export const running = ({ task, run }: StartCommand, percent = 10, checkpoint = ""): WorkerRun => ({
     task,
     run,
--- a/packages/cell/test/support/crashing-cell.ts
+++ b/packages/cell/test/support/crashing-cell.ts
@@ -1,7 +1,4 @@
-/**
- * A cell on which some tasks crash each worker that starts them. Each worker is back at its address after a while, half of them under the
- * id that they had.
- */
+/** Simulation of a cell whose workers crash. */
 import {
     ManualClock,
     type Milliseconds,
@@ -23,29 +20,29 @@
 import { makeWorker } from "./builders.js";
 import { CellDriver, running } from "./cell-driver.js";
 
-/** Time between two looks at all workers. */
+/** Time between two polls of all workers. */
 const lookInterval: Milliseconds = 50;
-/** How long a crashed worker is away. */
+/** Time after which a crashed worker is replaced. */
 const restartTime: Milliseconds = 3_000;
-/** Leases run longer than a worker is away. */
+/** Longer than a restart takes. */
 const leaseLength: Milliseconds = 6_000;
-/** A member of a gang ends alone when the others are not there by then. */
+/** Time after which a gang member ends because other members have not started. */
 const gangWait: Milliseconds = 3_000;
-/** The last answer of a worker whose machine is up when its port is found closed. */
+/** Time since the last answer of a worker when its silence is noticed. */
 const heardAgo: Milliseconds = 5;
 
-/** One place at which workers live one after the other. */
+/** A machine on which one worker follows another. */
 interface Place {
     address: string;
     worker: WorkerId;
     life: WorkerLife;
-    /** When the next worker comes there; undefined while one is up. */
+    /** When the next worker starts; undefined while one is up. */
     backAt: Milliseconds | undefined;
-    /** Until then nobody reaches the worker, which runs on. */
+    /** Until then the worker is unreachable but keeps running. */
     cutUntil: Milliseconds;
     isSilent: boolean;
     leaseUntil: Milliseconds;
-    /** Whether its next look is the first of an owner's link. */
+    /** Whether its next poll is the first of a link. */
     isNewLink: boolean;
     runs: HeldRun[];
     ended: EndedRun[];
@@ -56,13 +53,13 @@
     readonly startedAt: Milliseconds;
 }
 
-/** How a task behaves. */
+/** Behaviour of a task on its worker. */
 export interface Conduct {
-    /** After this long at work its worker crashes; undefined for a task that crashes none. */
+    /** Run time after which the task crashes its worker; undefined for an innocent task. */
     readonly crashesAfter: Milliseconds | undefined;
-    /** How long it takes; infinite for a task that lasts. */
+    /** Duration of the task; infinite for a lasting task. */
     readonly takes: Milliseconds;
-    /** How many tasks work only together; left out for a task that works alone. */
+    /** Number of gang members that must run at the same time; absent for a task outside a gang. */
     readonly gangSize?: number;
 }
 
@@ -70,26 +67,28 @@
 export interface Crash {
     readonly at: Milliseconds;
     readonly worker: WorkerId;
-    /** The task that did it; undefined when the worker crashed for a reason of its own. */
+    /** The task that caused it; undefined when the worker crashed for another reason. */
     readonly by: TaskAddress | undefined;
     readonly tasks: readonly TaskAddress[];
     readonly backAt: Milliseconds;
 }
 
-/** See the module's comment. */
+/**
+ * A cell in which some tasks crash every worker that starts them. Crashed workers are replaced at their address after a while,
+ * alternately under the same id and under a new one.
+ */
 export class CrashingCell {
     readonly clock = new ManualClock();
     readonly driver: CellDriver;
     readonly starts: StartCommand[] = [];
     readonly crashes: Crash[] = [];
-    /** Whether the answer to the next start is lost; the start is carried out all the same. */
+    /** Decides whether the answer to the next start is lost, although the start is carried out. */
     losesAnswer: () => boolean = () => false;
     readonly #places: Place[] = [];
     #lives = 0;
     #returns = 0;
     #addresses = 0;
 
-    /** `conductOf`: how a task behaves. */
     constructor(
         workers: number,
         private readonly conductOf: (task: TaskAddress) => Conduct,
@@ -116,17 +115,14 @@
         this.#turn();
     }
 
-    /** How many places there are. */
     get size(): number {
         return this.#places.length;
     }
 
-    /** Starts of one task. */
     startsOf(task: string): readonly StartCommand[] {
         return this.starts.filter(start => start.task === task);
     }
 
-    /** Lets time pass. */
     pass(duration: Milliseconds): void {
         const end = this.clock.monotonic() + duration;
         while (this.clock.monotonic() < end) {
@@ -135,7 +131,7 @@
         }
     }
 
-    /** One look at all workers. */
+    /** Polls all workers once and runs a turn. */
     step(): void {
         const now = this.clock.monotonic();
         for (const place of this.#places) {
@@ -150,7 +146,7 @@
         this.#turn();
     }
 
-    /** A worker crashes for a reason of its own; `isForGood`: the next worker comes at another address. */
+    /** Crashes a worker without a faulty task. `isForGood`: it is unlisted, and its successor gets another address. */
     crash(index: number, isForGood = false): void {
         const place = this.#places[index];
         this.#crash(place, undefined);
@@ -160,17 +156,16 @@
         }
     }
 
-    /** Nobody reaches a worker for a while. */
+    /** Makes a worker unreachable for a while. */
     cut(index: number, duration: Milliseconds): void {
         this.#places[index].cutUntil = this.clock.monotonic() + duration;
     }
 
-    /** Nobody reaches the worker of a name for a while. */
     cutWorker(worker: WorkerId, duration: Milliseconds): void {
         this.cut(this.#places.findIndex(place => place.worker === worker), duration);
     }
 
-    /** Another owner takes over with what is kept. */
+    /** Replaces the owner by one that is restored from the persisted records. */
     takeOver(): void {
         const now = this.clock.monotonic();
         this.driver.takeOver();
@@ -194,7 +189,7 @@
         return makeWorker(place.worker, { worker: place.worker, life: place.life, address: place.address });
     }
 
-    /** Begins a life, under the worker's former id or another. */
+    /** Starts the next worker of a machine, under the given id or a new one. */
     #begin(place: Place, id = workerId(`w${this.#lives + 1}`)): void {
         this.#lives++;
         place.worker = id;
@@ -240,7 +235,7 @@
         place.isNewLink = false;
     }
 
-    /** Members of a gang work from the moment that all are there, and one that is done counts for all. */
+    /** Members of a gang start to work when all of them are running. */
     #isDone(run: HeldRun, now: Milliseconds): boolean {
         const { takes, gangSize } = this.conductOf(run.start.task);
         if (gangSize === undefined) {
@@ -260,7 +255,7 @@
         return this.#places.flatMap(place => place.runs).filter(other => isSameGang(other, run));
     }
 
-    /** The members of a gang are done together. */
+    /** Ends a run as done; members of a gang end together. */
     #finish(place: Place, run: HeldRun): void {
         if (this.conductOf(run.start.task).gangSize === undefined) {
             this.#end(place, run, RunEnd.Done);
--- a/packages/cell/test/support/fake-advice.ts
+++ b/packages/cell/test/support/fake-advice.ts
@@ -1,40 +1,40 @@
-/** The advice service in the tests' time: answers after a while, or never, and knows which tickets hold. */
+/** Simulated advice service. */
 import type { Milliseconds, SeededRandom, WorkerId } from "@pebbledale/core";
 import { type AdviceCommand, callDuration, type CellScheduler, type StartCommand } from "../../src/index.js";
 
-/** Policy of the queue that is advised on. */
+/** Advice policy of the queue under test. */
 export const fakePolicy = { decision: 150, eachWorker: 10, validity: 600 };
 
 interface Question {
     readonly command: AdviceCommand;
-    /** When the answer comes. */
+    /** When it is answered. */
     readonly at: Milliseconds;
 }
 
-/** See the module's comment. */
+/** Answers questions after the time that their calls take, loses some of them, and knows which tickets are valid. */
 export class FakeAdvice {
     #questions: Question[] = [];
-    /** By step, the one worker that may not run it. */
+    /** The one worker that may not run a step, by step. */
     readonly #refused = new Map<string, WorkerId>();
-    /** By step and worker, until when the newest ticket holds. */
+    /** Expiry of the latest ticket, by step and worker. */
     readonly #tickets = new Map<string, Milliseconds>();
 
-    /** `loss`: share of the questions that get no answer. */
+    /** `loss`: share of questions that get no answer. */
     constructor(private readonly random: SeededRandom, private readonly loss: number) {}
 
-    /** Takes questions in. */
+    /** Accepts questions, which are answered later. */
     ask(commands: readonly AdviceCommand[], now: Milliseconds): void {
         commands.forEach(command =>
             this.#questions.push({ command, at: now + callDuration(command.policy, command.workers.length) })
         );
     }
 
-    /** The owner that asked is gone. */
+    /** Drops all questions, as their owner is gone. */
     forget(): void {
         this.#questions = [];
     }
 
-    /** Gives the answers that are due. */
+    /** Delivers the answers that are due. */
     answer(cell: CellScheduler, now: Milliseconds): void {
         const due = this.#questions.filter(question => question.at <= now);
         this.#questions = this.#questions.filter(question => question.at > now);
@@ -56,13 +56,13 @@
         }
     }
 
-    /** Whether the ticket of a start holds. */
+    /** Whether a start has a valid ticket. */
     holds({ task, worker, ticket }: StartCommand, now: Milliseconds): boolean {
         const step = task.slice(0, task.lastIndexOf("/"));
         return ticket !== undefined && (this.#tickets.get(`${step} ${worker}`) ?? -Infinity) >= now;
     }
 
-    /** One worker in seven may not run a step, and only one for each step, so that every job has its place. */
+    /** Refuses at most one worker for each step, so that every job can be placed. */
     #isGood(step: string, worker: WorkerId): boolean {
         const numbers = `${step}${worker}`.match(/\d+/g)?.map(Number) ?? [];
         const isUnlucky = numbers.reduce((sum, number) => sum + number, 0) % 7 === 0;
--- a/packages/cell/test/support/fake-worker.ts
+++ b/packages/cell/test/support/fake-worker.ts
@@ -1,4 +1,4 @@
-/** A worker that keeps the rules of the workers' protocol, in the tests' time. */
+/** Simulated worker. */
 import type { FencingToken, Milliseconds, RunNumber, TaskAddress, WorkerId } from "@pebbledale/core";
 import {
     type EndedRun,
@@ -20,14 +20,14 @@
     readonly payload: string;
 }
 
-/** What a fake worker is told of a task that it starts. */
+/** Simulated behaviour of a task, which a start order does not contain. */
 export interface FakeTask {
     readonly size: TaskSize;
     readonly duration: Milliseconds;
     readonly end: RunEnd;
 }
 
-/** See the module's comment. */
+/** Implements the rules of the workers' protocol for fencing tokens, leases and acknowledged ends. */
 export class FakeWorker {
     readonly runs: Run[] = [];
     readonly ended: EndedRun[] = [];
@@ -38,7 +38,7 @@
 
     constructor(readonly id: WorkerId, readonly capacity: TaskSize) {}
 
-    /** Takes a start; undefined when it was taken. Starts whatever it is told, as workers without guard do. */
+    /** Starts a run; undefined when the order was accepted. It does not check its capacity. */
     start(
         command: Pick<StartCommand, "task" | "run" | "payload">,
         token: FencingToken,
@@ -68,7 +68,6 @@
         return undefined;
     }
 
-    /** Ends a run that it was told to stop. */
     stop(task: TaskAddress, run: RunNumber, token: FencingToken): void {
         if (token < this.token) {
             return;
@@ -77,7 +76,7 @@
         this.#end(entry => entry.task === task && entry.run === run, RunEnd.Stopped);
     }
 
-    /** Answers a look. */
+    /** Answers a poll; undefined when its token is out of date. */
     look(token: FencingToken, forgetThrough: number, leaseUntil: Milliseconds, now: Milliseconds): Look | undefined {
         if (token < this.token) {
             return undefined;
@@ -89,7 +88,7 @@
         return { clock: now, running: this.runs.map(run => seen(run, now)), ended: [...kept] };
     }
 
-    /** Lets time pass: runs end, and all of them when the lease is over. */
+    /** Ends the runs that are due, and all runs once the lease has expired. */
     tick(now: Milliseconds): void {
         for (const run of [...this.runs]) {
             if (run.endsAt <= now) {
@@ -101,7 +100,6 @@
         }
     }
 
-    /** Loses everything, as a crash does. */
     crash(): void {
         this.runs.length = 0;
         this.ended.length = 0;
--- a/packages/cell/test/support/fleet.ts
+++ b/packages/cell/test/support/fleet.ts
@@ -1,4 +1,4 @@
-/** Workers of uneven speed under steady load of tasks whose estimates are off, in the tests' time. */
+/** Simulation of workers of uneven speed. */
 import { logEvents, type Milliseconds, SeededRandom, type WorkerId } from "@pebbledale/core";
 import { placeOf, type StartCommand } from "../../src/index.js";
 import { idOf, makeJob, makeStep, makeWorker } from "./builders.js";
@@ -6,21 +6,21 @@
 
 const stepTime: Milliseconds = 50;
 const lookInterval: Milliseconds = 600;
-/** Workers have eight cores, tasks take one: so much of them is in use. */
+/** Share of the cores that the load uses; each task needs one core. */
 const mostUsed = 0.85;
 const cores = 8;
-/** Tasks of one step differ in their work by this share. */
+/** Maximum relative deviation of a task's work from the mean of its step. */
 const unevenness = 0.3;
 
-/** What a fleet is made from. */
+/** Load and workers of a simulation. */
 export interface FleetTerms {
     readonly seed: number;
-    /** By worker in turn. */
+    /** Speeds, assigned to workers in turn. */
     readonly speeds: readonly number[];
     readonly workers: number;
-    /** Natural logarithm of the factor by which estimates are off at most. */
+    /** Maximum error of estimates, as the natural logarithm of their ratio to the mean work. */
     readonly estimateError: number;
-    /** Tasks of a job and the work of one, from these to these. */
+    /** Ranges of the number of tasks of a job and of the work of one task. */
     readonly width: readonly [number, number];
     readonly work: readonly [Milliseconds, Milliseconds];
 }
@@ -32,10 +32,10 @@
     done: Milliseconds;
 }
 
-/** See the module's comment. */
+/** Runs a steady load of tasks with inaccurate estimates, and records which workers are judged slow. */
 export class Fleet {
     readonly driver = new CellDriver();
-    /** When workers were judged slow, by worker; of each the first time. */
+    /** When each worker was first judged slow. */
     readonly judgedAt = new Map<WorkerId, Milliseconds>();
     readonly #speeds = new Map<WorkerId, number>();
     readonly #runs = new Map<WorkerId, FleetRun[]>();
@@ -54,19 +54,19 @@
         }
     }
 
-    /** Tasks on these workers take so many times as long from now on; `Infinity` lets them stand still. */
+    /** Multiplies the duration of tasks on these workers from now on; `Infinity` stops them. */
     slowDown(workers: readonly WorkerId[], factor: number): void {
         workers.forEach(id => this.#speeds.set(id, this.#speeds.get(id)! / factor));
     }
 
-    /** Workers with at least so many tasks that have been at work for a time. */
+    /** Workers with at least `count` tasks that have been running for `time`. */
     withTasks(count: number, time: Milliseconds): readonly WorkerId[] {
         const since = this.driver.clock.monotonic() - time;
         const isLongAtWork = ({ begunAt }: FleetRun): boolean => begunAt <= since;
         return [...this.#runs].filter(([, runs]) => runs.filter(isLongAtWork).length >= count).map(([id]) => id);
     }
 
-    /** All workers of the one job that has the most, of those with at most so many. */
+    /** Workers of the job that is spread over the most workers, among jobs on at most `most` workers. */
     ofOneJob(most: number): readonly WorkerId[] {
         const workers = new Map<string, Set<WorkerId>>();
         for (const [id, runs] of this.#runs) {
@@ -79,7 +79,7 @@
         return [...jobs.reduce((widest, other) => other.size > widest.size ? other : widest)];
     }
 
-    /** Lets time pass under load. */
+    /** Runs the simulation for a while. */
     run(duration: Milliseconds): void {
         const { clock, cell } = this.driver;
         for (let passed = 0; passed < duration; passed += stepTime) {
@@ -109,7 +109,7 @@
         return least + this.#random.next() * (most - least);
     }
 
-    /** Hands jobs in while there is room. */
+    /** Submits a job unless enough cores are in use. */
     #fill(): void {
         const inUse = [...this.#runs.values()].reduce((sum, { length }) => sum + length, 0);
         if (inUse > this.terms.workers * cores * mostUsed) {
@@ -138,7 +138,7 @@
         }
     }
 
-    /** Workers are looked at in turn. */
+    /** Polls the workers whose turn it is. */
     #look(): void {
         const now = this.driver.clock.monotonic();
         [...this.#runs.keys()].forEach((id, index) => {
--- a/packages/cell/test/support/index.ts
+++ b/packages/cell/test/support/index.ts
@@ -1,4 +1,4 @@
-/** Support of the cell's tests. */
+/** Support for the cell's tests. */
 export * from "./builders.js";
 export * from "./cell-driver.js";
 export * from "./crashing-cell.js";
--- a/packages/cell/test/support/load/draw.ts
+++ b/packages/cell/test/support/load/draw.ts
@@ -1,76 +1,75 @@
-/** Draws the jobs of a load pattern, alike for the same seed. */
+/** Generates the jobs of a load pattern; the same seed gives the same jobs. */
 import { type Milliseconds, organisationName, queueName, SeededRandom } from "@pebbledale/core";
 import type { JobDefinition, StepDefinition } from "../../../src/index.js";
 import { makeJob, makeStep } from "../builders.js";
 import type { Burst, LoadPattern, QueueLoad, Spread, Swing } from "./pattern.js";
 
-/** A job with what only the pattern knows of it. */
+/** A generated job, with properties that the scheduler does not know. */
 export interface LoadJob {
     readonly at: Milliseconds;
     readonly load: QueueLoad;
     readonly definition: JobDefinition;
-    /** By step and task, what the task takes on a worker of full speed. */
+    /** Work of each task by step: its duration on a worker of full speed. */
     readonly works: readonly (readonly Milliseconds[])[];
-    /** By step, the task that fails once, if one does. */
+    /** By step, the task whose first run fails, if there is one. */
     readonly failing: readonly (number | undefined)[];
-    /** Whether its organisation has not handed in more jobs in its second than its weight. */
+    /** Whether it is within its organisation's entitlement: as many jobs in each second as the organisation's weight. */
     readonly isOwed: boolean;
-    /** Core-seconds of all its tasks. */
+    /** Core-seconds of work of all its tasks. */
     readonly size: number;
-    /** The longest chain of work. */
+    /** Work of the longest chain of dependent steps. */
     readonly chain: Milliseconds;
-    /** When its caller cancels it, after it was handed in; undefined when its tasks end by themselves. */
+    /** Time after which its caller cancels it; undefined when its tasks end by themselves. */
     readonly stay: Milliseconds | undefined;
 }
 
 const millisecondsPerSecond = 1_000;
-/** Arrivals are drawn in slices of this length. */
+/** Interval for which arrivals are generated at a time. */
 const slice: Milliseconds = 10;
 
-/** Draws sizes from one generator. */
+/** Random samples from one seeded generator. */
 export class Drawer {
     constructor(private readonly random: SeededRandom) {}
 
-    /** True with this chance. */
     happens(chance: number): boolean {
         return this.random.next() < chance;
     }
 
-    /** A whole number from 0, below a limit. */
+    /** Integer from 0 to below `limit`. */
     below(limit: number): number {
         return Math.floor(this.random.next() * limit);
     }
 
-    /** A factor around 1, off by at most a share. */
+    /** Factor that deviates from 1 by at most `share`. */
     around(share: number): number {
         return 1 + (this.random.next() * 2 - 1) * share;
     }
 
-    /** A factor whose logarithm is off by at most `error`. */
+    /** Factor whose natural logarithm deviates from 0 by at most `error`. */
     factor(error: number): number {
         return Math.exp((this.random.next() * 2 - 1) * error);
     }
 
-    /** A size of a spread. */
+    /** Sample of a lognormal distribution. */
     size({ mean, spread, most }: Spread): number {
         const variance = Math.log(1 + spread * spread);
         const drawn = Math.exp(Math.log(mean) - variance / 2 + Math.sqrt(variance) * this.#normal());
         return Math.min(most, drawn);
     }
 
-    /** A whole number of a spread, from 1. */
+    /** Sample rounded to an integer, at least 1. */
     count(spread: Spread): number {
         return Math.max(1, Math.round(this.size(spread)));
     }
 
-    /** Of the standard normal distribution (Box and Muller). */
+    /** Sample of the standard normal distribution (Box-Muller transform). */
     #normal(): number {
         const radius = Math.sqrt(-2 * Math.log(1 - this.random.next()));
         return radius * Math.cos(2 * Math.PI * this.random.next());
     }
 }
 
-/** All jobs of a pattern, in the order of their arrival. */
+/** Generates all jobs of a pattern, in order of arrival. */
 export const drawJobs = (pattern: LoadPattern): LoadJob[] => {
     const jobs: LoadJob[] = [];
     for (const load of pattern.queues) {
@@ -89,7 +88,7 @@
     return pattern.isWithoutSurplus === true ? dealt.filter(({ isOwed }) => isOwed) : dealt;
 };
 
-/** Gives each job to an organisation by the weights; those beyond the usual ones of a burst to the one that sends it. */
+/** Assigns jobs to organisations by weight, and the additional jobs of a burst to the organisation that causes it. */
 const dealToOrganisations = (
     { organisations = [], bursts, seed }: LoadPattern,
     jobs: readonly LoadJob[],
--- a/packages/cell/test/support/load/index.ts
+++ b/packages/cell/test/support/load/index.ts
@@ -1,4 +1,4 @@
-/** Replays of load on virtual time: a pattern is drawn, the real decisions are driven over it, callers' view is measured. */
+/** Replays of load patterns on virtual time: the real scheduler runs on simulated workers, and callers' results are measured. */
 export * from "./draw.js";
 export * from "./kiosk-patterns.js";
 export * from "./outcome.js";
--- a/packages/cell/test/support/load/kiosk-patterns.ts
+++ b/packages/cell/test/support/load/kiosk-patterns.ts
@@ -1,12 +1,12 @@
 /**
- * Load patterns of a cell of two services: workers of three sizes that urgent small jobs share with patient ones and with tasks that
- * last, and workers with accelerators that wide gangs share with small tasks.
+ * Load patterns of a cell with two services: workers of three sizes for urgent, deferrable and lasting jobs, and workers with
+ * accelerators for wide gangs and small tasks.
  */
 import type { LoadPattern, LoadService, QueueLoad } from "./pattern.js";
 
 const accelerated = "accelerated";
 
-/** Urgent jobs of narrow steps whose estimates are far off. */
+/** Urgent jobs of narrow steps with inaccurate estimates. */
 const quotes: QueueLoad = {
     name: "urgent",
     priority: 0,
@@ -27,7 +27,7 @@
     worth: 0.46,
 };
 
-/** Patient jobs of many tasks, most of which save their progress; they would fill the service by themselves. */
+/** Deferrable jobs of many tasks, most of which save progress; by themselves they would fill the service. */
 const settlements: QueueLoad = {
     name: "patient",
     priority: 2,
@@ -48,7 +48,7 @@
     worth: 3.9,
 };
 
-/** Tasks that last. */
+/** Lasting tasks. */
 const monitors: QueueLoad = {
     ...settlements,
     name: "lasting",
@@ -64,7 +64,7 @@
     advice: { decision: 728, eachWorker: 10.4, validity: 2_000, permittedShare: 0.3 },
 };
 
-/** Gangs that want two, four or all eight accelerators of each worker. */
+/** Gangs whose members need two, four or all eight accelerators of a worker. */
 const screenings: QueueLoad = {
     ...settlements,
     name: "gangs",
@@ -88,7 +88,7 @@
     worth: 3.3,
 };
 
-/** Tasks of one accelerator on the same workers. */
+/** Tasks that need one accelerator of the same workers. */
 const readings: QueueLoad = {
     ...settlements,
     name: "small",
@@ -112,7 +112,7 @@
     slowness: [1, 1, 1.3],
 };
 
-/** A service that patient work fills beyond its room while urgent narrow jobs come, in their middle at twice their rate. */
+/** Deferrable work beyond the capacity of a service, with urgent narrow jobs and a burst of them. */
 export const fullKioskLoad: LoadPattern = {
     name: "full-kiosk",
     seed: 1,
@@ -132,7 +132,7 @@
     pauses: [],
 };
 
-/** The same with four times the urgent jobs for seven seconds: more than fits beside tasks that last, were there no patient work. */
+/** The same with a burst of urgent jobs that exceeds the capacity even without deferrable work. */
 export const floodedKioskLoad: LoadPattern = {
     ...fullKioskLoad,
     name: "flooded-kiosk",
@@ -140,11 +140,11 @@
     bursts: [{ queue: "urgent", at: 5_000, lasts: 7_000, factor: 4 }],
 };
 
-/** Jobs a second that twenty organisations are owed; limits do not bind. */
+/** Weights of twenty organisations, whose limits are too high to matter. */
 const weights = [22, 14, 11, 9, 8, 7, 6, 6, 5, 5, 4, 4, 4, 4, 3, 3, 3, 3, 2, 2];
 const coresPerWeight = 200;
 
-/** The same, shared by twenty organisations of which one of a middle size sends so much that urgent work doubles. */
+/** The same, shared by twenty organisations, with bursts of urgent jobs from two organisations of middle size. */
 export const hotKioskLoad: LoadPattern = {
     ...fullKioskLoad,
     name: "hot-kiosk",
@@ -159,7 +159,7 @@
     ],
 };
 
-/** Demand that swings by more than half, on small workers of three sizes and two speeds. */
+/** Oscillating demand on small workers of three sizes and two speeds. */
 export const wavesLoad: LoadPattern = {
     ...fullKioskLoad,
     name: "waves",
--- a/packages/cell/test/support/load/load-advice.ts
+++ b/packages/cell/test/support/load/load-advice.ts
@@ -1,17 +1,16 @@
-/** The advice service of a replay: which workers may run a step never changes. */
+/** Advice service of a replay. */
 import type { Milliseconds, WorkerId } from "@pebbledale/core";
 import type { Permit } from "../../../src/index.js";
 
-/** See the module's comment. */
+/** Permits workers by a hash of step and worker, so that its answers never change. */
 export class LoadAdvice {
     constructor(private readonly seed: number) {}
 
-    /** Whether a worker may run a step. */
     isPermitted(step: string, worker: WorkerId, share: number): boolean {
         return hashOf(`${this.seed} ${step} ${worker}`) < share;
     }
 
-    /** Permits of a question, with the time until which they hold as tickets. */
+    /** Answers a question; the tickets contain their expiry time. */
     permitsOf(step: string, workers: readonly WorkerId[], share: number, until: Milliseconds): Permit[] {
         return workers
             .filter(worker => this.isPermitted(step, worker, share))
@@ -19,7 +18,7 @@
     }
 }
 
-/** A number in [0, 1) that hangs on a text alone (FNV-1a, then mixed). */
+/** Hash of a text as a number in [0, 1) (FNV-1a with a final mix). */
 const hashOf = (text: string): number => {
     let hash = 0x81_1c_9d_c5;
     for (let index = 0; index < text.length; index++) {
--- a/packages/cell/test/support/load/load-worker.ts
+++ b/packages/cell/test/support/load/load-worker.ts
@@ -1,26 +1,26 @@
-/** A worker on which tasks take the time that their pattern says. */
+/** Simulated worker of a replay. */
 import type { Milliseconds, RunNumber, TaskAddress } from "@pebbledale/core";
 import type { EndedRun, Look, RunEnd, StepDefinition, WorkerEntry } from "../../../src/index.js";
 
-/** Progress of tasks that save it is saved after each stretch of work of this length (the users' `CheckpointS`). */
+/** Interval at which tasks that save progress write a checkpoint. */
 const savedEvery: Milliseconds = 2_000;
 
-/** One run as the replay knows it. */
+/** A run of the replay. */
 export interface LoadRun {
     readonly task: TaskAddress;
     readonly run: RunNumber;
     readonly worker: LoadWorker;
     readonly step: StepDefinition;
-    /** Share of the task that earlier runs had saved, from 0 to 1. */
+    /** Share of the task that is restored from a checkpoint, from 0 to 1. */
     readonly restored: number;
     readonly arrivedAt: Milliseconds;
-    /** When it is at work; undefined while its gang is not whole. */
+    /** When it started to work; undefined while members of its gang are missing. */
     began: Milliseconds | undefined;
-    /** When it would be done. */
+    /** When it will be done. */
     endsAt: Milliseconds;
 }
 
-/** See the module's comment. */
+/** Holds runs, reports them when polled, and numbers their ends. */
 export class LoadWorker {
     readonly runs = new Map<string, LoadRun>();
     isThere = true;
@@ -29,17 +29,15 @@
 
     constructor(readonly entry: WorkerEntry, readonly slowness: number) {}
 
-    /** Takes a run in. */
     add(run: LoadRun): void {
         this.runs.set(nameOf(run.task, run.run), run);
     }
 
-    /** A run that is here. */
     runOf(task: TaskAddress, run: RunNumber): LoadRun | undefined {
         return this.runs.get(nameOf(task, run));
     }
 
-    /** Ends a run that is here; false when it is not. */
+    /** Ends a run; false when the worker does not have it. */
     end(run: LoadRun, end: RunEnd, checkpoint: string): boolean {
         const isHere = this.runs.delete(nameOf(run.task, run.run));
         if (isHere) {
@@ -48,7 +46,7 @@
         return isHere;
     }
 
-    /** What a look shows. Ends are shown once: no message is lost here. */
+    /** Answers a poll. Each end is reported once, since no message is lost in a replay. */
     look(now: Milliseconds): Look {
         const ended = this.#ended;
         this.#ended = [];
@@ -63,13 +61,13 @@
     }
 }
 
-/** How much of its task a run has done, from 0 to 1. */
+/** Completed share of a run's task, from 0 to 1, including the restored part. */
 export const shareDone = ({ began, endsAt, restored }: LoadRun, now: Milliseconds): number => {
     const done = began === undefined ? 0 : Math.min(1, Math.max(0, (now - began) / Math.max(1, endsAt - began)));
     return restored + (1 - restored) * done;
 };
 
-/** The progress that a run saved by itself, as its checkpoint. */
+/** The latest checkpoint that a run wrote; empty when there is none. */
 const savedOf = (run: LoadRun, now: Milliseconds): string => {
     if (!run.step.savesProgress || run.began === undefined) {
         return "";
--- a/packages/cell/test/support/load/main.ts
+++ b/packages/cell/test/support/load/main.ts
@@ -1,4 +1,4 @@
-/** Plays load patterns by hand and prints what callers had: `npm run replay -- PATTERN SEED...`. */
+/** Replays load patterns from the command line and prints callers' results: `npm run replay -- PATTERN SEED...`. */
 import { SystemClock } from "@pebbledale/core";
 import { floodedKioskLoad, fullKioskLoad, hotKioskLoad, wavesLoad } from "./kiosk-patterns.js";
 import type { Outcome, Served } from "./outcome.js";
--- a/packages/cell/test/support/load/outcome.ts
+++ b/packages/cell/test/support/load/outcome.ts
@@ -1,71 +1,71 @@
-/** What callers had of a replay, and what it cost. */
+/** Results of a replay. */
 import type { Milliseconds } from "@pebbledale/core";
 import type { LoadJob } from "./draw.js";
 
-/** A job that takes up to this many times its objective is late and worth a part; after that it is worth nothing. */
+/** A job that takes up to this multiple of its objective is late and earns part of its value; a later one earns nothing. */
 const lateFactor = 3;
-/** What a late job is worth, as a share. */
+/** Share of its value that a late job earns. */
 const lateWorth = 0.2;
-/** A job is worth this much of its queue's mean, and the rest by its work, at most four times the mean (the users' rules). */
+/** Share of a job's value that does not depend on its size. */
 const fixedWorth = 0.3;
 const mostWorth = 4;
-/** Jobs are looked at by when they were handed in, in windows of this length. */
+/** Length of the windows of submission time by which jobs are grouped. */
 const windowLength: Milliseconds = 2_000;
 
-/** What callers of some jobs had. */
+/** Service level of a group of jobs. */
 export interface Served {
     readonly asked: number;
     readonly onTime: number;
     readonly late: number;
-    /** Worth earned as a share of worth asked. */
+    /** Earned share of the jobs' total value. */
     readonly share: number;
     readonly median: Milliseconds;
 }
 
-/** What callers of one queue had, also of its largest tenth of jobs and the fifth beneath. */
+/** Service levels of a queue, also for the largest tenth of its jobs and the fifth that follows by size. */
 export interface QueueOutcome {
     readonly all: Served;
     readonly largestTenth: Served;
     readonly fifthBeneath: Served;
 }
 
-/** See the module's comment. */
+/** Results that callers see, and what they cost in work and questions. */
 export interface Outcome {
     readonly total: number;
     readonly queues: Readonly<Record<string, QueueOutcome>>;
-    /** Worth earned as a share of worth asked, by organisation; empty without any. */
+    /** Earned share of value by organisation; empty in a cell without organisations. */
     readonly organisations: ReadonlyMap<string, number>;
-    /** The same of the tenth of the organisations that has the least; undefined without any. */
+    /** The same for the worst-served tenth of the organisations; undefined in a cell without organisations. */
     readonly worstOrganisations: number | undefined;
-    /** Worth earned as a share of worth asked, of jobs handed in during each of the two worst windows. */
+    /** Earned share of value of the jobs submitted in the two worst windows. */
     readonly worstWindows: number;
-    /** Share of the time of tasks that last in which they were at work; undefined where there are none. */
+    /** Share of their time for which lasting tasks were running; undefined where there are none. */
     readonly lastingShare: number | undefined;
-    /** Share of all processors that was free while tasks of the same service waited; by service, and in all. */
+    /** Share of all processors that was free while tasks of the same service waited, by service and in total. */
     readonly idleShares: Readonly<Record<string, number>>;
     readonly idleShare: number;
-    /** Core-seconds of work that was thrown away, as a share of all that was done. */
+    /** Share of the completed core-seconds that was lost. */
     readonly wastedShare: number;
-    /** Runs stopped, by reason. */
+    /** Number of stopped runs by reason. */
     readonly stops: Readonly<Record<string, number>>;
     /** How often a worker was judged slow. */
     readonly slowJudgements: number;
     readonly questions: number;
-    /** What passes over what waits took; empty without a stopwatch. */
+    /** Durations of the scheduling cycles; empty without a stopwatch. */
     readonly passes: readonly Milliseconds[];
-    /** Most workers that one task at fault crashed. */
+    /** Maximum number of workers that one task crashed. */
     readonly mostCrashes: number;
-    /** What must not happen. */
+    /** Violated invariants. */
     readonly broken: readonly string[];
 }
 
-/** One job with when it ended; undefined when it did not. */
+/** A job with the time that it took; undefined when it did not end. */
 export interface JobOutcome {
     readonly job: LoadJob;
     readonly took: Milliseconds | undefined;
 }
 
-/** What callers of some jobs had. `mean`: mean size of their queue's jobs. */
+/** Computes the service level of jobs of one queue. `mean`: mean size of the queue's jobs. */
 export const served = (jobs: readonly JobOutcome[], mean: number): Served => {
     const grades = jobs.map(gradeOf);
     const worths = jobs.map(({ job }) => worthOf(job, mean));
@@ -80,7 +80,7 @@
     };
 };
 
-/** Outcomes of one queue. */
+/** Computes the service levels of one queue. */
 export const queueOutcome = (jobs: readonly JobOutcome[]): QueueOutcome => {
     const mean = jobs.reduce((sum, { job }) => sum + job.size, 0) / Math.max(1, jobs.length);
     const bySize = [...jobs].sort((left, right) => right.job.size - left.job.size);
@@ -92,7 +92,7 @@
     };
 };
 
-/** Worth earned in all, as a share of worth asked. */
+/** Earned share of the value of all queues. */
 export const totalShare = (queues: ReadonlyMap<string, readonly JobOutcome[]>): number => {
     let asked = 0;
     let earned = 0;
@@ -104,7 +104,7 @@
     return earned / Math.max(1e-9, asked);
 };
 
-/** What each organisation had of the worth that it asked for. */
+/** Earned share of value by organisation. */
 export const organisationShares = (queues: ReadonlyMap<string, readonly JobOutcome[]>): Map<string, number> => {
     const byOrganisation = new Map<string, { readonly asked: number; readonly earned: number; }>();
     for (const jobs of queues.values()) {
@@ -124,14 +124,14 @@
     return new Map([...byOrganisation].map(([name, { asked, earned }]) => [name, earned / asked]));
 };
 
-/** What the worst-served tenth of the organisations had of the worth that it asked for. */
+/** Mean earned share of the worst-served tenth of the organisations; undefined without organisations. */
 export const worstTenth = (organisations: ReadonlyMap<string, number>): number | undefined => {
     const shares = [...organisations.values()].sort((left, right) => left - right);
     const worst = shares.slice(0, Math.ceil(shares.length / 10));
     return worst.length === 0 ? undefined : worst.reduce((sum, share) => sum + share, 0) / worst.length;
 };
 
-/** What callers had of the jobs that were handed in during the two worst windows. */
+/** Mean earned share of the jobs submitted in the two worst windows. */
 export const worstWindows = (queues: ReadonlyMap<string, readonly JobOutcome[]>): number => {
     const windows = new Map<number, { asked: number; earned: number; }>();
     for (const jobs of queues.values()) {
--- a/packages/cell/test/support/load/pattern.ts
+++ b/packages/cell/test/support/load/pattern.ts
@@ -1,8 +1,8 @@
-/** Load patterns: what callers hand in, on which workers, and what goes wrong meanwhile. Times are in milliseconds. */
+/** Load patterns: submitted jobs, workers and faults of a replay. Times are in milliseconds. */
 import type { Milliseconds } from "@pebbledale/core";
 import type { AdvicePolicy, TaskSize } from "../../../src/index.js";
 
-/** Sizes around a mean: lognormal, cut at `most`. */
+/** Lognormal distribution, truncated at `most`. */
 export interface Spread {
     readonly mean: number;
     /** Standard deviation as a share of the mean. */
@@ -10,12 +10,12 @@
     readonly most: number;
 }
 
-/** Advice on the steps of a queue: each worker is permitted with this chance, for each step anew. */
+/** Advice about the steps of a queue: each worker is permitted with this probability, independently for each step. */
 export interface LoadAdvice extends AdvicePolicy {
     readonly permittedShare: number;
 }
 
-/** What callers of one queue hand in. */
+/** Jobs that callers submit to one queue. */
 export interface QueueLoad {
     readonly name: string;
     readonly priority: number;
@@ -26,45 +26,45 @@
     readonly width: Spread;
     readonly processorThousandths: Spread;
     readonly memoryMebibytes: Spread;
-    /** Accelerators of a task, one of these for each job; left out where tasks want none. */
+    /** Numbers of accelerators per task, one of which is chosen for each job; absent where tasks need none. */
     readonly accelerators?: readonly number[];
-    /** The service whose workers run it; left out for the pattern's first one. */
+    /** Service whose workers run the jobs; absent for the first service of the pattern. */
     readonly service?: string;
-    /** Its tasks last until the caller cancels the job after this time; left out where they end by themselves. */
+    /** Time after which the caller cancels the job, whose tasks are lasting ones; absent where tasks end by themselves. */
     readonly stay?: Spread;
-    /** Work of one task on a worker of full speed. */
+    /** Duration of one task on a worker of full speed. */
     readonly work: Spread;
-    /** How far tasks of one step differ, as a share of their mean. */
+    /** Maximum relative deviation of a task's work from the mean of its step. */
     readonly unevenness: number;
-    /** How far the callers' estimates are off: the natural logarithm of the factor is within plus or minus this. */
+    /** Maximum error of estimates, as the natural logarithm of their ratio to the mean work. */
     readonly estimateError: number;
-    /** Shares of the steps, from 0 to 1. */
+    /** Share of the steps with several tasks that are gangs, from 0 to 1. */
     readonly gangShare: number;
     readonly savesShare: number;
-    /** Of each step: the chance that one task fails once, by its own fault. */
+    /** Probability for each step that the first run of one of its tasks fails. */
     readonly failingShare: number;
     /** Whether the first task of each job crashes every worker that starts it. */
     readonly crashesWorkers?: boolean;
     readonly advice: LoadAdvice | undefined;
-    /** What a mean job is worth to its caller. */
+    /** Value of a job of mean size to its caller. */
     readonly worth: number;
 }
 
-/** One of those that share the cell; jobs are of it in the share of its weight. */
+/** An organisation, which submits jobs in proportion to its weight. */
 export interface LoadOrganisation {
     readonly name: string;
     readonly weight: number;
-    /** Cores that it may have at work. */
+    /** Cores that its running tasks may use. */
     readonly cores: number;
 }
 
-/** Demand that rises and falls: by this share of the mean, once in each period. */
+/** Sinusoidal change of the arrival rate; `share` is its amplitude relative to the mean. */
 export interface Swing {
     readonly share: number;
     readonly period: Milliseconds;
 }
 
-/** Workers of a further service. */
+/** A service and its workers. */
 export interface LoadService {
     readonly name: string;
     readonly workers: number;
@@ -73,71 +73,71 @@
     readonly slowness: readonly number[];
 }
 
-/** A queue's load multiplied for a while. */
+/** Temporary multiplication of a queue's arrival rate. */
 export interface Burst {
     readonly queue: string;
-    /** Whose the jobs beyond the usual ones are; left out where they are everyone's. */
+    /** Organisation that submits the additional jobs; absent if all organisations do. */
     readonly organisation?: string;
     readonly at: Milliseconds;
     readonly lasts: Milliseconds;
     readonly factor: number;
 }
 
-/** Workers that say that they leave, and go when their notice is over. */
+/** A share of the workers announces that it leaves, and does so after the notice period. */
 export interface Departure {
     readonly at: Milliseconds;
     readonly share: number;
     readonly notice: Milliseconds;
 }
 
-/** Workers that crash for a reason of their own. */
+/** A share of the workers crashes without a faulty task. */
 export interface CrashWave {
     readonly at: Milliseconds;
     readonly share: number;
 }
 
-/** Records are kept this much later for a while: the store is slow. */
+/** Temporary additional delay of the store. */
 export interface SlowStore {
     readonly at: Milliseconds;
     readonly lasts: Milliseconds;
     readonly delay: Milliseconds;
 }
 
-/** Nothing is taken or decided for a while: the cell changes its owner. Jobs that come meanwhile are taken after it. */
+/** Time without an owner. Jobs that arrive meanwhile are accepted afterwards. */
 export interface Pause {
     readonly at: Milliseconds;
     readonly lasts: Milliseconds;
 }
 
-/** A whole pattern. */
+/** Complete description of a replay. */
 export interface LoadPattern {
     readonly name: string;
     readonly seed: number;
     readonly workers: number;
     readonly capacity: TaskSize;
     readonly workersPerRack: number;
-    /** Workers have this many times the capacity, by worker in turn; left out where all are alike. */
+    /** Factors of the capacity, assigned to workers in turn; absent where all workers are equal. */
     readonly sizes?: readonly number[];
-    /** Tasks take this many times their work, by worker in turn. */
+    /** Factors of the duration of tasks, assigned to workers in turn. */
     readonly slowness: readonly number[];
-    /** Services beside the first. */
+    /** Services besides the first one. */
     readonly otherServices?: readonly LoadService[];
-    /** Left out where demand is even. */
+    /** Absent where the arrival rate is constant. */
     readonly swing?: Swing;
-    /** VMs that ask the advice service, one call at a time each. */
+    /** Number of VMs that ask the advice service, each with one call at a time. */
     readonly askers: number;
-    /** Jobs come for so long. */
+    /** Time for which jobs arrive. */
     readonly lasts: Milliseconds;
-    /** What was accepted is given so long to end after that. */
+    /** Additional time for accepted jobs to end. */
     readonly drains: Milliseconds;
     readonly queues: readonly QueueLoad[];
     readonly bursts: readonly Burst[];
-    /** Left out where nobody is told apart. */
+    /** Absent in a cell without organisations. */
     readonly organisations?: readonly LoadOrganisation[];
-    /** Whether jobs beyond what their organisations are owed are left out, so that the others can be compared with and without them. */
+    /** Leaves out jobs beyond their organisations' entitlement, to compare the others with and without them. */
     readonly isWithoutSurplus?: boolean;
     readonly departures: readonly Departure[];
-    /** Left out where only tasks crash workers, or nothing does. */
+    /** Absent where workers crash only because of faulty tasks, or not at all. */
     readonly crashes?: readonly CrashWave[];
     readonly slowStores: readonly SlowStore[];
     readonly pauses: readonly Pause[];
--- a/packages/cell/test/support/load/patterns.ts
+++ b/packages/cell/test/support/load/patterns.ts
@@ -1,4 +1,4 @@
-/** Load patterns of a cell with urgent small jobs, patient batches, and wide gangs that few workers may run. */
+/** Load patterns of a cell with small urgent jobs, deferrable batches, and wide gangs that few workers are permitted to run. */
 import type { LoadPattern, QueueLoad } from "./pattern.js";
 
 /** Urgent jobs of a few tasks, some of them gangs. */
@@ -22,7 +22,7 @@
     worth: 0.413,
 };
 
-/** Patient jobs of many small tasks, most of which save their progress. */
+/** Deferrable jobs of many small tasks, most of which save progress. */
 const patient: QueueLoad = {
     name: "patient",
     priority: 2,
@@ -43,7 +43,7 @@
     worth: 2.62,
 };
 
-/** Wide gangs: a task takes more than a quarter of a worker, and one worker in four may run a step. */
+/** Wide gangs of large tasks; one worker in four is permitted to run a step. */
 const wide: QueueLoad = {
     name: "wide",
     priority: 1,
@@ -64,7 +64,7 @@
     worth: 8.53,
 };
 
-/** The cell at about three quarters of its room, without bursts. */
+/** Load of about three quarters of the cell's capacity, without bursts. */
 export const steadyLoad: LoadPattern = {
     name: "steady",
     seed: 1,
@@ -82,7 +82,7 @@
     pauses: [],
 };
 
-/** Urgent jobs at twice their load for four seconds, then wide gangs at 1.7 times theirs; workers leave at short notice. */
+/** A burst of urgent jobs, then one of wide gangs, while workers leave at short notice. */
 export const worstLoad: LoadPattern = {
     ...steadyLoad,
     name: "worst",
@@ -94,7 +94,7 @@
     departures: [{ at: 7_600, share: 0.075, notice: 3_000 }, { at: 18_700, share: 0.075, notice: 3_000 }],
 };
 
-/** A small cell: 33 workers, and seven VMs that ask. */
+/** A small cell with few VMs that ask the advice service. */
 export const smallLoad: LoadPattern = {
     ...steadyLoad,
     name: "small",
@@ -136,7 +136,7 @@
     ],
 };
 
-/** A cell of 245 workers whose wide gangs are as wide as those of a larger one. */
+/** A cell of medium size whose gangs are as wide as those of a larger one. */
 export const grownLoad: LoadPattern = {
     ...smallLoad,
     name: "grown",
@@ -170,10 +170,7 @@
     ],
 };
 
-/**
- * A small cell with some jobs whose first task crashes each worker that starts it, in whose middle workers also crash for reasons of
- * their own, a fifth at once.
- */
+/** A small cell with some tasks that crash their workers, and with crashes of many workers at once. */
 export const crashingLoad: LoadPattern = {
     ...smallLoad,
     name: "crashing",
@@ -191,7 +188,7 @@
     crashes: [{ at: 6_000, share: 0.2 }, { at: 10_000, share: 0.2 }, { at: 14_000, share: 0.2 }],
 };
 
-/** Urgent jobs at twice their load, and in the middle of it three seconds without an owner. */
+/** A burst of urgent jobs, during which the cell has no owner for a while. */
 export const backlogLoad: LoadPattern = {
     ...worstLoad,
     name: "backlog",
@@ -200,10 +197,7 @@
     pauses: [{ at: 5_000, lasts: 3_000 }],
 };
 
-/**
- * Workers of 16 cores that hold three wide tasks each, a quarter of which may run a gang; questions about gangs take half a second.
- * Urgent jobs come at twice their load, then wide gangs.
- */
+/** Small workers that hold three gang members each, slow answers about gangs, and bursts of urgent jobs and of gangs. */
 export const narrowLoad: LoadPattern = {
     ...worstLoad,
     name: "narrow",
@@ -247,20 +241,20 @@
     departures: [],
 };
 
-/** The same, and in the middle six seconds without an owner: all that came meanwhile waits with what comes. */
+/** The same with six seconds without an owner, after which all jobs submitted meanwhile are waiting. */
 export const narrowBacklogLoad: LoadPattern = {
     ...narrowLoad,
     name: "narrow-backlog",
     pauses: [{ at: 12_000, lasts: 6_000 }],
 };
 
-/** Weights of twenty organisations, a few of them large; each may have 39.6 cores at work for each of its weight. */
+/** Weights of twenty organisations, to which their limits are proportional. */
 const weights = [33, 19, 14, 11, 9, 8, 7, 7, 6, 6, 5, 5, 5, 4, 4, 4, 4, 4, 4, 3];
 const coresPerWeight = 39.6;
 
 /**
- * The cell of workers of 16 cores shared by twenty organisations, each with a limit of 1.9 times its usual work; a small one sends eight
- * times its usual urgent jobs for ten seconds and one of the largest sends twice its usual patient ones.
+ * Small workers shared by twenty organisations with limits of about twice their usual load. A small organisation sends a burst of urgent
+ * jobs, and a large one a burst of deferrable jobs.
  */
 export const sharedLoad: LoadPattern = {
     ...narrowLoad,
@@ -277,7 +271,7 @@
     ],
 };
 
-/** The largest organisation sends three and a half times its usual of all for sixteen seconds. */
+/** The largest organisation multiplies its load on all queues. */
 export const hotLoad: LoadPattern = {
     ...sharedLoad,
     name: "hot",
--- a/packages/cell/test/support/load/replay.ts
+++ b/packages/cell/test/support/load/replay.ts
@@ -1,9 +1,4 @@
-/**
- * Drives the real decisions over a load pattern on virtual time.
- *
- * Delays are those measured on small VMs: a record is kept 25 ms after its turn, a message to a worker takes 5 ms, an end
- * is seen 10 ms after it came. No message is lost; what strikes is what the pattern says.
- */
+/** Replay of a load pattern. */
 import {
     type Clock,
     jobId,
@@ -57,17 +52,17 @@
 const messageDelay: Milliseconds = 5;
 const endDelay: Milliseconds = 10;
 const stopDelay: Milliseconds = 300;
-/** Least time between two passes over what waits. */
+/** Minimum time between two scheduling cycles. */
 const passInterval: Milliseconds = 20;
 const lookInterval: Milliseconds = 600;
 const tickInterval: Milliseconds = 100;
 const restoreTime: Milliseconds = 600;
-/** A task at fault crashes its worker after this time; the next life comes after that one, and leases run longer. */
+/** Delays from the start of a task at fault to the crash of its worker and from there to the worker's restart; leases last longer. */
 const crashDelay: Milliseconds = 10;
 const restartDelay: Milliseconds = 3_000;
 const crashedLease: Milliseconds = 6_000;
 const lease: Milliseconds = 1_000;
-/** A run that fails does so after this share of its work. */
+/** Share of the work after which a failing run fails. */
 const failsAfter = 0.5;
 
 interface Gang {
@@ -75,7 +70,10 @@
     hasEnded: boolean;
 }
 
-/** See the module's comment. */
+/**
+ * Runs the real scheduler over a load pattern on virtual time, with fixed delays for the store, messages and polls. No message is
+ * lost; the only faults are those of the pattern.
+ */
 export class Replay {
     readonly #clock = new ManualClock();
     readonly #cell: CellScheduler;
@@ -97,19 +95,19 @@
     readonly #passes: Milliseconds[] = [];
     #slowJudgements = 0;
     #questions = 0;
-    /** Jobs that end by themselves. */
+    /** Number of jobs that end by themselves. */
     readonly #endingJobs: number;
     #nextJob = 0;
     #nextPass: Milliseconds = 0;
     #worked = 0;
     #wasted = 0;
-    /** By service. */
+    /** Sum of the idle shares of all samples, by service. */
     readonly #idle = new Map<string, number>();
     #lastingTasks = 0;
     #lastingAtWork = 0;
     #samples = 0;
 
-    /** `stopwatch`: measures what passes take. */
+    /** `stopwatch`: real clock that measures the durations of scheduling cycles. */
     constructor(private readonly pattern: LoadPattern, private readonly stopwatch?: Clock) {
         this.#jobs = drawJobs(pattern);
         this.#jobs.forEach(job => this.#byId.set(job.definition.job, job));
@@ -132,7 +130,6 @@
         pattern.crashes?.forEach(wave => this.#at(wave.at, () => this.#crashShare(wave)));
     }
 
-    /** Plays the whole pattern. */
     run(): Outcome {
         const end = this.pattern.lasts + this.pattern.drains;
         while (this.#clock.monotonic() < end && !this.#isDone()) {
@@ -293,7 +290,7 @@
         }
     }
 
-    /** A worker ends without a word; another life comes at its address after a while, each second one under its id. */
+    /** Crashes a worker, which is replaced at its address later, alternately under the same id and under a new one. */
     #crash(worker: LoadWorker): void {
         if (!worker.isThere) {
             return;
@@ -327,7 +324,7 @@
         }
         this.#cell.changeWorkers([next], []);
         this.#after(recordDelay * 2, () => {
-            // The first look under the link to this life.
+            // The first poll of the link to this incarnation.
             this.#look(worker, this.#clock.monotonic());
             this.#lookAgain(worker);
         });
@@ -346,7 +343,7 @@
         }
     }
 
-    /** Tasks begin together and, as a gang, end together. */
+    /** Starts tasks that begin, and end, at the same time: a single task or a whole gang. */
     #begin(entries: readonly LoadRun[]): void {
         const now = this.#clock.monotonic();
         const isLasting = entries[0].step.isLasting;
@@ -375,7 +372,7 @@
         return work * worker.slowness * (1 - restored) + (restored > 0 ? restoreTime : 0);
     }
 
-    /** Whether a run is the one of its step that fails: the first of the task that the pattern names. */
+    /** Whether this is the run of its step that fails: the first run of the failing task. */
     #failsNow({ task }: LoadRun): boolean {
         const { job, step, index } = placeOf(task)!;
         if (this.#byId.get(job)!.failing[step] !== index || this.#failed.has(task)) {
@@ -451,7 +448,7 @@
         const first = this.#workers.size;
         for (let index = 0; index < workers; index++) {
             const rack = `r${first}-${Math.floor(index / workersPerRack)}`;
-            // Sizes change with each turn of the speeds, so that every size comes in every speed.
+            // The size changes after each round of speeds, so that all sizes occur with all speeds.
             const size = sizes[Math.floor(index / slowness.length) % sizes.length];
             const entry = makeWorker(`w${first + index}`, {
                 service: serviceName(name),
@@ -485,7 +482,7 @@
         this.#cell.takeSilence(id, this.#clock.monotonic() + lease);
     }
 
-    /** The service answers one call at a time for each VM that asks. */
+    /** Adds VMs for each of which the advice service answers one call at a time. */
     #addAskers(): void {
         for (let index = 0; index < this.pattern.askers; index++) {
             let busyUntil = 0;
@@ -506,7 +503,7 @@
         });
     }
 
-    /** Whether the organisation of a run has more at work, as the workers have it, than it may. */
+    /** Checks that the runs of a run's organisation are within its limit. */
     #checkLimit({ task }: LoadRun): void {
         const organisation = this.#organisationOf(task);
         const limit = this.pattern.organisations?.find(({ name }) => name === organisation);
@@ -553,7 +550,7 @@
         }
     }
 
-    /** Free processors count as idle up to what waiting tasks ask for. */
+    /** Samples idle processors: free ones, up to the demand of waiting tasks of the service. */
     #sample(): void {
         if (this.#clock.monotonic() > this.pattern.lasts) {
             return;
@@ -567,7 +564,7 @@
         this.#samples++;
     }
 
-    /** Tasks that last serve their callers by being at work. */
+    /** Samples the share of lasting tasks that are running, except those of jobs submitted recently. */
     #sampleLasting(): void {
         for (const { definition, stay } of this.#jobs.slice(0, this.#nextJob)) {
             const job = this.#cell.jobs.get(jobId(definition.job));
--- a/packages/cell/test/support/world.ts
+++ b/packages/cell/test/support/world.ts
@@ -1,7 +1,4 @@
-/**
- * A small cell under random faults: workers that keep their protocol's rules, links that lose and delay messages, and
- * owners that die. What must always hold is checked at the workers, whatever the owner believes.
- */
+/** Simulation of a cell under random faults. */
 import {
     fencingToken,
     jobId,
@@ -35,40 +32,40 @@
 const lease: Milliseconds = 2_000;
 const stepTime: Milliseconds = 50;
 const mostFailures = 3;
-/** A link to a later life of a worker has higher tokens. */
+/** Tokens are raised by this for each restart, so that links to later incarnations have higher ones. */
 const tokensPerLife = 1_000;
-/** A room that has shrunk counts from this long after the worker said so (the users' rules: three seconds and a beat). */
+/** Time after a change of capacity for which starts within the former capacity are still allowed. */
 const shrinkTime: Milliseconds = 4_500;
 
-/** How likely each fault is in one step of time, from 0 to 1. */
+/** Probability of each fault in one time step, from 0 to 1. */
 export interface Faults {
     readonly crash: number;
     readonly cut: number;
     readonly takeOver: number;
     readonly cancel: number;
-    /** Of each start: lost, answered late, or carried out late. */
+    /** For each start: its answer is lost, or it is carried out late. */
     readonly start: number;
-    /** Of each run: its task fails. */
+    /** For each run: it fails. */
     readonly fail: number;
-    /** A worker's room shrinks or grows. Undefined where it never does. */
+    /** A worker's capacity changes. Undefined if it never does. */
     readonly resize?: number;
-    /** The limit of an organisation falls or rises. Undefined where nobody is told apart. */
+    /** The limit of an organisation changes. Undefined in a cell without organisations. */
     readonly limits?: number;
-    /** Of each question to the advice service: it gets no answer. Undefined where nothing is advised on. */
+    /** For each question to the advice service: it gets no answer. Undefined in a cell without advice. */
     readonly advice: number | undefined;
 }
 
-/** No faults. */
+/** All probabilities zero, in a cell without organisations and advice. */
 export const noFaults: Faults = { crash: 0, cut: 0, takeOver: 0, cancel: 0, start: 0, fail: 0, advice: undefined };
 
-/** What an organisation may have at work, in cores: as it begins and ends, the least, and by how much it may be more. */
+/** Limits of an organisation in cores: initial and final one, minimum, and range above the minimum. */
 const usualLimit = 24;
 const leastLimit = 4;
 const limitRange = 36;
-/** A start that is carried out late was decided on so long ago at the most. */
+/** Maximum delay between the decision on a start and its execution. */
 const latestStart: Milliseconds = 3 * lease;
 
-/** What an organisation may have at work, and until when what it might have before still counts. */
+/** Limit of an organisation in cores, and former limits with the time until which they still count. */
 interface Limit {
     cores: number;
     former: { readonly cores: number; readonly until: Milliseconds; }[];
@@ -76,7 +73,7 @@
 
 interface Link {
     worker: FakeWorker;
-    /** What the worker says of its room, and until when what it said before still counts. */
+    /** Published capacity, and former ones with the time until which they still count. */
     room: TaskSize;
     former: { readonly room: TaskSize; readonly until: Milliseconds; }[];
     token: number;
@@ -85,9 +82,9 @@
     isAssigned: boolean;
     isSilent: boolean;
     reportedThrough: number;
-    /** The present life, once the worker was started again. */
+    /** Current incarnation; undefined before the first restart. */
     life: WorkerLife | undefined;
-    /** Whether it was started again and the owner has not heard of it. */
+    /** Whether it restarted and the owner does not know yet. */
     isRestarted: boolean;
 }
 
@@ -99,11 +96,14 @@
     readonly command: StartCommand;
 }
 
-/** See the module's comment. */
+/**
+ * A small cell with workers that follow their protocol, links that lose and delay messages, and owners that fail. The invariants are
+ * checked at the workers, independently of the owner's state.
+ */
 export class World {
     readonly clock = new ManualClock();
     readonly driver: CellDriver;
-    /** What was broken, in words. */
+    /** Violated invariants, one message each. */
     readonly broken: string[] = [];
     readonly #random: SeededRandom;
     readonly #advice: FakeAdvice | undefined;
@@ -135,12 +135,12 @@
         }
     }
 
-    /** Jobs that were handed in. */
+    /** Submitted jobs. */
     get jobs(): ReadonlyMap<string, JobDefinition> {
         return this.#jobs;
     }
 
-    /** Whether every job has its final state. */
+    /** Whether every job has ended. */
     get isFinished(): boolean {
         return [...this.#jobs.keys()].every(id => {
             const state = this.driver.cell.stateOf(jobId(id));
@@ -148,7 +148,7 @@
         });
     }
 
-    /** Hands a random job in. */
+    /** Submits a random job. */
     submit(): void {
         const id = `job${this.#nextJob++}`;
         const count = 1 + this.#below(3);
@@ -163,7 +163,7 @@
         this.driver.cell.submit(definition);
     }
 
-    /** One step of time under the faults, or without them. */
+    /** Advances the simulation by one time step, with or without faults. */
     step(hasFaults: boolean): void {
         this.clock.advance(stepTime);
         const now = this.clock.monotonic();
@@ -270,7 +270,7 @@
         }
     }
 
-    /** Whether the organisation of a task has more at work, as the workers have it, than it might have of late. */
+    /** Checks that the runs of a task's organisation, as its workers have them, are within its recent limits. */
     #checkLimit(task: TaskAddress): void {
         const name = this.#organisationOf(task);
         const limit = name === undefined ? undefined : this.#limits.get(name);
@@ -287,7 +287,7 @@
             .filter(run => this.#organisationOf(run.task) === name)
             .reduce((sum, { size }) => sum + size.processorThousandths, 0);
         if (used > most * 1_000) {
-            this.broken.push(`${name} has ${used} of ${most * 1_000} at work`);
+            this.broken.push(`${name} uses ${used} of ${most * 1_000} thousandths of a processor`);
         }
     }
 
@@ -302,7 +302,7 @@
         this.driver.cell.changeWorkers([this.#entryOf(link)], []);
     }
 
-    /** Rooms that have shrunk grow again once the faults are over: else a gang may be too wide for ever. */
+    /** Restores shrunk capacities when the faults are over; otherwise a gang might never fit. */
     #restoreRooms(now: Milliseconds): void {
         for (const link of this.#links.values()) {
             const { capacity } = link.worker;
@@ -319,7 +319,7 @@
         return makeWorker(link.worker.id, { capacity: link.room, ...life });
     }
 
-    /** The most that the worker has said of late. */
+    /** Largest capacity that the worker published recently, in thousandths of a processor. */
     #roomOf({ room, former }: Link): number {
         const now = this.clock.monotonic();
         const counted = former.filter(({ until }) => until >= now).map(entry => entry.room.processorThousandths);
@@ -340,7 +340,7 @@
         }
         const entries = [...this.#links.values()].map(link => this.#entryOf(link));
         this.driver.cell.listWorkers(entries);
-        // A job whose record was not kept is not known to its caller either: it is handed in again.
+        // Callers submit jobs again, because those whose records were not persisted are unknown to the new owner.
         this.#jobs.forEach(definition => this.driver.cell.submit(definition));
     }
 
@@ -355,14 +355,14 @@
         this.#addWorker();
     }
 
-    /** The worker is back at once under its id; its entry comes with its next look, or some time after. */
+    /** Restarts a worker immediately under its id. The owner learns of it at the next poll. */
     #restart(link: Link): void {
         link.worker = new FakeWorker(link.worker.id, link.worker.capacity);
         link.life = workerLife(this.#lives);
         link.isRestarted = true;
     }
 
-    /** The link of the former life ends with the first answer of the next one. */
+    /** Replaces the link to the former incarnation when the new one answers for the first time. */
     #noteRestart(link: Link): void {
         link.isRestarted = false;
         link.isAssigned = true;
@@ -386,7 +386,7 @@
         }
         const look = link.worker.look(fencingToken(link.token), link.forgetThrough, now + lease, now);
         if (look === undefined) {
-            this.broken.push(`${link.worker.id} refuses the owner's token`);
+            this.broken.push(`${link.worker.id} refused the owner's token`);
             return;
         }
         const fresh = look.ended.filter(end => end.number > link.reportedThrough);
@@ -418,11 +418,11 @@
         this.#settle(link, command, now);
     }
 
-    /** No answer: the token is raised, and the next look is final. */
+    /** Settles a start without an answer: raises the token, so that the next poll is conclusive. */
     #settle(link: Link, { worker, task, run }: StartCommand, now: Milliseconds): void {
         link.token++;
         if (now < link.cutUntil) {
-            // The link goes on asking; what it finds once the worker answers settles this start too.
+            // The link keeps polling, and the first answer of the worker settles this start too.
             link.isAssigned = true;
             return;
         }
@@ -485,7 +485,7 @@
         return this.#jobs.get(place.job)!.steps[place.step];
     }
 
-    /** An end that another owner sees again counts once. */
+    /** Counts an end once, however many owners it is reported to. */
     #noteEnd({ task, run, end }: EndedRun): void {
         const name = `${task}#${run}`;
         if (this.#noted.has(name)) {
@@ -500,7 +500,7 @@
         }
     }
 
-    /** What must hold whenever a worker begins a run. */
+    /** Checks the invariants that apply when a worker starts a run. */
     #check(worker: FakeWorker, { task, payload }: StartCommand, step: StepDefinition): void {
         const place = placeOf(task)!;
         for (const { worker: other } of this.#links.values()) {
@@ -512,28 +512,28 @@
         const used = worker.runs.reduce((sum, run) => sum + run.size.processorThousandths, 0);
         const link = this.#links.get(worker.id);
         if (link !== undefined && used > this.#roomOf(link)) {
-            this.broken.push(`${worker.id} is given ${used}`);
+            this.broken.push(`${worker.id} is overcommitted with ${used} thousandths of a processor`);
         }
         if (this.#isNoted(task)) {
-            this.broken.push(`${task} starts after it was done`);
+            this.broken.push(`${task} started after it was done`);
         }
         for (const before of step.after) {
             const tasks = this.#jobs.get(place.job)!.steps[before].taskCount;
             const isOpen = Array.from({ length: tasks }, (_, index) => index)
                 .some(index => !this.#isNotedOrGang(place.job, before, index));
             if (isOpen) {
-                this.broken.push(`${task} starts before step ${before} is done`);
+                this.broken.push(`${task} started before step ${before} was done`);
             }
         }
         if ((this.#failures.get(task) ?? 0) >= mostFailures) {
-            this.broken.push(`${task} starts after ${mostFailures} failed runs`);
+            this.broken.push(`${task} started after ${mostFailures} failed runs`);
         }
         const sameStep = worker.runs.filter(run => run.task.startsWith(`${place.job}/0/${place.step}/`)).length;
         if (step.mostPerWorker !== undefined && sameStep > step.mostPerWorker) {
             this.broken.push(`${worker.id} has ${sameStep} tasks of ${place.job}/0/${place.step}`);
         }
         if (payload !== this.#jobs.get(place.job)!.payload) {
-            this.broken.push(`${task} starts with another payload`);
+            this.broken.push(`${task} started with another payload`);
         }
     }
 
