--- a/packages/cell/src/runs/worker-entries.ts
+++ b/packages/cell/src/runs/worker-entry-reconciler.ts
@@ -4,7 +4,7 @@
 import { type CellContext, type TaskSize, WorkerState } from "../state/index.js";
 import type { WorkerEntry } from "../worker-directory/index.js";
 import type { WorkerListener } from "./types.js";
-import type { WorkerIncarnations } from "./worker-lives.js";
+import type { WorkerIncarnations } from "./worker-incarnations.js";
 
 /** Applies workers' entries from the platform's store: capacity, labels, and whether a worker drains. */
 export class WorkerEntryReconciler {
--- a/packages/cell/src/runs/worker-lives.ts
+++ b/packages/cell/src/runs/worker-incarnations.ts
@@ -3,7 +3,7 @@
 import { type CrashMonitor, LossCause, type SilenceHistory } from "../crashes/index.js";
 import type { CellContext, TaskRun, WorkerState } from "../state/index.js";
 import type { WorkerEntry } from "../worker-directory/index.js";
-import type { Loss, RunLifecycle } from "./run-book.js";
+import type { Loss, RunLifecycle } from "./run-lifecycle.js";
 import type { WorkerListener } from "./types.js";
 
 /** Decides which incarnation of a worker is the current one, and what happens to the runs of a former one. */
--- a/packages/cell/src/runs/worker-looks.ts
+++ b/packages/cell/src/runs/worker-poll-reconciler.ts
@@ -5,9 +5,9 @@
 import { type CellContext, type Task, TaskPhase, type TaskRun, type WorkerState } from "../state/index.js";
 import type { PollResult, WorkerRun } from "../task-worker/index.js";
 import type { ProgressMonitor } from "../watching/index.js";
-import type { RunLifecycle } from "./run-book.js";
+import type { RunLifecycle } from "./run-lifecycle.js";
 import type { WorkerListener } from "./types.js";
-import type { WorkerIncarnations } from "./worker-lives.js";
+import type { WorkerIncarnations } from "./worker-incarnations.js";
 
 /** Reconciles the runs that a worker reports with the runs that the owner expects there. */
 export class WorkerPollReconciler {
--- a/packages/cell/src/runs/worker-pool.ts
+++ b/packages/cell/src/runs/worker-pool.ts
@@ -7,11 +7,11 @@
 import type { ProgressMonitor } from "../watching/index.js";
 import type { WorkerEntry } from "../worker-directory/index.js";
 import { leaseMargin, unlistedGracePeriod } from "./constants.js";
-import type { RunLifecycle } from "./run-book.js";
+import type { RunLifecycle } from "./run-lifecycle.js";
 import type { Silence, WorkerListener } from "./types.js";
-import { WorkerEntryReconciler } from "./worker-entries.js";
-import { WorkerIncarnations } from "./worker-lives.js";
-import { WorkerPollReconciler } from "./worker-looks.js";
+import { WorkerEntryReconciler } from "./worker-entry-reconciler.js";
+import { WorkerIncarnations } from "./worker-incarnations.js";
+import { WorkerPollReconciler } from "./worker-poll-reconciler.js";
 
 /** Components that a worker pool works with. */
 export interface WorkerPoolOptions {
--- a/packages/cell/src/scheduler/cell-scheduler.ts
+++ b/packages/cell/src/scheduler/cell-scheduler.ts
@@ -39,9 +39,9 @@
 import { RunPreemptor, SavedProgressPreemption } from "../yielding/index.js";
 import { type CellSummary, summarizeCell } from "./cell-summary.js";
 import { failedRunDelay } from "./constants.js";
-import { JobLifecycle } from "./job-flow.js";
-import { StartDispatcher } from "./start-desk.js";
-import { OccurrenceTimer } from "./timetable-watch.js";
+import { JobLifecycle } from "./job-lifecycle.js";
+import { OccurrenceTimer } from "./occurrence-timer.js";
+import { StartDispatcher } from "./start-dispatcher.js";
 
 const unexplainedSilence: Silence = { cause: "no answer" };
 
@@ -164,7 +164,7 @@
     }
 
     /**
-     * Accepts a job, or returns the known one of the same id. The caller may be answered only after the record is persisted.
+     * Accepts a job, or returns the known one of the same id. The caller may be answered only after the record is committed.
      * Undefined when this owner's configuration does not name the job's queue or organisation.
      */
     submit(definition: JobDefinition): Job | undefined {
@@ -207,7 +207,7 @@
         );
     }
 
-    /** Cancels a job; false when it is unknown. The caller may be answered only after the record is persisted. */
+    /** Cancels a job; false when it is unknown. The caller may be answered only after the record is committed. */
     cancel(id: JobId): boolean {
         const job = this.#context.table.jobs.get(id);
         if (job === undefined) {
@@ -223,7 +223,7 @@
         return true;
     }
 
-    /** State of a job as reported to callers; undefined when it is unknown or its acceptance is not persisted yet. */
+    /** State of a job as reported to callers; undefined when it is unknown or its acceptance is not committed yet. */
     stateOf(id: JobId): CellJobState | undefined {
         const job = this.#context.table.jobs.get(id);
         return job?.isCommitted === true ? job.publishedState : undefined;
@@ -313,7 +313,7 @@
         this.#advice.drop(step, workers);
     }
 
-    /** Applies that all records of a turn are persisted. */
+    /** Applies that all records of a turn are committed. */
     turnCommitted(turn: TurnOutput): void {
         const { table, workers } = this.#context;
         for (const record of turn.records) {
@@ -335,7 +335,7 @@
         turn.changedJobs.forEach(id => this.#lifecycle.publishState(table.jobs.get(id)));
     }
 
-    /** Marks a start order as sent, now that its record is persisted; false when it must be dropped instead. */
+    /** Marks a start order as sent, now that its record is committed; false when it must be dropped instead. */
     prepareStart(worker: WorkerId, task: TaskAddress, run: RunNumber): boolean {
         return this.#starts.prepareStart(worker, task, run);
     }
--- a/packages/cell/src/scheduler/index.ts
+++ b/packages/cell/src/scheduler/index.ts
@@ -1,4 +1,4 @@
 /** The scheduler of a cell: runs jobs made of steps on leased and fenced workers. */
 export * from "./cell-scheduler.js";
 export * from "./cell-summary.js";
-export * from "./timetable-watch.js";
+export * from "./occurrence-timer.js";
--- a/packages/cell/src/scheduler/job-flow.ts
+++ b/packages/cell/src/scheduler/job-lifecycle.ts
@@ -10,7 +10,7 @@
     type Step,
 } from "../state/index.js";
 import type { HealthMonitor } from "../watching/index.js";
-import type { OccurrenceTimer } from "./timetable-watch.js";
+import type { OccurrenceTimer } from "./occurrence-timer.js";
 
 /** Components that follow the progress of jobs. */
 export interface JobLifecycleParts {
@@ -28,7 +28,7 @@
         private readonly requestCycle: () => void,
     ) {}
 
-    /** Reports the state of a job to callers once the records that led to it are persisted. */
+    /** Reports the state of a job to callers once the records that led to it are committed. */
     publishState(job: Job | undefined): void {
         if (job !== undefined && (job.publishedState === CellJobState.Queued || isTerminalState(job.state))) {
             job.publishedState = job.state;
--- a/packages/cell/src/scheduler/start-desk.ts
+++ b/packages/cell/src/scheduler/start-dispatcher.ts
@@ -4,7 +4,7 @@
 import { type CellContext, RunPhase, type Step } from "../state/index.js";
 import { OrderRefusal } from "../task-worker/index.js";
 
-/** Follows start orders: sent after their records are persisted, then accepted, refused, or dropped before they are sent. */
+/** Follows start orders: sent after their records are committed, then accepted, refused, or dropped before they are sent. */
 export class StartDispatcher {
     /** `onRoom`: called when resources may have become free. */
     constructor(
@@ -39,7 +39,7 @@
         this.onCapacityFreed();
     }
 
-    /** Marks a start order as sent, now that its record is persisted; false when the run must not be started any more. */
+    /** Marks a start order as sent, now that its record is committed; false when the run must not be started any more. */
     prepareStart(worker: WorkerId, task: TaskAddress, run: RunNumber): boolean {
         const entry = this.context.workers.get(worker)?.runOf(task, run);
         if (entry?.phase !== RunPhase.Ordered) {
--- a/packages/cell/src/state/entities.ts
+++ b/packages/cell/src/state/entities.ts
@@ -209,9 +209,9 @@
 export class Job {
     readonly occurrences = new Map<number, Occurrence>();
     state = CellJobState.Queued;
-    /** State reported to callers; it becomes final only after the record that ends the job is persisted. */
+    /** State reported to callers; it becomes final only after the record that ends the job is committed. */
     publishedState = CellJobState.Queued;
-    /** Whether the record that accepts the job is persisted. */
+    /** Whether the record that accepts the job is committed. */
     isCommitted = false;
     /** Numbers of the occurrences that are complete. */
     readonly doneOccurrences = new Set<number>();
@@ -255,7 +255,7 @@
         return timetable === undefined ? undefined : timetable.firstAt + number * timetable.interval;
     }
 
-    /** Whether it has ended, whether or not the record of that is persisted. */
+    /** Whether it has ended, whether or not the record of that is committed. */
     get isOver(): boolean {
         return isTerminalState(this.state);
     }
--- a/packages/cell/src/state/outbox.ts
+++ b/packages/cell/src/state/outbox.ts
@@ -49,10 +49,10 @@
 /** Everything that the inputs processed in one turn produced. */
 export interface TurnOutput {
     readonly records: readonly CellRecord[];
-    /** Stop and pace commands are sent immediately, start commands after the records are persisted. */
+    /** Stop and pace commands are sent immediately, start commands after the records are committed. */
     readonly commands: readonly WorkerCommand[];
     readonly questions: readonly AdviceRequest[];
-    /** Highest number of the ends that each worker incarnation may forget, once the records are persisted. */
+    /** Highest number of the ends that each worker incarnation may forget, once the records are committed. */
     readonly acknowledgements: ReadonlyMap<WorkerState, number>;
     readonly changedJobs: ReadonlySet<JobId>;
 }
@@ -82,7 +82,7 @@
         this.#questions.push(question);
     }
 
-    /** Lets a worker incarnation forget its ends up to number `through` once the records collected so far are persisted. */
+    /** Lets a worker incarnation forget its ends up to number `through` once the records collected so far are committed. */
     acknowledge(worker: WorkerState, through: number): void {
         this.#acknowledgements.set(worker, Math.max(through, this.#acknowledgements.get(worker) ?? 0));
     }
--- a/packages/cell/src/state/records.ts
+++ b/packages/cell/src/state/records.ts
@@ -4,7 +4,7 @@
 import type { JobDefinition, JobTerms } from "./definition.js";
 import type { Strike } from "./strikes.js";
 
-/** A job was accepted. Persisted before its caller gets the answer. */
+/** A job was accepted. Committed before its caller gets the answer. */
 export interface AcceptedRecord {
     readonly kind: "accepted";
     /** In milliseconds since 1970. */
@@ -14,14 +14,14 @@
     readonly terms: JobTerms;
 }
 
-/** A job was cancelled by its caller. Persisted before the caller gets the answer. */
+/** A job was cancelled by its caller. Committed before the caller gets the answer. */
 export interface CancelledRecord {
     readonly kind: "cancelled";
     readonly at: number;
     readonly job: JobId;
 }
 
-/** A run was ordered. Persisted before the order is sent, so that a later owner knows where the task may be running. */
+/** A run was ordered. Committed before the order is sent, so that a later owner knows where the task may be running. */
 export interface StartedRecord {
     readonly kind: "started";
     readonly worker: WorkerId;
@@ -31,7 +31,7 @@
     readonly run: RunNumber;
 }
 
-/** A run ended. Persisted before the worker may forget the end and before the job's reported state changes. */
+/** A run ended. Committed before the worker may forget the end and before the job's reported state changes. */
 export interface EndedRecord {
     readonly kind: "ended";
     readonly at: number;
--- a/packages/cell/src/task-worker/types.ts
+++ b/packages/cell/src/task-worker/types.ts
@@ -43,7 +43,7 @@
 /** Asks a worker for its runs and ends, and may renew the lease of all its runs. */
 export interface PollRequest {
     readonly token: FencingToken;
-    /** Ends up to this number are persisted, so that the worker may forget them. */
+    /** Ends up to this number are committed, so that the worker may forget them. */
     readonly forgetThrough: number;
     /** New end of the lease of all its runs; absent to leave the lease as it is. */
     readonly leaseUntil?: WorkerTime;
--- a/packages/cell/test/scheduler/jobs.test.ts
+++ b/packages/cell/test/scheduler/jobs.test.ts
@@ -11,7 +11,7 @@
 };
 
 describe("a job", () => {
-    it("is not reported to its caller before its record is persisted", () => {
+    it("is not reported to its caller before its record is committed", () => {
         const driver = ready();
         const { id } = driver.cell.submit(makeJob("j", [makeStep()]))!;
         driver.decide();
@@ -28,7 +28,7 @@
         expect(driver.records.filter(record => record.kind === "accepted").length).toEqual(1);
     });
 
-    it("is reported as completed only after its last end is persisted", () => {
+    it("is reported as completed only after its last end is committed", () => {
         const driver = ready();
         const { id } = driver.cell.submit(makeJob("j", [makeStep()]))!;
         const [start] = driver.run().starts;
@@ -40,7 +40,7 @@
         expect(driver.cell.stateOf(id)).toEqual(CellJobState.Completed);
     });
 
-    it("lets a worker forget an end only after it is persisted", () => {
+    it("lets a worker forget an end only after it is committed", () => {
         const driver = ready();
         driver.cell.submit(makeJob("j", [makeStep()]));
         const [start] = driver.run().starts;
--- a/packages/cell/test/support/cell-driver.ts
+++ b/packages/cell/test/support/cell-driver.ts
@@ -28,12 +28,12 @@
     readonly acknowledged: Readonly<Record<string, number>>;
 }
 
-/** Runs a scheduler with a manual clock and a journal in memory; persisting can be delayed, and another owner can take over. */
+/** Runs a scheduler with a manual clock and a journal in memory; committing can be delayed, and another owner can take over. */
 export class CellDriver {
     cell: CellScheduler;
     readonly records: CellRecord[] = [];
     readonly logged: { readonly event: LogEvent; readonly fields: Readonly<Record<string, unknown>>; }[] = [];
-    /** Turns whose records are not persisted yet. */
+    /** Turns whose records are not committed yet. */
     #uncommitted: TurnOutput[] = [];
     #numbers = new Map<string, number>();
 
@@ -58,19 +58,19 @@
         this.cell.applyPoll(idOf(worker), report, now, isFirst ? now : -Infinity);
     }
 
-    /** Runs a scheduling cycle, persists its records, and returns the commands to be sent. */
+    /** Runs a scheduling cycle, commits its records, and returns the commands to be sent. */
     run(): DriverOutput {
         this.decide();
         return this.commit();
     }
 
-    /** Runs a scheduling cycle without persisting its records. */
+    /** Runs a scheduling cycle without committing its records. */
     decide(): void {
         this.cell.place();
         this.#uncommitted.push(this.cell.drain());
     }
 
-    /** Persists all records and returns the commands to be sent. */
+    /** Commits all records and returns the commands to be sent. */
     commit(): DriverOutput {
         const turns = this.#uncommitted;
         this.#uncommitted = [];
@@ -106,7 +106,7 @@
         this.#numbers.delete(worker);
     }
 
-    /** Replaces the scheduler by one that is restored from `snapshot`, or from the persisted records. Records not persisted are lost. */
+    /** Replaces the scheduler by one that is restored from `snapshot`, or from the committed records. Records not committed are lost. */
     takeOver(snapshot?: CellSnapshot, isConfigured = true): void {
         this.#uncommitted = [];
         const records = snapshot === undefined ? [...this.records] : [];
--- a/packages/cell/test/support/crashing-cell.ts
+++ b/packages/cell/test/support/crashing-cell.ts
@@ -165,7 +165,7 @@
         this.cut(this.#hosts.findIndex(place => place.worker === worker), duration);
     }
 
-    /** Replaces the owner by one that is restored from the persisted records. */
+    /** Replaces the owner by one that is restored from the committed records. */
     takeOver(): void {
         const now = this.clock.monotonic();
         this.driver.takeOver();
--- a/packages/cell/test/support/index.ts
+++ b/packages/cell/test/support/index.ts
@@ -5,4 +5,4 @@
 export * from "./fake-advice.js";
 export * from "./fake-worker.js";
 export * from "./fleet.js";
-export * from "./world.js";
+export * from "./simulated-cell.js";
--- a/packages/cell/test/support/load/outcome.ts
+++ b/packages/cell/test/support/load/outcome.ts
@@ -1,6 +1,6 @@
 /** Results of a replay. */
 import type { Milliseconds } from "@pebbledale/core";
-import type { LoadJob } from "./draw.js";
+import type { LoadJob } from "./generate-jobs.js";
 
 /** A job that takes up to this multiple of its objective is late and earns part of its value; a later one earns nothing. */
 const lateFactor = 3;
--- a/packages/cell/test/support/load/replay.ts
+++ b/packages/cell/test/support/load/replay.ts
@@ -33,8 +33,7 @@
     type TurnOutput,
 } from "../../../src/index.js";
 import { makeConfiguration, makeOrganisation, makeQueue, makeWorker, service } from "../builders.js";
-import { generateJobs, type LoadJob, Sampler } from "./draw.js";
-import { SimulatedAdvice } from "./load-advice.js";
+import { generateJobs, type LoadJob, Sampler } from "./generate-jobs.js";
 import { type LoadRun, LoadWorker, shareCompleted } from "./load-worker.js";
 import {
     type JobOutcome,
@@ -46,6 +45,7 @@
     worstWindows,
 } from "./outcome.js";
 import type { CrashWave, Departure, LoadPattern, LoadService, QueueLoad } from "./pattern.js";
+import { SimulatedAdvice } from "./simulated-advice.js";
 
 const stepTime: Milliseconds = 5;
 const recordDelay: Milliseconds = 25;
--- a/packages/cell/test/support/world.ts
+++ b/packages/cell/test/support/simulated-cell.ts
@@ -340,7 +340,7 @@
         }
         const entries = [...this.#links.values()].map(link => this.#entryOf(link));
         this.driver.cell.replaceWorkerEntries(entries);
-        // Callers submit jobs again, because those whose records were not persisted are unknown to the new owner.
+        // Callers submit jobs again, because those whose records were not committed are unknown to the new owner.
         this.#jobs.forEach(definition => this.driver.cell.submit(definition));
     }
 
