--- a/packages/cell/src/crashes/crash-monitor.ts
+++ b/packages/cell/src/crashes/crash-monitor.ts
@@ -192,8 +192,8 @@
 
     #clearIfOutlived(task: Task): void {
         const { strikes } = task.step.job;
-        const held = strikes.of(task.address);
-        const run = held.length === 0 ? undefined : task.runs.find(other => outlives(other, held));
+        const strikesOfTask = strikes.of(task.address);
+        const run = strikesOfTask.length === 0 ? undefined : task.runs.find(other => outlives(other, strikesOfTask));
         if (run === undefined) {
             return;
         }
@@ -202,7 +202,7 @@
             task: task.address,
             run: run.run,
             worker: run.worker.id,
-            strikes: held.length,
+            strikes: strikesOfTask.length,
         });
     }
 
--- a/packages/cell/src/crashes/judgement.ts
+++ b/packages/cell/src/crashes/judgement.ts
@@ -89,8 +89,9 @@
     Math.max(0, (worker.lastHeardAt ?? -Infinity) - (confirmedAt ?? Infinity));
 
 /** Whether a worker's end is not a crash: it announced that it leaves, or it answered after its entry was removed. */
-const isLeaving = ({ entry, unlistedSince, lastHeardAt: heardAt }: WorkerState): boolean =>
-    entry?.isDraining === true || unlistedSince !== undefined && heardAt !== undefined && heardAt > unlistedSince;
+const isLeaving = ({ entry, unlistedSince, lastHeardAt }: WorkerState): boolean =>
+    entry?.isDraining === true
+    || unlistedSince !== undefined && lastHeardAt !== undefined && lastHeardAt > unlistedSince;
 
 const isAtStart = ({ stood }: Strike): boolean => stood !== undefined && stood < startWindow;
 
--- a/packages/cell/src/crashes/silence-history.ts
+++ b/packages/cell/src/crashes/silence-history.ts
@@ -17,7 +17,7 @@
     /** Latest silence of each worker, oldest first. */
     readonly #silences = new Map<WorkerId, RecordedSilence>();
 
-    note(worker: WorkerId, service: ServiceName | undefined, at: Milliseconds): void {
+    record(worker: WorkerId, service: ServiceName | undefined, at: Milliseconds): void {
         this.#silences.delete(worker);
         this.#silences.set(worker, { at, service });
         const oldest = this.#silences.keys().next().value;
@@ -34,8 +34,8 @@
         }
         let others = 0;
         for (const [other, { at, service }] of this.#silences) {
-            const isWithIt = service === silence.service && Math.abs(at - silence.at) <= sharedLossWindow;
-            others += other !== worker && isWithIt ? 1 : 0;
+            const isSimultaneous = service === silence.service && Math.abs(at - silence.at) <= sharedLossWindow;
+            others += other !== worker && isSimultaneous ? 1 : 0;
         }
         return others >= Math.max(minSharedLosses, workers * minSharedFraction);
     }
--- a/packages/cell/src/runs/run-lifecycle.ts
+++ b/packages/cell/src/runs/run-lifecycle.ts
@@ -38,7 +38,7 @@
     readonly isShared: boolean;
 }
 
-/** Options of an order. */
+/** What an order needs besides its task, run number and worker. */
 export interface OrderOptions {
     readonly ticket: string | undefined;
     /** Whether the run is an isolated trial. */
@@ -84,25 +84,25 @@
         return runNumber(Math.max(...step.tasks.map(member => member.lastRun)) + 1);
     }
 
-    /** Restores a run from the journal whose end is unknown. `life`: the incarnation that it was ordered from. */
+    /** Restores a run from the journal whose end is unknown. `incarnation`: the one that it was ordered from. */
     recover(task: Task, run: RunNumber, worker: WorkerState, incarnation: WorkerIncarnation | undefined): void {
         const entry = this.#add(task, run, worker, RunPhase.Ordered, { sentAt: -Infinity, isAdopted: true });
         if (incarnation !== undefined && incarnation !== worker.incarnation) {
-            entry.formerIncarnation = { incarnation: incarnation, observedRunTime: undefined, wasLeaving: false };
+            entry.formerIncarnation = { incarnation, observedRunTime: undefined, wasLeaving: false };
         }
     }
 
     /** Adds a run that a worker reports and that this owner did not order. */
-    adopt(task: Task, seen: WorkerRun, worker: WorkerState): void {
-        task.lastRun = Math.max(task.lastRun, seen.run);
-        const run = this.#add(task, seen.run, worker, RunPhase.Running, { isAdopted: true });
+    adopt(task: Task, reported: WorkerRun, worker: WorkerState): void {
+        task.lastRun = Math.max(task.lastRun, reported.run);
+        const run = this.#add(task, reported.run, worker, RunPhase.Running, { isAdopted: true });
         run.confirmedAt = this.context.now();
         run.isReported = true;
         this.#markRunning(task);
-        this.updateProgress(run, seen);
+        this.updateProgress(run, reported);
     }
 
-    /** Applies that the worker has the run. */
+    /** Marks a run as confirmed by its worker. */
     confirm(run: TaskRun): void {
         if (run.phase === RunPhase.Ordered) {
             run.phase = RunPhase.Running;
@@ -111,7 +111,7 @@
         this.#markRunning(run.task);
     }
 
-    /** Applies that a poll of the worker reports the run. */
+    /** Marks a run as reported by a poll of its worker, which also confirms it. */
     confirmReported(run: TaskRun): void {
         run.isReported = true;
         this.#settleFormerIncarnation(run);
@@ -128,15 +128,15 @@
         worker.allocate(run);
     }
 
-    updateProgress(run: TaskRun, seen: WorkerRun): void {
-        if (seen.percent !== run.percent) {
-            run.percent = seen.percent;
+    updateProgress(run: TaskRun, reported: WorkerRun): void {
+        if (reported.percent !== run.percent) {
+            run.percent = reported.percent;
             run.progressedAt = this.context.now();
             run.firstProgress ??= { percent: run.percent, at: run.progressedAt };
         }
-        if (seen.checkpoint !== "") {
-            run.checkpoint = seen.checkpoint;
-            run.task.updateCheckpoint(seen.checkpoint);
+        if (reported.checkpoint !== "") {
+            run.checkpoint = reported.checkpoint;
+            run.task.updateCheckpoint(reported.checkpoint);
         }
     }
 
@@ -186,7 +186,7 @@
         this.#runOver(task);
     }
 
-    /** Applies that an ordered run was not started and will not be. */
+    /** Handles an ordered run that was not started and will not be. */
     markNotStarted(run: TaskRun, refusal: OrderRefusal | undefined): void {
         this.#remove(run);
         const { task } = run;
@@ -198,7 +198,7 @@
         this.#runOver(task);
     }
 
-    /** Applies that a run can no longer be running while its end is unknown. */
+    /** Handles a run that can no longer be running and whose end is unknown. */
     lose(run: TaskRun, { reason, cause, isShared }: Loss): void {
         const { task } = run;
         const { job } = task.step;
--- a/packages/cell/src/runs/types.ts
+++ b/packages/cell/src/runs/types.ts
@@ -5,7 +5,7 @@
 /** Receives changes of workers that affect placement. */
 export interface WorkerListener {
     /** A worker may have become available or have more free resources. */
-    roomChanged(): void;
+    capacityChanged(): void;
     /** A worker announced that it leaves; its runs may have to move. */
     workerDraining(worker: WorkerState): void;
     /** A worker incarnation is over. */
--- a/packages/cell/src/runs/worker-entry-reconciler.ts
+++ b/packages/cell/src/runs/worker-entry-reconciler.ts
@@ -56,7 +56,7 @@
                 labels: entry.labels,
             });
         }
-        this.listener.roomChanged();
+        this.listener.capacityChanged();
     }
 
     /** Marks an entry as unparsable: its worker gets no new runs until the entry can be parsed again, its present runs continue. */
@@ -85,14 +85,14 @@
     }
 
     #logCapacityChange(worker: WorkerState, former: WorkerEntry | undefined): void {
-        const room = worker.entry!.capacity;
-        if (former === undefined || isSameCapacity(former.capacity, room)) {
+        const capacity = worker.entry!.capacity;
+        if (former === undefined || isSameCapacity(former.capacity, capacity)) {
             return;
         }
         this.context.options.log.log(logEvents.workerRoomChanged, {
             worker: worker.id,
             former: former.capacity,
-            room,
+            room: capacity,
             runs: worker.runs.size,
             isOverfull: worker.isOvercommitted,
         });
--- a/packages/cell/src/runs/worker-incarnations.ts
+++ b/packages/cell/src/runs/worker-incarnations.ts
@@ -17,7 +17,7 @@
     ) {}
 
     /**
-     * Applies that a worker restarted under its id. Runs that the former incarnation reported are lost. Runs that were ordered but not
+     * Handles a worker that restarted under its id. Runs that the former incarnation reported are lost. Runs that were ordered but not
      * reported may have been started by either incarnation, or may yet be started by the new one until it has seen a higher token; the
      * first poll under a new link settles them. Returns the entry that may describe the new incarnation, if one is known.
      */
@@ -27,9 +27,9 @@
             return undefined;
         }
         if (former.silentSince === undefined) {
-            this.silences.note(id, former.entry?.service, this.context.now());
+            this.silences.record(id, former.entry?.service, this.context.now());
         }
-        const worker = this.#createSuccessor(former, incarnation);
+        const worker = this.#succeed(former, incarnation);
         this.context.workers.set(id, worker);
         this.listener.workerGone(former);
         this.recordWorker(worker);
@@ -69,11 +69,11 @@
         return false;
     }
 
-    /** Polls a silent worker at the address under which its next incarnation is listed, where an answer shows what happened to it. */
+    /** Redirects polls of a silent worker to the address of its pending entry, where an answer shows what happened to it. */
     followAddress(worker: WorkerState): void {
-        const { pendingEntry: nextEntry } = worker;
-        if (nextEntry !== undefined && worker.silentSince !== undefined && nextEntry.address !== worker.address) {
-            worker.address = nextEntry.address;
+        const { pendingEntry } = worker;
+        if (pendingEntry !== undefined && worker.silentSince !== undefined && pendingEntry.address !== worker.address) {
+            worker.address = pendingEntry.address;
             this.recordWorker(worker);
         }
     }
@@ -102,8 +102,8 @@
         this.context.options.log.log(logEvents.workerGone, { worker: worker.id, reason });
     }
 
-    #createSuccessor(former: WorkerState, life: WorkerIncarnation | undefined): WorkerState {
-        const worker = former.createSuccessor(life);
+    #succeed(former: WorkerState, incarnation: WorkerIncarnation | undefined): WorkerState {
+        const worker = former.createSuccessor(incarnation);
         if (worker.unlistedSince !== undefined) {
             // The new incarnation gets the full grace period to publish its entry.
             worker.unlistedSince = this.context.now();
--- a/packages/cell/src/runs/worker-poll-reconciler.ts
+++ b/packages/cell/src/runs/worker-poll-reconciler.ts
@@ -48,7 +48,7 @@
                 ended: poll.ended.length,
             });
         }
-        this.listener.roomChanged();
+        this.listener.capacityChanged();
     }
 
     /** Applies reported ends and acknowledges them. */
@@ -63,7 +63,7 @@
             worker.endsAppliedThrough = Math.max(worker.endsAppliedThrough, end.number);
         }
         this.context.outbox.acknowledge(worker, worker.endsAppliedThrough);
-        this.listener.roomChanged();
+        this.listener.capacityChanged();
     }
 
     #markAnswered(worker: WorkerState): void {
@@ -81,17 +81,17 @@
         sentAt: Milliseconds,
         settledBefore: Milliseconds,
     ): void {
-        const seen = new Set<TaskRun>();
+        const reported = new Set<TaskRun>();
         const progress: [TaskRun, WorkerRun][] = [];
-        let strangers = 0;
+        let unknownRuns = 0;
         for (const entry of running) {
             const run = worker.runOf(entry.task, entry.run) ?? this.#adopt(worker, entry);
             if (run === undefined) {
-                strangers++;
+                unknownRuns++;
                 this.runs.sendStop(worker, entry.task, entry.run);
                 continue;
             }
-            seen.add(run);
+            reported.add(run);
             progress.push([run, entry]);
             this.runs.confirmReported(run);
             this.runs.updateProgress(run, entry);
@@ -104,11 +104,11 @@
                 this.runs.stop(run, "its job is over");
             }
         }
-        worker.unknownRuns = strangers;
+        worker.unknownRuns = unknownRuns;
         this.progress.note(worker, progress, clock);
         this.paces.update(worker, progress);
         for (const run of [...worker.runs.values()]) {
-            if (seen.has(run)) {
+            if (reported.has(run)) {
                 continue;
             }
             if (isSettled(run, settledBefore)) {
@@ -154,11 +154,11 @@
  * precedes the link to the current one even where the clock shows the same time for both; otherwise its task would wait forever.
  */
 const isSettled = (
-    { confirmedAt, sentAt, formerIncarnation: formerLife }: TaskRun,
+    { confirmedAt, sentAt, formerIncarnation }: TaskRun,
     settledBefore: Milliseconds,
 ): boolean => {
     const isSent = confirmedAt === undefined && sentAt !== undefined;
-    return isSent && (formerLife === undefined ? sentAt < settledBefore : settledBefore > -Infinity);
+    return isSent && (formerIncarnation === undefined ? sentAt < settledBefore : settledBefore > -Infinity);
 };
 
 /** Whether a task's job has ended and the task will not end by itself, as members of a complete gang do. */
--- a/packages/cell/src/runs/worker-pool.ts
+++ b/packages/cell/src/runs/worker-pool.ts
@@ -54,8 +54,8 @@
     /** Restores workers from the journal, and their runs whose ends are unknown. */
     recover(): void {
         const { table, workers } = this.#context;
-        for (const [id, { address, incarnation: life }] of table.knownWorkers) {
-            const worker = new WorkerState(id, address, life);
+        for (const [id, { address, incarnation }] of table.knownWorkers) {
+            const worker = new WorkerState(id, address, incarnation);
             worker.isCommitted = true;
             workers.set(id, worker);
         }
@@ -88,8 +88,8 @@
         this.#polls.applyEnds(id, ended);
     }
 
-    /** Applies that a worker does not answer. `lapsesAt`: when its last lease expires, if known. */
-    applySilence(id: WorkerId, lapsesAt: Milliseconds | undefined, { cause, heardAgo }: Silence): void {
+    /** Handles a worker that does not answer. `leasesExpireAt`: when its last lease expires, if known. */
+    applySilence(id: WorkerId, leasesExpireAt: Milliseconds | undefined, { cause, heardAgo }: Silence): void {
         const worker = this.#context.workers.get(id);
         if (worker === undefined) {
             return;
@@ -101,20 +101,20 @@
             worker.silentSince = this.#context.now();
             if (worker.lastHeardAt !== undefined) {
                 // Without an earlier answer the time of silence is unknown: a new owner notices all silent workers at once.
-                this.#silences.note(id, worker.entry?.service, worker.silentSince);
+                this.#silences.record(id, worker.entry?.service, worker.silentSince);
             }
             this.#context.options.log.log(logEvents.workerSilent, {
                 worker: id,
                 cause,
-                lapsesAt,
+                lapsesAt: leasesExpireAt,
                 runs: worker.runs.size,
             });
         }
-        worker.leasesExpireAt = lapsesAt ?? worker.leasesExpireAt;
+        worker.leasesExpireAt = leasesExpireAt ?? worker.leasesExpireAt;
         this.#incarnations.followAddress(worker);
     }
 
-    /** Applies that a worker with another id answers at this worker's address: this one is gone with all its runs. */
+    /** Handles that a worker with another id answers at this worker's address: this one is gone with all its runs. */
     applyReplacement(id: WorkerId): void {
         const worker = this.#context.workers.get(id);
         if (worker !== undefined) {
@@ -126,7 +126,7 @@
 
     applyRestart(id: WorkerId, incarnation: WorkerIncarnation | undefined): void {
         this.#applyPendingEntry(this.#incarnations.applyRestart(id, incarnation));
-        this.#listener.roomChanged();
+        this.#listener.capacityChanged();
     }
 
     /** Expires the leases of silent workers and removes workers that have left. */
@@ -151,14 +151,14 @@
     }
 
     #recoverRuns(task: Task): void {
-        for (const [run, { worker: id, incarnation: life }] of [...task.openRuns]) {
+        for (const [run, { worker: id, incarnation }] of [...task.openRuns]) {
             const worker = this.#context.workers.get(id);
             if (worker === undefined) {
                 // The worker was recorded as gone after this run, so the run is lost.
                 this.#context.record({ kind: "lost", task: task.address, run });
                 continue;
             }
-            this.#runs.recover(task, run, worker, life);
+            this.#runs.recover(task, run, worker, incarnation);
         }
     }
 
--- a/packages/cell/src/scheduler/cell-scheduler.ts
+++ b/packages/cell/src/scheduler/cell-scheduler.ts
@@ -55,7 +55,7 @@
     readonly #advice: AdvicePlanner;
     readonly #health: HealthMonitor;
     readonly #progress: ProgressMonitor;
-    readonly #mover: RunMigrator;
+    readonly #migrator: RunMigrator;
     readonly #placer: Placer;
     readonly #timer: OccurrenceTimer;
     readonly #pool: WorkerPool;
@@ -81,7 +81,7 @@
         this.#advice = new AdvicePlanner(this.#context);
         this.#health = new HealthMonitor(this.#context);
         this.#progress = new ProgressMonitor(this.#context);
-        this.#mover = new RunMigrator(this.#context, this.#runs, this.#progress, this.#crashes);
+        this.#migrator = new RunMigrator(this.#context, this.#runs, this.#progress, this.#crashes);
         this.#pool = new WorkerPool({
             context: this.#context,
             runs: this.#runs,
@@ -90,7 +90,7 @@
             crashes: this.#crashes,
             silences,
             listener: {
-                roomChanged: () => this.#needsCycle = true,
+                capacityChanged: () => this.#needsCycle = true,
                 workerDraining: worker => {
                     this.#needsCycle = true;
                     options.onWorkerDraining?.(worker.id);
@@ -103,17 +103,17 @@
             },
         });
         this.#timer = new OccurrenceTimer(this.#context, occurrence => this.#lifecycle.openOccurrence(occurrence));
-        const yields = new SavedProgressPreemption(this.#context);
+        const preemption = new SavedProgressPreemption(this.#context);
         this.#placer = new Placer({
             context: this.#context,
             runs: this.#runs,
             advice: this.#advice,
             health: this.#health,
-            migrator: this.#mover,
+            migrator: this.#migrator,
             crashes: this.#crashes,
-            preemption: yields,
+            preemption,
             fairShare: new EntitledFirst(this.#entitlements),
-            headroom: new UrgentHeadroom(this.#context, yields, new RunPreemptor(this.#context, this.#runs)),
+            headroom: new UrgentHeadroom(this.#context, preemption, new RunPreemptor(this.#context, this.#runs)),
         });
         this.#lifecycle = new JobLifecycle(
             this.#context,
@@ -199,7 +199,7 @@
         return this.#context.termsOf(queue, organisation) !== undefined;
     }
 
-    /** Whether the organisation's limit is too low for any step of a job: for the whole of a gang, or for one task of another step. */
+    /** Whether a job has a step that never fits its organisation's limit: a gang as a whole, or a single task of another step. */
     exceedsLimit({ organisation, steps }: JobDefinition): boolean {
         const { usage } = this.#context;
         return steps.some(({ size, isGang, taskCount }) =>
@@ -267,27 +267,30 @@
         this.#pool.applyEnds(worker, ended);
     }
 
-    /** Applies that a worker does not answer. `lapsesAt`: when its last lease expires, if known. */
-    applySilence(worker: WorkerId, lapsesAt: Milliseconds | undefined, silence: Silence = unexplainedSilence): void {
-        this.#pool.applySilence(worker, lapsesAt, silence);
+    /** Handles a worker that does not answer. `leasesExpireAt`: when its last lease expires, if known. */
+    applySilence(
+        worker: WorkerId,
+        leasesExpireAt: Milliseconds | undefined,
+        silence: Silence = unexplainedSilence,
+    ): void {
+        this.#pool.applySilence(worker, leasesExpireAt, silence);
     }
 
-    /** Applies that a worker restarted under its id. `life`: undefined on platforms that do not name incarnations. */
+    /** Handles a worker that restarted under its id. `incarnation`: undefined on platforms that do not name incarnations. */
     applyRestart(worker: WorkerId, incarnation: WorkerIncarnation | undefined): void {
         this.#pool.applyRestart(worker, incarnation);
     }
 
-    /** Applies that a worker with another id answers at this worker's address. */
+    /** Handles that a worker with another id answers at this worker's address. */
     applyReplacement(worker: WorkerId): void {
         this.#pool.applyReplacement(worker);
     }
 
-    /** Applies that a worker accepted a start order. */
     startAccepted(worker: WorkerId, task: TaskAddress, run: RunNumber): void {
         this.#starts.startAccepted(worker, task, run);
     }
 
-    /** Applies that a start order was not carried out and will not be. `refusal`: undefined when it did not reach the worker. */
+    /** Handles a start order that was not carried out and will not be. `refusal`: undefined when it did not reach the worker. */
     startRefused(worker: WorkerId, task: TaskAddress, run: RunNumber, refusal: OrderRefusal | undefined): void {
         this.#starts.startRefused(worker, task, run, refusal);
     }
@@ -313,7 +316,7 @@
         this.#advice.drop(step, workers);
     }
 
-    /** Applies that all records of a turn are committed. */
+    /** Handles that all records of a turn are committed. */
     turnCommitted(turn: TurnOutput): void {
         const { table, workers } = this.#context;
         for (const record of turn.records) {
@@ -351,7 +354,7 @@
         this.#crashes.tick();
         this.#health.tick();
         this.#timer.tick();
-        this.#mover.tick();
+        this.#migrator.tick();
         this.#needsCycle = true;
     }
 
@@ -366,8 +369,8 @@
     /** State of a worker as the upkeep planner needs it. */
     plannedWorkerOf(id: WorkerId): PlannedWorker {
         const runs = [...this.workers.get(id)?.runs.values() ?? []];
-        const holdsNeeded = runs.some(({ task: { step } }) => step.definition.isLasting && !allowsDisruption(step));
-        return { runs: runs.length, isNeeded: holdsNeeded };
+        const isNeeded = runs.some(({ task: { step } }) => step.definition.isLasting && !allowsDisruption(step));
+        return { runs: runs.length, isNeeded };
     }
 
     /** Runs a scheduling cycle: starts the waiting tasks that fit. */
--- a/packages/cell/src/scheduler/cell-summary.ts
+++ b/packages/cell/src/scheduler/cell-summary.ts
@@ -58,12 +58,12 @@
 /** Bounds the length of the log line to about two kilobytes. */
 const maxReportedOrganisations = 10;
 
-/** Computes a summary. `ready`: steps with tasks that could start; `keptIn`: headroom kept in a service. */
+/** Computes a summary. `ready`: steps whose dependencies are complete; `headroomOf`: processors kept free in a service. */
 export const summarizeCell = (
     context: CellContext,
     ready: ReadonlySet<Step>,
-    heldBack: number,
-    keptIn: (service: ServiceName) => number,
+    deferredTasks: number,
+    headroomOf: (service: ServiceName) => number,
 ): CellSummary => {
     const now = context.now();
     const workers = [...context.workers.values()];
@@ -77,9 +77,9 @@
         freeProcessor: sum(open.map(worker => Math.max(0, worker.freeProcessor))),
         runs: sum(workers.map(worker => worker.runs.size)),
         openJobs: [...context.table.jobs.values()].filter(job => !job.isOver).length,
-        heldBack,
+        heldBack: deferredTasks,
         waiting: waitingByPriority(ready),
-        services: summarizeServices(workers, ready, keptIn, now),
+        services: summarizeServices(workers, ready, headroomOf, now),
         atLimit: waitingForLimits(context, ready),
     };
 };
@@ -102,14 +102,14 @@
 const summarizeServices = (
     workers: readonly WorkerState[],
     ready: ReadonlySet<Step>,
-    keptIn: (service: ServiceName) => number,
+    headroomOf: (service: ServiceName) => number,
     now: Milliseconds,
 ): CellSummary["services"] => {
     const services: Record<ServiceName, { -readonly [figure in keyof ServiceSummary]: number; }> = {};
     for (const worker of workers) {
         if (worker.entry !== undefined) {
             const { service, capacity } = worker.entry;
-            const figures = services[service] ??= { ...emptyService, keptProcessor: keptIn(service) };
+            const figures = services[service] ??= { ...emptyService, keptProcessor: headroomOf(service) };
             const isOpen = worker.isOpen(now);
             figures.workers++;
             figures.openWorkers += isOpen ? 1 : 0;
@@ -136,9 +136,9 @@
     for (const step of ready) {
         const { job: { organisation }, definition: { size, isGang }, tasks: { length } } = step;
         const waiting = step.waitingTasks().length;
-        const left = usage.countRemaining(organisation, size);
-        if (organisation !== undefined && waiting > 0 && left < (isGang ? length : waiting)) {
-            tasks.set(organisation, (tasks.get(organisation) ?? 0) + waiting - (isGang ? 0 : left));
+        const remaining = usage.countRemaining(organisation, size);
+        if (organisation !== undefined && waiting > 0 && remaining < (isGang ? length : waiting)) {
+            tasks.set(organisation, (tasks.get(organisation) ?? 0) + waiting - (isGang ? 0 : remaining));
         }
     }
     return [...tasks].sort(([, left], [, right]) => right - left).slice(0, maxReportedOrganisations).map(
--- a/packages/cell/src/scheduler/job-lifecycle.ts
+++ b/packages/cell/src/scheduler/job-lifecycle.ts
@@ -21,7 +21,7 @@
 
 /** Opens steps as their dependencies complete, closes complete occurrences, and releases jobs that have ended. */
 export class JobLifecycle {
-    /** `onWork`: called when tasks may have become ready to start. */
+    /** `requestCycle`: called when tasks may have become ready to start. */
     constructor(
         private readonly context: CellContext,
         private readonly parts: JobLifecycleParts,
--- a/packages/cell/src/scheduler/start-dispatcher.ts
+++ b/packages/cell/src/scheduler/start-dispatcher.ts
@@ -6,7 +6,6 @@
 
 /** Follows start orders: sent after their records are committed, then accepted, refused, or dropped before they are sent. */
 export class StartDispatcher {
-    /** `onRoom`: called when resources may have become free. */
     constructor(
         private readonly context: CellContext,
         private readonly runs: RunLifecycle,
@@ -21,7 +20,7 @@
         }
     }
 
-    /** Handles that a start was not carried out and will not be. `refusal`: undefined when it never reached the worker. */
+    /** Handles a start order that was not carried out and will not be. `refusal`: undefined when it never reached the worker. */
     startRefused(worker: WorkerId, task: TaskAddress, run: RunNumber, refusal: OrderRefusal | undefined): void {
         const entry = this.context.workers.get(worker)?.runOf(task, run);
         this.context.options.log.log(logEvents.runRefused, { worker, task, run, refusal: refusal ?? "not delivered" });
--- a/packages/cell/src/state/job-table.ts
+++ b/packages/cell/src/state/job-table.ts
@@ -105,12 +105,12 @@
 
     /** Task at an address; undefined when its job is unknown or its definition is discarded. */
     taskOf(address: EndedRecord["task"]): Task | undefined {
-        const place = parseTaskAddress(address);
-        const job = place === undefined ? undefined : this.jobs.get(place.job);
-        if (place === undefined || job?.definition === undefined) {
+        const coordinates = parseTaskAddress(address);
+        const job = coordinates === undefined ? undefined : this.jobs.get(coordinates.job);
+        if (coordinates === undefined || job?.definition === undefined) {
             return undefined;
         }
-        return this.ensureOccurrence(job, place.occurrence)?.steps[place.step]?.tasks[place.index];
+        return this.ensureOccurrence(job, coordinates.occurrence)?.steps[coordinates.step]?.tasks[coordinates.index];
     }
 
     /** Returns an occurrence of a job and creates it if necessary; undefined when it is complete or does not exist. */
@@ -120,9 +120,9 @@
         if (known !== undefined || job.definition === undefined || isOver) {
             return known;
         }
-        const made = new Occurrence(job, number, job.definition);
-        job.occurrences.set(number, made);
-        return made;
+        const created = new Occurrence(job, number, job.definition);
+        job.occurrences.set(number, created);
+        return created;
     }
 
     /** Serializable copy of the state. */
--- a/packages/cell/src/state/step-permits.ts
+++ b/packages/cell/src/state/step-permits.ts
@@ -87,16 +87,16 @@
 
     /** Ticket of a worker; undefined when it has none that is valid at `now`. */
     ticketOf(worker: WorkerId, now: Milliseconds): string | undefined {
-        const held = this.#tickets.get(worker);
-        return held !== undefined && held.until > now ? held.ticket : undefined;
+        const entry = this.#tickets.get(worker);
+        return entry !== undefined && entry.until > now ? entry.ticket : undefined;
     }
 
     /** Applies an answer about the workers in `asked`. `until`: when its tickets expire. */
     applyAnswer(asked: readonly WorkerId[], permits: readonly Permit[], until: Milliseconds): void {
-        const named = new Set(permits.map(({ worker }) => worker));
+        const permitted = new Set(permits.map(({ worker }) => worker));
         asked.forEach(worker => {
             this.#asked.add(worker);
-            if (!named.has(worker)) {
+            if (!permitted.has(worker)) {
                 this.#tickets.delete(worker);
             }
         });
@@ -107,9 +107,9 @@
 
     /** Invalidates the ticket that a worker refused; the worker remains permitted. */
     expireTicket(worker: WorkerId): void {
-        const held = this.#tickets.get(worker);
-        if (held !== undefined) {
-            held.until = 0;
+        const entry = this.#tickets.get(worker);
+        if (entry !== undefined) {
+            entry.until = 0;
         }
     }
 }
--- a/packages/cell/src/state/strikes.ts
+++ b/packages/cell/src/state/strikes.ts
@@ -36,15 +36,15 @@
     }
 
     add(strike: Strike): void {
-        const place = keyInJob(strike.task);
-        this.#strikes.set(place, [...this.#strikes.get(place) ?? [], strike]);
+        const key = keyInJob(strike.task);
+        this.#strikes.set(key, [...this.#strikes.get(key) ?? [], strike]);
     }
 
     /** Resolves the strike of a run: marks it as proved if the worker crashed, removes it otherwise. */
     explain(task: TaskAddress, run: RunNumber, isCrash: boolean): void {
-        const isMeant = (strike: Strike) => strike.task === task && strike.run === run;
-        const kept = this.of(task).filter(strike => isCrash || !isMeant(strike));
-        this.#replace(task, kept.map(strike => isMeant(strike) ? { ...strike, isProved: true } : strike));
+        const matches = (strike: Strike) => strike.task === task && strike.run === run;
+        const remaining = this.of(task).filter(strike => isCrash || !matches(strike));
+        this.#replace(task, remaining.map(strike => matches(strike) ? { ...strike, isProved: true } : strike));
     }
 
     clear(task: TaskAddress): void {
--- a/packages/cell/test/crashes/crash-fuzz.test.ts
+++ b/packages/cell/test/crashes/crash-fuzz.test.ts
@@ -6,52 +6,52 @@
 import { CrashingCell, makeJob, makeStep, type TaskBehaviour } from "../support/index.js";
 
 /** Number of seeds, from 1; the variable CRASH_WORLDS selects a longer run by hand. */
-const worlds = Number(process.env["CRASH_WORLDS"] ?? 150);
+const scenarios = Number(process.env["CRASH_WORLDS"] ?? 150);
 const workers = 24;
 /** Workers that a task at fault may crash before it is given up. */
-const mostStarts = 5;
+const maxCrashes = 5;
 const stepTime = 50;
 /** Delay after which most tasks at fault crash their worker. */
 const atStart = 10;
 const troubleSteps = 500;
 /** Time within which every job must end, with trials of all tasks at fault one after the other. */
-const longestRest = 240_000;
+const maxRest = 240_000;
 
 /** One seeded scenario. */
-class CrashWorld {
+class CrashScenario {
     readonly cell: CrashingCell;
     readonly #random: SeededRandom;
-    readonly #conducts = new Map<TaskAddress, TaskBehaviour>();
+    readonly #behaviours = new Map<TaskAddress, TaskBehaviour>();
     readonly #jobs: JobDefinition[] = [];
-    readonly #guilty = new Set<string>();
-    readonly #broken: string[] = [];
+    readonly #faultyJobs = new Set<string>();
+    readonly #violations: string[] = [];
 
     constructor(seed: number) {
         this.#random = new SeededRandom(seed);
-        this.cell = new CrashingCell(workers, task => this.#conductOf(task));
+        this.cell = new CrashingCell(workers, task => this.#behaviourOf(task));
         this.cell.losesStartAnswer = () => this.#happens(0.03);
     }
 
     /** Runs the scenario and returns the violations. */
-    play(): readonly string[] {
+    run(): readonly string[] {
         for (let step = 0; step < troubleSteps; step++) {
             if (step % 10 === 0 && this.#jobs.length < 40) {
                 this.#submit();
             }
-            this.#strike();
+            this.#injectFaults();
             this.cell.advance(stepTime);
         }
-        for (let rested = 0; rested < longestRest && !this.#isOver(); rested += 1_000) {
+        for (let rested = 0; rested < maxRest && !this.#haveAllEnded(); rested += 1_000) {
             this.cell.advance(1_000);
         }
         this.#check();
-        return this.#broken;
+        return this.#violations;
     }
 
     #submit(): void {
         const id = `job${this.#jobs.length}`;
         if (this.#happens(0.15)) {
-            this.#guilty.add(id);
+            this.#faultyJobs.add(id);
         }
         const job = makeJob(id, [makeStep({
             taskCount: 1 + this.#below(6),
@@ -63,7 +63,7 @@
         this.cell.driver.cell.submit(job);
     }
 
-    #strike(): void {
+    #injectFaults(): void {
         if (this.#happens(0.004)) {
             this.cell.takeOver();
             this.#jobs.forEach(job => this.cell.driver.cell.submit(job));
@@ -81,18 +81,18 @@
         }
     }
 
-    #conductOf(task: TaskAddress): TaskBehaviour {
-        const known = this.#conducts.get(task);
+    #behaviourOf(task: TaskAddress): TaskBehaviour {
+        const known = this.#behaviours.get(task);
         if (known !== undefined) {
             return known;
         }
         const { job, index } = parseTaskAddress(task)!;
-        const crashesAfter = this.#guilty.has(job) && index === 0 ? this.#crashTime() : undefined;
+        const crashesAfter = this.#faultyJobs.has(job) && index === 0 ? this.#crashTime() : undefined;
         const { taskCount, isGang } = this.#jobs.find(other => other.job === job)!.steps[0];
         const duration = Math.max(200 + this.#below(4_000), (crashesAfter ?? 0) + 200);
-        const conduct = { crashesAfter, duration: duration, ...(isGang ? { gangSize: taskCount } : {}) };
-        this.#conducts.set(task, conduct);
-        return conduct;
+        const behaviour = { crashesAfter, duration, ...(isGang ? { gangSize: taskCount } : {}) };
+        this.#behaviours.set(task, behaviour);
+        return behaviour;
     }
 
     /** Most tasks at fault crash their worker as they start, some later. */
@@ -100,7 +100,7 @@
         return this.#happens(0.8) ? atStart : 100 + this.#below(2_000);
     }
 
-    #isOver(): boolean {
+    #haveAllEnded(): boolean {
         return this.#jobs.every(({ job }) => this.#stateOf(job) !== undefined && !isOpen(this.#stateOf(job)));
     }
 
@@ -110,15 +110,15 @@
 
     #check(): void {
         for (const { job } of this.#jobs) {
-            const wanted = this.#guilty.has(job) ? CellJobState.Failed : CellJobState.Completed;
-            if (this.#stateOf(job) !== wanted && !this.#isBeyondTelling(job)) {
-                this.#broken.push(`${job} is ${this.#stateOf(job)} instead of ${wanted}`);
+            const wanted = this.#faultyJobs.has(job) ? CellJobState.Failed : CellJobState.Completed;
+            if (this.#stateOf(job) !== wanted && !this.#isIndistinguishable(job)) {
+                this.#violations.push(`${job} is ${this.#stateOf(job)} instead of ${wanted}`);
             }
         }
-        for (const job of this.#guilty) {
+        for (const job of this.#faultyJobs) {
             const crashes = this.cell.crashes.filter(crash => crash.by?.startsWith(`${job}/`)).length;
-            if (crashes - this.#sharedOf(job) > mostStarts) {
-                this.#broken.push(`${crashes} workers crashed under ${job}`);
+            if (crashes - this.#sharedLossesOf(job) > maxCrashes) {
+                this.#violations.push(`${crashes} workers crashed under ${job}`);
             }
         }
     }
@@ -127,18 +127,18 @@
      * Whether an innocent task was on as many crashing workers as a task at fault, without a run in between that ended or lasted. Such a
      * task cannot be distinguished from one at fault.
      */
-    #isBeyondTelling(job: string): boolean {
+    #isIndistinguishable(job: string): boolean {
         const tasks = new Set(
             this.cell.crashes.flatMap(crash => crash.tasks).filter(task => task.startsWith(`${job}/`)),
         );
         return this.#stateOf(job) === CellJobState.Failed
             && [...tasks].some(task =>
-                this.cell.crashes.filter(crash => crash.tasks.includes(task)).length >= mostStarts
+                this.cell.crashes.filter(crash => crash.tasks.includes(task)).length >= maxCrashes
             );
     }
 
     /** Number of shared losses of a job: during those, a task that crashes its worker late cannot be distinguished from others. */
-    #sharedOf(job: string): number {
+    #sharedLossesOf(job: string): number {
         const isMeant = ({ task }: Readonly<Record<string, unknown>>) => task === `${job}/0/0/0`;
         const lost = this.cell.driver.logged.filter(({ event }) => event === logEvents.runLost);
         return lost.filter(({ fields }) => isMeant(fields) && fields["isShared"] === true).length;
@@ -159,8 +159,8 @@
 describe("tasks that crash their workers, among innocent tasks", () => {
     it("are given up after at most five workers, and innocent tasks are not", () => {
         const broken: Record<number, readonly string[]> = {};
-        for (let seed = 1; seed <= worlds; seed++) {
-            const found = new CrashWorld(seed).play();
+        for (let seed = 1; seed <= scenarios; seed++) {
+            const found = new CrashScenario(seed).run();
             if (found.length > 0) {
                 broken[seed] = found;
             }
--- a/packages/cell/test/crashes/judgement.test.ts
+++ b/packages/cell/test/crashes/judgement.test.ts
@@ -5,14 +5,14 @@
 import { CrashingCell, makeJob, makeStep, type TaskBehaviour } from "../support/index.js";
 
 const innocent: TaskBehaviour = { crashesAfter: undefined, duration: 2_000 };
-const conductOf = (crashesAfter: Milliseconds) => (task: TaskAddress): TaskBehaviour =>
+const behaviourOf = (crashesAfter: Milliseconds) => (task: TaskAddress): TaskBehaviour =>
     task.startsWith("bad") ? { crashesAfter, duration: crashesAfter + 1_000 } : innocent;
 
 const stateOf = (cell: CrashingCell, job: string): CellJobState | undefined => cell.driver.cell.stateOf(jobId(job));
 
 describe("a task whose worker was lost", () => {
     it("is retried in isolation", () => {
-        const cell = new CrashingCell(8, conductOf(10));
+        const cell = new CrashingCell(8, behaviourOf(10));
         cell.driver.cell.submit(makeJob("bad", [makeStep()]));
         cell.advance(3_500);
         const [, trial] = cell.startsOf("bad/0/0/0");
@@ -23,7 +23,7 @@
     });
 
     it("is not given up when it was lost twice beside a task at fault", () => {
-        const cell = new CrashingCell(2, conductOf(10));
+        const cell = new CrashingCell(2, behaviourOf(10));
         cell.driver.cell.submit(makeJob("good", [makeStep({ taskCount: 6 })]));
         cell.driver.cell.submit(makeJob("bad", [makeStep({ taskCount: 6 })]));
         cell.advance(60_000);
@@ -32,7 +32,7 @@
     });
 
     it("is given up after five crashes when these come late in its runs", () => {
-        const cell = new CrashingCell(8, conductOf(1_500));
+        const cell = new CrashingCell(8, behaviourOf(1_500));
         cell.driver.cell.submit(makeJob("bad", [makeStep()]));
         cell.advance(60_000);
         expect(cell.startsOf("bad/0/0/0").length).toEqual(5);
@@ -40,7 +40,7 @@
     });
 
     it("is not given up because of silences: it waits for an explanation and then continues", () => {
-        const cell = new CrashingCell(8, conductOf(10));
+        const cell = new CrashingCell(8, behaviourOf(10));
         cell.driver.cell.submit(makeJob("good", [makeStep()]));
         for (let cuts = 0; cuts < 6; cuts++) {
             cell.advance(50);
@@ -54,7 +54,7 @@
     });
 
     it("ends its job only once when the explanation of one silence convicts two of its tasks", () => {
-        const cell = new CrashingCell(8, conductOf(10));
+        const cell = new CrashingCell(8, behaviourOf(10));
         cell.driver.cell.submit(makeJob("bad", [makeStep({ taskCount: 2 })]));
         cell.advance(40_000);
         const ended = cell.driver.logged.filter(({ event }) => event === logEvents.jobEnded);
@@ -63,7 +63,7 @@
     });
 
     it("is given up also if it is a lasting task, whose failed runs are not limited", () => {
-        const cell = new CrashingCell(8, conductOf(10));
+        const cell = new CrashingCell(8, behaviourOf(10));
         cell.driver.cell.submit(makeJob("bad", [makeStep({ isLasting: true })]));
         cell.advance(60_000);
         expect(cell.startsOf("bad/0/0/0").length).toEqual(3);
@@ -71,7 +71,7 @@
     });
 
     it("keeps its strikes from one occurrence of its job to the next", () => {
-        const cell = new CrashingCell(8, conductOf(10));
+        const cell = new CrashingCell(8, behaviourOf(10));
         const timetable = { occurrences: 20, firstAt: cell.clock.now().getTime(), interval: 4_000 };
         cell.driver.cell.submit(makeJob("bad", [makeStep()], { timetable }));
         cell.advance(80_000);
@@ -81,7 +81,7 @@
 
     it("takes down at most a tenth of the workers at a time once it has crashed one, however many tasks are at fault", () => {
         const workers = 30;
-        const cell = new CrashingCell(workers, conductOf(10));
+        const cell = new CrashingCell(workers, behaviourOf(10));
         for (let job = 0; job < 20; job++) {
             cell.driver.cell.submit(makeJob(`bad${job}`, [makeStep()]));
         }
--- a/packages/cell/test/crashes/tasks-that-crash-workers.test.ts
+++ b/packages/cell/test/crashes/tasks-that-crash-workers.test.ts
@@ -5,28 +5,28 @@
 import { CellJobState } from "../../src/index.js";
 import { CrashingCell, makeJob, makeStep, type TaskBehaviour } from "../support/index.js";
 
-const atFault: TaskBehaviour = { crashesAfter: 10, duration: 640 };
+const faulty: TaskBehaviour = { crashesAfter: 10, duration: 640 };
 const innocent: TaskBehaviour = { crashesAfter: undefined, duration: 640 };
 /** Number of crashes after which a task must not be started again. */
-const mostCrashes = 3;
+const maxCrashes = 3;
 
 describe("a task that crashes each worker that starts it", () => {
     it("is given up after three workers, and its job is reported as failed", () => {
-        const cell = new CrashingCell(33, task => task.startsWith("bad") ? atFault : innocent);
+        const cell = new CrashingCell(33, task => task.startsWith("bad") ? faulty : innocent);
         const job = cell.driver.cell.submit(makeJob("bad", [makeStep()]))!;
         cell.advance(120_000);
-        expect(cell.startsOf("bad/0/0/0").length).toEqual(mostCrashes);
+        expect(cell.startsOf("bad/0/0/0").length).toEqual(maxCrashes);
         expect(cell.driver.cell.stateOf(job.id)).toEqual(CellJobState.Failed);
     });
 
     it("is given up nearly as soon when the owner changes repeatedly", () => {
-        const cell = new CrashingCell(33, task => task.startsWith("bad") ? atFault : innocent);
+        const cell = new CrashingCell(33, task => task.startsWith("bad") ? faulty : innocent);
         cell.driver.cell.submit(makeJob("bad", [makeStep()]));
         for (let owner = 0; owner < 30; owner++) {
             cell.advance(4_300);
             cell.takeOver();
         }
-        expect(cell.startsOf("bad/0/0/0").length <= mostCrashes + 2).toEqual(true);
+        expect(cell.startsOf("bad/0/0/0").length <= maxCrashes + 2).toEqual(true);
         expect(cell.driver.cell.stateOf(jobId("bad"))).toEqual(CellJobState.Failed);
     });
 });
--- a/packages/cell/test/scheduler/fuzz.test.ts
+++ b/packages/cell/test/scheduler/fuzz.test.ts
@@ -6,22 +6,22 @@
 const stepsUnderFaults = 400;
 /** Steps of 50 ms after the faults within which every job must end. */
 const stepsToFinish = 2_000;
-const mostJobs = 30;
+const maxJobs = 30;
 const workers = 4;
 
-/** Runs one seed and returns the violations. */
-const play = (seed: number, faults: Faults): readonly string[] => {
-    const world = new SimulatedCell(seed, faults, workers);
+/** Runs one seed under faults and then until all jobs have ended, and returns the violations. */
+const runSeed = (seed: number, faults: Faults): readonly string[] => {
+    const cell = new SimulatedCell(seed, faults, workers);
     for (let step = 0; step < stepsUnderFaults; step++) {
-        if (step % 10 === 0 && world.jobs.size < mostJobs) {
-            world.submit();
+        if (step % 10 === 0 && cell.jobs.size < maxJobs) {
+            cell.submit();
         }
-        world.step(true);
+        cell.step(true);
     }
-    for (let step = 0; step < stepsToFinish && !world.isFinished; step++) {
-        world.step(false);
+    for (let step = 0; step < stepsToFinish && !cell.isFinished; step++) {
+        cell.step(false);
     }
-    return world.isFinished ? world.violations : [...world.violations, "not every job has ended"];
+    return cell.isFinished ? cell.violations : [...cell.violations, "not every job has ended"];
 };
 
 const kinds: Readonly<Record<string, Faults>> = {
@@ -70,7 +70,7 @@
     for (const [name, faults] of Object.entries(kinds)) {
         it(name, () => {
             for (let seed = 1; seed <= seeds; seed++) {
-                expect({ seed, broken: play(seed, faults) }).toEqual({ seed, broken: [] });
+                expect({ seed, broken: runSeed(seed, faults) }).toEqual({ seed, broken: [] });
             }
         });
     }
--- a/packages/cell/test/scheduler/late-jobs.test.ts
+++ b/packages/cell/test/scheduler/late-jobs.test.ts
@@ -18,16 +18,16 @@
     makeJob(id, [step], { queue: queueName(queue) });
 
 /** The job that starts next when the only worker becomes free after an urgent and a deferrable job have waited for it. */
-const nextAfter = (waits: number, patient = whole, urgent = whole): string => {
+const nextAfter = (wait: number, deferrable = whole, urgent = whole): string => {
     const driver = new CellDriver(undefined, makeConfiguration(1, queues));
     driver.addWorkers(makeWorker("w1"));
     driver.cell.submit(jobOf("urgent", "holder"));
     const [holder] = driver.run().starts;
     driver.confirm(holder);
-    driver.cell.submit(jobOf("patient", "patient", patient));
+    driver.cell.submit(jobOf("patient", "patient", deferrable));
     driver.cell.submit(jobOf("urgent", "urgent", urgent));
     driver.run();
-    driver.clock.advance(waits);
+    driver.clock.advance(wait);
     driver.end(holder);
     return driver.run().starts[0].task.split("/")[0];
 };
--- a/packages/cell/test/scheduler/preemption.test.ts
+++ b/packages/cell/test/scheduler/preemption.test.ts
@@ -5,7 +5,7 @@
 import { CellDriver, makeConfiguration, makeJob, makeQueue, makeStep, makeWorker, running } from "../support/index.js";
 
 const urgent = makeQueue("urgent", { priority: 0 });
-const patient = makeQueue("patient", { priority: 2, extension: 10 });
+const deferrable = makeQueue("patient", { priority: 2, extension: 10 });
 
 /** A task that needs nearly a whole worker. */
 const wideStep = makeStep({ size: { processorThousandths: 7_500, memoryMebibytes: 1, accelerators: 0 } });
@@ -20,7 +20,7 @@
 
 /** One worker with a running small task, and a wide task that has waited long enough to preempt. */
 const withWaiting = (holder: JobDefinition): { driver: CellDriver; held: StartCommand; } => {
-    const driver = new CellDriver(undefined, makeConfiguration(1, [urgent, patient]));
+    const driver = new CellDriver(undefined, makeConfiguration(1, [urgent, deferrable]));
     driver.addWorkers(makeWorker("w1"));
     driver.cell.submit(holder);
     const [held] = driver.run().starts;
@@ -61,7 +61,7 @@
     });
 
     it("preempts nothing when that would not free enough resources", () => {
-        const driver = new CellDriver(undefined, makeConfiguration(1, [urgent, patient]));
+        const driver = new CellDriver(undefined, makeConfiguration(1, [urgent, deferrable]));
         driver.addWorkers(makeWorker("w1"));
         driver.cell.submit(jobOf("patient", "small"));
         driver.cell.submit(jobOf("urgent", "other", { ...smallStep, savesProgress: false }));
--- a/packages/cell/test/scheduler/reservations.test.ts
+++ b/packages/cell/test/scheduler/reservations.test.ts
@@ -119,7 +119,7 @@
 
 /** A gang that needs both workers. */
 const gangOfBoth = (estimate: number) => makeStep({ taskCount: 2, isGang: true, size: sizeOf(8_000), estimate });
-const longPatient = () => makeJob("patient", [makeStep({ estimate: 100_000 })], { queue: queueName("patient") });
+const longDeferrable = () => makeJob("patient", [makeStep({ estimate: 100_000 })], { queue: queueName("patient") });
 
 describe("capacity of several workers for gangs that cannot all be on time", () => {
     it("is reserved for a gang that can be on time rather than one that is late already", () => {
@@ -131,7 +131,7 @@
         driver.cell.submit(makeJob("timely", [gangOfBoth(80_000)]));
         driver.run();
         driver.end(holders[0]);
-        driver.cell.submit(longPatient());
+        driver.cell.submit(longDeferrable());
         expect(startedJobs(driver)).toEqual([]);
     });
 
@@ -140,7 +140,7 @@
         driver.cell.submit(makeJob("infeasible", [gangOfBoth(100)]));
         driver.run();
         driver.end(holders[0]);
-        driver.cell.submit(longPatient());
+        driver.cell.submit(longDeferrable());
         expect(startedJobs(driver)).toEqual(["patient"]);
     });
 });
--- a/packages/cell/test/scheduler/restarts.test.ts
+++ b/packages/cell/test/scheduler/restarts.test.ts
@@ -10,14 +10,14 @@
 
 const worker = idOf("w");
 const validity = 60_000;
-const formerLife = workerIncarnation(1_000);
-const presentLife = workerIncarnation(2_000);
+const formerIncarnation = workerIncarnation(1_000);
+const currentIncarnation = workerIncarnation(2_000);
 
 /** A cell of one worker, with a step about which the advice service has answered. */
-const begin = (permits: readonly Permit[]): CellDriver => {
+const createAdvisedCell = (permits: readonly Permit[]): CellDriver => {
     const advice = { decision: 10, eachWorker: 1, validity };
     const driver = new CellDriver(undefined, makeConfiguration(1, [makeQueue("work", { advice })]));
-    driver.addWorkers(makeWorker("w", { life: formerLife }));
+    driver.addWorkers(makeWorker("w", { life: formerIncarnation }));
     driver.cell.submit(makeJob("j", [makeStep()]));
     const questions = [...driver.run().questions, ...driver.run().questions];
     expect(questions.flatMap(({ workers }) => workers)).toEqual([worker]);
@@ -28,8 +28,8 @@
 };
 
 const restart = (driver: CellDriver): void => {
-    driver.cell.applyRestart(worker, presentLife);
-    driver.cell.updateWorkerEntries([makeWorker("w", { life: presentLife })], []);
+    driver.cell.applyRestart(worker, currentIncarnation);
+    driver.cell.updateWorkerEntries([makeWorker("w", { life: currentIncarnation })], []);
     driver.run();
     driver.poll("w");
     driver.clock.advance(1_000);
@@ -38,7 +38,7 @@
 describe("advice about a worker's former incarnation", () => {
     it("does not apply to the next one, about which the service is asked again", () => {
         for (const permits of [[], [{ worker, ticket: "former" }]]) {
-            const driver = begin(permits);
+            const driver = createAdvisedCell(permits);
             restart(driver);
             const { questions, starts } = driver.run();
             expect(starts).toEqual([]);
@@ -49,9 +49,9 @@
 
 describe("a worker that was removed as silent and returns under its id", () => {
     /** A worker is lost with a run, removed once its leases have expired, and listed again. */
-    const comeBack = (life: typeof formerLife): unknown[] => {
+    const returnAs = (incarnation: typeof formerIncarnation): unknown[] => {
         const driver = new CellDriver();
-        driver.addWorkers(makeWorker("w", { life: formerLife }));
+        driver.addWorkers(makeWorker("w", { life: formerIncarnation }));
         driver.cell.submit(makeJob("j", [makeStep()]));
         driver.run();
         driver.confirm(...driver.run().starts);
@@ -59,7 +59,7 @@
         driver.cell.updateWorkerEntries([], [worker]);
         driver.clock.advance(2_000);
         driver.cell.tick();
-        driver.cell.updateWorkerEntries([makeWorker("w", { life })], []);
+        driver.cell.updateWorkerEntries([makeWorker("w", { life: incarnation })], []);
         driver.run();
         driver.poll("w");
         return driver.logged.filter(({ event }) => event === logEvents.silenceExplained)
@@ -67,8 +67,8 @@
     };
 
     it("has crashed if it is another incarnation, and was only unreachable if it is the same", () => {
-        expect(comeBack(presentLife)).toEqual([true]);
-        expect(comeBack(formerLife)).toEqual([false]);
+        expect(returnAs(currentIncarnation)).toEqual([true]);
+        expect(returnAs(formerIncarnation)).toEqual([false]);
     });
 });
 
@@ -76,17 +76,17 @@
     it("is settled by the next owner, which attributes the crash to runs ordered from the former incarnation", () => {
         for (const fromSnapshot of [false, true]) {
             const driver = new CellDriver();
-            driver.addWorkers(makeWorker("w", { life: formerLife }));
+            driver.addWorkers(makeWorker("w", { life: formerIncarnation }));
             driver.cell.submit(makeJob("j", [makeStep()]));
             expect([...driver.run().starts, ...driver.run().starts].length).toEqual(1);
-            driver.cell.applyRestart(worker, presentLife);
+            driver.cell.applyRestart(worker, currentIncarnation);
             driver.run();
             const snapshot = JSON.parse(JSON.stringify(driver.cell.snapshot())) as ReturnType<
                 typeof driver.cell.snapshot
             >;
             driver.takeOver(fromSnapshot ? snapshot : undefined);
             expect(JSON.stringify(driver.cell.snapshot())).toEqual(JSON.stringify(snapshot));
-            driver.cell.updateWorkerEntries([makeWorker("w", { life: presentLife })], []);
+            driver.cell.updateWorkerEntries([makeWorker("w", { life: currentIncarnation })], []);
             driver.poll("w");
             const lost = driver.logged.filter(({ event }) => event === logEvents.runLost);
             expect(lost.map(({ fields }) => fields["cause"])).toEqual(["crashed"]);
@@ -100,9 +100,9 @@
         const driver = new CellDriver();
         driver.addWorkers(makeWorker("w"));
         driver.takeOver();
-        driver.cell.updateWorkerEntries([makeWorker("w", { life: presentLife })], []);
+        driver.cell.updateWorkerEntries([makeWorker("w", { life: currentIncarnation })], []);
         driver.poll("w");
-        driver.cell.applyRestart(worker, presentLife);
+        driver.cell.applyRestart(worker, currentIncarnation);
         driver.run();
         driver.poll("w");
         driver.run();
--- a/packages/cell/test/scheduler/take-over.test.ts
+++ b/packages/cell/test/scheduler/take-over.test.ts
@@ -150,7 +150,7 @@
     it("is stopped after each poll that reports it when its worker starts it late", () => {
         const { driver, start } = cancelled();
         driver.clock.advance(5_000);
-        for (let looks = 0; looks < 2; looks++) {
+        for (let polls = 0; polls < 2; polls++) {
             driver.poll("w1", [running(start)], [], false);
             expect(driver.run().stops.map(stop => [stop.task, stop.run])).toEqual([[start.task, start.run]]);
         }
--- a/packages/cell/test/support/crashing-cell.ts
+++ b/packages/cell/test/support/crashing-cell.ts
@@ -35,7 +35,7 @@
 interface Host {
     address: string;
     worker: WorkerId;
-    life: WorkerIncarnation;
+    incarnation: WorkerIncarnation;
     /** When the next worker starts; undefined while one is up. */
     backAt: Milliseconds | undefined;
     /** Until then the worker is unreachable but keeps running. */
@@ -96,10 +96,10 @@
     ) {
         this.driver = new CellDriver(this.clock, configuration);
         for (let index = 0; index < workers; index++) {
-            const place: Host = {
+            const host: Host = {
                 address: "",
                 worker: workerId(""),
-                life: workerIncarnation(0),
+                incarnation: workerIncarnation(0),
                 backAt: undefined,
                 cutUntil: 0,
                 isSilent: false,
@@ -108,9 +108,9 @@
                 runs: [],
                 ended: [],
             };
-            this.#hosts.push(place);
-            this.#assignAddress(place);
-            this.#startWorker(place);
+            this.#hosts.push(host);
+            this.#assignAddress(host);
+            this.#startWorker(host);
         }
         this.#runTurn();
     }
@@ -134,12 +134,12 @@
     /** Polls all workers once and runs a turn. */
     step(): void {
         const now = this.clock.monotonic();
-        for (const place of this.#hosts) {
-            if (place.backAt !== undefined) {
-                this.#restartIfDue(place, now);
+        for (const host of this.#hosts) {
+            if (host.backAt !== undefined) {
+                this.#restartIfDue(host, now);
             }
             else {
-                this.#runHost(place, now);
+                this.#runHost(host, now);
             }
         }
         this.driver.cell.tick();
@@ -148,11 +148,11 @@
 
     /** Crashes a worker without a faulty task. `isForGood`: it is unlisted, and its successor gets another address. */
     crash(index: number, isForGood = false): void {
-        const place = this.#hosts[index];
-        this.#crash(place, undefined);
+        const host = this.#hosts[index];
+        this.#crash(host, undefined);
         if (isForGood) {
-            this.driver.cell.updateWorkerEntries([], [place.worker]);
-            this.#assignAddress(place);
+            this.driver.cell.updateWorkerEntries([], [host.worker]);
+            this.#assignAddress(host);
         }
     }
 
@@ -162,84 +162,84 @@
     }
 
     cutWorker(worker: WorkerId, duration: Milliseconds): void {
-        this.cut(this.#hosts.findIndex(place => place.worker === worker), duration);
+        this.cut(this.#hosts.findIndex(host => host.worker === worker), duration);
     }
 
     /** Replaces the owner by one that is restored from the committed records. */
     takeOver(): void {
         const now = this.clock.monotonic();
         this.driver.takeOver();
-        const up = this.#hosts.filter(place => place.backAt === undefined);
-        this.driver.cell.replaceWorkerEntries(up.map(place => this.#entryOf(place)));
-        for (const place of this.#hosts) {
-            place.isNewLink = true;
-            place.isSilent = false;
-            if (place.backAt !== undefined) {
-                this.driver.cell.applySilence(place.worker, now + leaseLength);
+        const up = this.#hosts.filter(host => host.backAt === undefined);
+        this.driver.cell.replaceWorkerEntries(up.map(host => this.#entryOf(host)));
+        for (const host of this.#hosts) {
+            host.isNewLink = true;
+            host.isSilent = false;
+            if (host.backAt !== undefined) {
+                this.driver.cell.applySilence(host.worker, now + leaseLength);
             }
         }
         this.#runTurn();
     }
 
-    #assignAddress(place: Host): void {
-        place.address = `10.0.0.${++this.#addresses}:80`;
+    #assignAddress(host: Host): void {
+        host.address = `10.0.0.${++this.#addresses}:80`;
     }
 
-    #entryOf(place: Host): WorkerEntry {
-        return makeWorker(place.worker, { worker: place.worker, life: place.life, address: place.address });
+    #entryOf(host: Host): WorkerEntry {
+        return makeWorker(host.worker, { worker: host.worker, life: host.incarnation, address: host.address });
     }
 
     /** Starts the next worker of a machine, under the given id or a new one. */
-    #startWorker(place: Host, id = workerId(`w${this.#incarnations + 1}`)): void {
+    #startWorker(host: Host, id = workerId(`w${this.#incarnations + 1}`)): void {
         this.#incarnations++;
-        place.worker = id;
-        place.life = workerIncarnation(this.#incarnations);
+        host.worker = id;
+        host.incarnation = workerIncarnation(this.#incarnations);
         this.driver.resetEndNumbers(id);
-        place.backAt = undefined;
-        place.cutUntil = 0;
-        place.isSilent = false;
-        place.isNewLink = false;
-        place.runs = [];
-        place.ended = [];
-        this.driver.cell.updateWorkerEntries([this.#entryOf(place)], []);
+        host.backAt = undefined;
+        host.cutUntil = 0;
+        host.isSilent = false;
+        host.isNewLink = false;
+        host.runs = [];
+        host.ended = [];
+        this.driver.cell.updateWorkerEntries([this.#entryOf(host)], []);
         this.#runTurn();
-        this.#poll(place, true);
+        this.#poll(host, true);
     }
 
-    #restartIfDue(place: Host, now: Milliseconds): void {
-        if (place.backAt !== undefined && now >= place.backAt) {
-            if (this.#restarts++ % 2 === 0 && this.driver.cell.workers.has(place.worker)) {
-                this.driver.cell.applyRestart(place.worker, workerIncarnation(this.#incarnations + 1));
-                this.#startWorker(place, place.worker);
+    #restartIfDue(host: Host, now: Milliseconds): void {
+        if (host.backAt !== undefined && now >= host.backAt) {
+            if (this.#restarts++ % 2 === 0 && this.driver.cell.workers.has(host.worker)) {
+                this.driver.cell.applyRestart(host.worker, workerIncarnation(this.#incarnations + 1));
+                this.#startWorker(host, host.worker);
                 return;
             }
-            this.driver.cell.applyReplacement(place.worker);
-            this.#startWorker(place);
+            this.driver.cell.applyReplacement(host.worker);
+            this.#startWorker(host);
         }
     }
 
-    #runHost(place: Host, now: Milliseconds): void {
-        const culprit = place.runs.find(run => this.#isCrashDue(run, now));
+    #runHost(host: Host, now: Milliseconds): void {
+        const culprit = host.runs.find(run => this.#isCrashDue(run, now));
         if (culprit !== undefined) {
-            this.#crash(place, culprit.start.task);
+            this.#crash(host, culprit.start.task);
             return;
         }
-        if (now < place.cutUntil) {
-            this.#runCutOff(place, now);
+        if (now < host.cutUntil) {
+            this.#runCutOff(host, now);
             return;
         }
-        place.runs.filter(run => this.#isAlone(run, now)).forEach(run => this.#end(place, run, RunEnd.Alone));
-        const done = place.runs.filter(run => this.#isDone(run, now));
-        done.forEach(run => this.#finish(place, run));
-        this.#poll(place, place.isNewLink);
-        place.isNewLink = false;
+        host.runs.filter(run => this.#isAlone(run, now)).forEach(run => this.#end(host, run, RunEnd.Alone));
+        const done = host.runs.filter(run => this.#isDone(run, now));
+        done.forEach(run => this.#finish(host, run));
+        this.#poll(host, host.isNewLink);
+        host.isNewLink = false;
     }
 
-    /** Members of a gang start to work when all of them are running. */
+    /** Whether a run has done its work; members of a gang work only while all of them are running. */
     #isDone(run: HostRun, now: Milliseconds): boolean {
-        const { duration: takes, gangSize } = this.behaviourOf(run.start.task);
+        const { duration, gangSize } = this.behaviourOf(run.start.task);
         if (gangSize === undefined) {
-            return now - run.startedAt >= takes;
+            return now - run.startedAt >= duration;
         }
         const members = this.#membersOf(run);
         return members.length === gangSize
@@ -252,13 +252,13 @@
     }
 
     #membersOf(run: HostRun): HostRun[] {
-        return this.#hosts.flatMap(place => place.runs).filter(other => isSameGang(other, run));
+        return this.#hosts.flatMap(host => host.runs).filter(other => isSameGang(other, run));
     }
 
     /** Ends a run as done; members of a gang end together. */
-    #finish(place: Host, run: HostRun): void {
+    #finish(host: Host, run: HostRun): void {
         if (this.behaviourOf(run.start.task).gangSize === undefined) {
-            this.#end(place, run, RunEnd.Done);
+            this.#end(host, run, RunEnd.Done);
             return;
         }
         for (const other of this.#hosts) {
@@ -268,29 +268,29 @@
         }
     }
 
-    #end(place: Host, run: HostRun, end: RunEnd): void {
+    #end(host: Host, run: HostRun, end: RunEnd): void {
         const { task, run: number } = run.start;
-        place.runs = place.runs.filter(other => other !== run);
-        place.ended.push(this.driver.ended(place.worker, task, number, end));
+        host.runs = host.runs.filter(other => other !== run);
+        host.ended.push(this.driver.ended(host.worker, task, number, end));
     }
 
-    #runCutOff(place: Host, now: Milliseconds): void {
-        if (!place.isSilent) {
-            place.isSilent = true;
-            this.driver.cell.applySilence(place.worker, place.leaseUntil, { cause: "no answer", heardAgo });
+    #runCutOff(host: Host, now: Milliseconds): void {
+        if (!host.isSilent) {
+            host.isSilent = true;
+            this.driver.cell.applySilence(host.worker, host.leaseUntil, { cause: "no answer", heardAgo });
         }
-        if (now > place.leaseUntil) {
-            place.runs = [];
+        if (now > host.leaseUntil) {
+            host.runs = [];
         }
     }
 
-    #poll(place: Host, isFirst: boolean): void {
-        place.isSilent = false;
-        place.leaseUntil = this.clock.monotonic() + leaseLength;
-        const seen: WorkerRun[] = place.runs.map(({ start, startedAt }) =>
+    #poll(host: Host, isFirst: boolean): void {
+        host.isSilent = false;
+        host.leaseUntil = this.clock.monotonic() + leaseLength;
+        const reported: WorkerRun[] = host.runs.map(({ start, startedAt }) =>
             running(start, this.#percentOf(start.task, startedAt))
         );
-        this.driver.poll(place.worker, seen, place.ended, isFirst);
+        this.driver.poll(host.worker, reported, host.ended, isFirst);
     }
 
     #percentOf(task: TaskAddress, startedAt: Milliseconds): number {
@@ -302,41 +302,41 @@
         return crashesAfter !== undefined && now - startedAt >= crashesAfter;
     }
 
-    #crash(place: Host, by: TaskAddress | undefined): void {
-        if (place.backAt !== undefined) {
+    #crash(host: Host, by: TaskAddress | undefined): void {
+        if (host.backAt !== undefined) {
             return;
         }
         const now = this.clock.monotonic();
         const backAt = now + restartTime;
-        this.crashes.push({ at: now, worker: place.worker, by, tasks: place.runs.map(run => run.start.task), backAt });
-        place.runs = [];
-        place.backAt = backAt;
-        this.driver.cell.applySilence(place.worker, now + leaseLength, { cause: "connection refused", heardAgo });
+        this.crashes.push({ at: now, worker: host.worker, by, tasks: host.runs.map(run => run.start.task), backAt });
+        host.runs = [];
+        host.backAt = backAt;
+        this.driver.cell.applySilence(host.worker, now + leaseLength, { cause: "connection refused", heardAgo });
     }
 
     #stop({ worker, task, run }: StopCommand): void {
-        const place = this.#hosts.find(other => other.worker === worker && other.backAt === undefined);
-        const held = place?.runs.find(({ start }) => start.task === task && start.run === run);
-        if (place !== undefined && held !== undefined && this.clock.monotonic() >= place.cutUntil) {
-            this.#end(place, held, RunEnd.Stopped);
+        const host = this.#hosts.find(other => other.worker === worker && other.backAt === undefined);
+        const hostRun = host?.runs.find(({ start }) => start.task === task && start.run === run);
+        if (host !== undefined && hostRun !== undefined && this.clock.monotonic() >= host.cutUntil) {
+            this.#end(host, hostRun, RunEnd.Stopped);
         }
     }
 
     #runTurn(): void {
         const { starts, stops, acknowledged } = this.driver.run();
-        for (const place of this.#hosts) {
-            const through = acknowledged[place.worker] ?? 0;
-            place.ended = place.ended.filter(end => end.number > through);
+        for (const host of this.#hosts) {
+            const through = acknowledged[host.worker] ?? 0;
+            host.ended = host.ended.filter(end => end.number > through);
         }
         stops.forEach(stop => this.#stop(stop));
         for (const start of starts) {
-            const place = this.#hosts.find(other => other.worker === start.worker && other.backAt === undefined);
-            if (place === undefined || this.clock.monotonic() < place.cutUntil) {
+            const host = this.#hosts.find(other => other.worker === start.worker && other.backAt === undefined);
+            if (host === undefined || this.clock.monotonic() < host.cutUntil) {
                 this.driver.cell.startRefused(start.worker, start.task, start.run, undefined);
                 continue;
             }
             this.starts.push(start);
-            place.runs.push({ start, startedAt: this.clock.monotonic() });
+            host.runs.push({ start, startedAt: this.clock.monotonic() });
             if (!this.losesStartAnswer()) {
                 this.driver.confirm(start);
             }
--- a/packages/cell/test/support/fake-advice.ts
+++ b/packages/cell/test/support/fake-advice.ts
@@ -47,7 +47,7 @@
                 cell.applyAdvice(step, workers, undefined);
                 continue;
             }
-            const permits = workers.filter(worker => this.#isGood(step, worker)).map(worker => ({
+            const permits = workers.filter(worker => this.#isPermitted(step, worker)).map(worker => ({
                 worker,
                 ticket: "ticket",
             }));
@@ -63,7 +63,7 @@
     }
 
     /** Refuses at most one worker for each step, so that every job can be placed. */
-    #isGood(step: string, worker: WorkerId): boolean {
+    #isPermitted(step: string, worker: WorkerId): boolean {
         const numbers = `${step}${worker}`.match(/\d+/g)?.map(Number) ?? [];
         const isUnlucky = numbers.reduce((sum, number) => sum + number, 0) % 7 === 0;
         if (isUnlucky && !this.#refused.has(step)) {
--- a/packages/cell/test/support/fleet.ts
+++ b/packages/cell/test/support/fleet.ts
@@ -28,7 +28,7 @@
 interface FleetRun {
     readonly start: StartCommand;
     readonly work: Milliseconds;
-    readonly begunAt: Milliseconds;
+    readonly startedAt: Milliseconds;
     done: Milliseconds;
 }
 
@@ -62,8 +62,8 @@
     /** Workers with at least `count` tasks that have been running for `time`. */
     workersWithTasks(count: number, time: Milliseconds): readonly WorkerId[] {
         const since = this.driver.clock.monotonic() - time;
-        const isLongAtWork = ({ begunAt }: FleetRun): boolean => begunAt <= since;
-        return [...this.#runs].filter(([, runs]) => runs.filter(isLongAtWork).length >= count).map(([id]) => id);
+        const isLongRunning = ({ startedAt }: FleetRun): boolean => startedAt <= since;
+        return [...this.#runs].filter(([, runs]) => runs.filter(isLongRunning).length >= count).map(([id]) => id);
     }
 
     /** Workers of the job that is spread over the most workers, among jobs on at most `most` workers. */
@@ -85,14 +85,14 @@
         for (let passed = 0; passed < duration; passed += stepTime) {
             clock.advance(stepTime);
             this.#submitJobs();
-            this.#work();
+            this.#advanceRuns();
             this.#pollDue();
             if (clock.monotonic() % (2 * stepTime) === 0) {
                 cell.tick();
             }
             const { starts, stops } = this.driver.run();
             this.driver.confirm(...starts);
-            starts.forEach(start => this.#begin(start));
+            starts.forEach(start => this.#startRun(start));
             stops.forEach(stop => {
                 const runs = this.#runs.get(stop.worker)!;
                 const index = runs.findIndex(({ start }) => start.task === stop.task && start.run === stop.run);
@@ -101,7 +101,7 @@
                     runs.splice(index, 1);
                 }
             });
-            this.#noteJudgements();
+            this.#recordJudgements();
         }
     }
 
@@ -123,13 +123,13 @@
         this.driver.cell.submit(makeJob(id, [makeStep({ taskCount: Math.round(this.#between(width)), estimate })]));
     }
 
-    #begin(start: StartCommand): void {
+    #startRun(start: StartCommand): void {
         const mean = this.#taskWork.get(parseTaskAddress(start.task)!.job)!;
         const work = mean * this.#between([1 - unevenness, 1 + unevenness]);
-        this.#runs.get(start.worker)!.push({ start, work, begunAt: this.driver.clock.monotonic(), done: 0 });
+        this.#runs.get(start.worker)!.push({ start, work, startedAt: this.driver.clock.monotonic(), done: 0 });
     }
 
-    #work(): void {
+    #advanceRuns(): void {
         for (const [id, runs] of this.#runs) {
             runs.forEach(run => run.done += stepTime * this.#speeds.get(id)!);
             const ended = runs.filter(({ done, work }) => done >= work);
@@ -144,13 +144,13 @@
         [...this.#runs.keys()].forEach((id, index) => {
             if ((now / stepTime + index) % (pollInterval / stepTime) === 0) {
                 const runs = this.#runs.get(id)!;
-                const shown = runs.map(({ start, done, work }) => running(start, Math.floor(done / work * 100)));
-                this.driver.poll(id, shown, [], false);
+                const reported = runs.map(({ start, done, work }) => running(start, Math.floor(done / work * 100)));
+                this.driver.poll(id, reported, [], false);
             }
         });
     }
 
-    #noteJudgements(): void {
+    #recordJudgements(): void {
         const { logged, clock } = this.driver;
         for (const { event, fields } of logged.slice(this.#logged)) {
             const id = idOf(String(fields["worker"]));
--- a/packages/cell/test/support/load/generate-jobs.ts
+++ b/packages/cell/test/support/load/generate-jobs.ts
@@ -51,15 +51,15 @@
     }
 
     /** Sample of a lognormal distribution. */
-    size({ mean, spread, max: most }: Distribution): number {
+    size({ mean, spread, max }: Distribution): number {
         const variance = Math.log(1 + spread * spread);
-        const drawn = Math.exp(Math.log(mean) - variance / 2 + Math.sqrt(variance) * this.#normal());
-        return Math.min(most, drawn);
+        const sample = Math.exp(Math.log(mean) - variance / 2 + Math.sqrt(variance) * this.#normal());
+        return Math.min(max, sample);
     }
 
     /** Sample rounded to an integer, at least 1. */
-    count(spread: Distribution): number {
-        return Math.max(1, Math.round(this.size(spread)));
+    count(distribution: Distribution): number {
+        return Math.max(1, Math.round(this.size(distribution)));
     }
 
     /** Sample of the standard normal distribution (Box-Muller transform). */
@@ -73,19 +73,19 @@
 export const generateJobs = (pattern: LoadPattern): LoadJob[] => {
     const jobs: LoadJob[] = [];
     for (const load of pattern.queues) {
-        const drawer = new Sampler(new SeededRandom(pattern.seed + 7_919 * (1 + pattern.queues.indexOf(load))));
+        const sampler = new Sampler(new SeededRandom(pattern.seed + 7_919 * (1 + pattern.queues.indexOf(load))));
         for (let at = 0; at < pattern.duration; at += slice) {
             const factor = factorAt(pattern.bursts, load, at) * swingAt(pattern.swing, at);
             const expected = load.perSecond * factor * slice / millisecondsPerSecond;
             let left = expected;
-            while (left > 0 && drawer.happens(Math.min(1, left))) {
-                jobs.push(generateJob(drawer, load, at, `${load.name}${jobs.length}`));
+            while (left > 0 && sampler.happens(Math.min(1, left))) {
+                jobs.push(generateJob(sampler, load, at, `${load.name}${jobs.length}`));
                 left -= 1;
             }
         }
     }
-    const dealt = assignOrganisations(pattern, jobs.sort((left, right) => left.at - right.at));
-    return pattern.excludesSurplus === true ? dealt.filter(({ isEntitled: isOwed }) => isOwed) : dealt;
+    const assigned = assignOrganisations(pattern, jobs.sort((left, right) => left.at - right.at));
+    return pattern.excludesSurplus === true ? assigned.filter(({ isEntitled }) => isEntitled) : assigned;
 };
 
 /** Assigns jobs to organisations by weight, and the additional jobs of a burst to the organisation that causes it. */
@@ -93,25 +93,25 @@
     { organisations = [], bursts, seed }: LoadPattern,
     jobs: readonly LoadJob[],
 ): LoadJob[] => {
-    const drawer = new Sampler(new SeededRandom(seed + 104_729));
+    const sampler = new Sampler(new SeededRandom(seed + 104_729));
     const counts = new Map<string, number>();
     const weights = organisations.reduce((sum, { weight }) => sum + weight, 0);
     return jobs.map(job => {
-        const burst = bursts.find(({ queue, organisation, at, duration: lasts }) =>
-            organisation !== undefined && queue === job.load.name && job.at >= at && job.at < at + lasts
+        const burst = bursts.find(({ queue, organisation, at, duration }) =>
+            organisation !== undefined && queue === job.load.name && job.at >= at && job.at < at + duration
         );
-        const isOfBurst = burst !== undefined && drawer.happens(1 - 1 / burst.factor);
-        let place = drawer.below(weights);
-        const drawn = organisations.find(({ weight }) => (place -= weight) < 0)?.name;
-        const name = isOfBurst ? burst.organisation : drawn;
+        const isOfBurst = burst !== undefined && sampler.happens(1 - 1 / burst.factor);
+        let position = sampler.below(weights);
+        const sampled = organisations.find(({ weight }) => (position -= weight) < 0)?.name;
+        const name = isOfBurst ? burst.organisation : sampled;
         if (name === undefined) {
             return job;
         }
         const second = `${name} ${Math.floor(job.at / millisecondsPerSecond)}`;
         const count = (counts.get(second) ?? 0) + 1;
         counts.set(second, count);
-        const isOwed = count <= organisations.find(other => other.name === name)!.weight;
-        return { ...job, isEntitled: isOwed, definition: { ...job.definition, organisation: organisationName(name) } };
+        const isEntitled = count <= organisations.find(other => other.name === name)!.weight;
+        return { ...job, isEntitled, definition: { ...job.definition, organisation: organisationName(name) } };
     });
 };
 
@@ -123,15 +123,15 @@
 const swingAt = (swing: Swing | undefined, at: Milliseconds): number =>
     swing === undefined ? 1 : 1 + swing.share * Math.sin(2 * Math.PI * at / swing.period);
 
-const generateJob = (drawer: Sampler, load: QueueLoad, at: Milliseconds, id: string): LoadJob => {
-    const accelerators = load.accelerators?.[drawer.below(load.accelerators.length)] ?? 0;
-    const drawn = Array.from(
-        { length: drawer.count(load.steps) },
-        (_, index) => generateStep(drawer, load, index, accelerators),
+const generateJob = (sampler: Sampler, load: QueueLoad, at: Milliseconds, id: string): LoadJob => {
+    const accelerators = load.accelerators?.[sampler.below(load.accelerators.length)] ?? 0;
+    const generated = Array.from(
+        { length: sampler.count(load.steps) },
+        (_, index) => generateStep(sampler, load, index, accelerators),
     );
-    const steps = drawn.map(({ step }) => step);
-    const works = drawn.map(step => step.works);
-    const sizes = drawn.map(({ step, works: tasks }) =>
+    const steps = generated.map(({ step }) => step);
+    const taskWork = generated.map(step => step.taskWork);
+    const sizes = generated.map(({ step, taskWork: tasks }) =>
         step.size.processorThousandths / 1_000 * tasks.reduce((sum, work) => sum + work, 0) / millisecondsPerSecond
     );
     return {
@@ -139,39 +139,39 @@
         load,
         isEntitled: true,
         definition: makeJob(id, steps, { queue: queueName(load.name) }),
-        taskWork: works,
-        failingTasks: drawn.map(({ failing }) => failing),
+        taskWork,
+        failingTasks: generated.map(({ failing }) => failing),
         coreSeconds: sizes.reduce((sum, size) => sum + size, 0),
-        criticalPath: works.reduce((sum, tasks) => sum + Math.max(...tasks), 0),
-        lifetime: load.lifetime && drawer.size(load.lifetime),
+        criticalPath: taskWork.reduce((sum, tasks) => sum + Math.max(...tasks), 0),
+        lifetime: load.lifetime && sampler.size(load.lifetime),
     };
 };
 
 const generateStep = (
-    drawer: Sampler,
+    sampler: Sampler,
     load: QueueLoad,
     index: number,
     accelerators: number,
 ): {
     readonly step: StepDefinition;
-    readonly works: readonly Milliseconds[];
+    readonly taskWork: readonly Milliseconds[];
     readonly failing: number | undefined;
 } => {
-    const taskCount = drawer.count(load.width);
-    const mean = drawer.size(load.work);
-    const works = Array.from({ length: taskCount }, () => mean * drawer.around(load.unevenness));
+    const taskCount = sampler.count(load.width);
+    const mean = sampler.size(load.work);
+    const taskWork = Array.from({ length: taskCount }, () => mean * sampler.around(load.unevenness));
     const step = makeStep({
         taskCount,
         size: {
-            processorThousandths: Math.round(drawer.size(load.processorThousandths)),
-            memoryMebibytes: Math.round(drawer.size(load.memoryMebibytes)),
+            processorThousandths: Math.round(sampler.size(load.processorThousandths)),
+            memoryMebibytes: Math.round(sampler.size(load.memoryMebibytes)),
             accelerators,
         },
-        estimate: Math.round(mean * drawer.factor(load.estimateError)),
+        estimate: Math.round(mean * sampler.factor(load.estimateError)),
         after: index === 0 ? [] : [index - 1],
-        isGang: taskCount > 1 && drawer.happens(load.gangShare),
-        savesProgress: drawer.happens(load.savesShare),
+        isGang: taskCount > 1 && sampler.happens(load.gangShare),
+        savesProgress: sampler.happens(load.savesShare),
         isLasting: load.lifetime !== undefined,
     });
-    return { step, works, failing: drawer.happens(load.failingShare) ? drawer.below(taskCount) : undefined };
+    return { step, taskWork, failing: sampler.happens(load.failingShare) ? sampler.below(taskCount) : undefined };
 };
--- a/packages/cell/test/support/load/kiosk-patterns.ts
+++ b/packages/cell/test/support/load/kiosk-patterns.ts
@@ -7,7 +7,7 @@
 const accelerated = "accelerated";
 
 /** Urgent jobs of narrow steps with inaccurate estimates. */
-const quotes: QueueLoad = {
+const urgent: QueueLoad = {
     name: "urgent",
     priority: 0,
     perSecond: 29,
@@ -24,11 +24,11 @@
     savesShare: 0,
     failingShare: 0.005,
     advice: { decision: 16, eachWorker: 0.22, validity: 2_000, permittedShare: 0.7 },
-    worth: 0.46,
+    value: 0.46,
 };
 
 /** Deferrable jobs of many tasks, most of which save progress; by themselves they would fill the service. */
-const settlements: QueueLoad = {
+const deferrable: QueueLoad = {
     name: "patient",
     priority: 2,
     perSecond: 2.1,
@@ -45,12 +45,12 @@
     savesShare: 0.8,
     failingShare: 0.005,
     advice: { decision: 208, eachWorker: 3, validity: 2_000, permittedShare: 0.45 },
-    worth: 3.9,
+    value: 3.9,
 };
 
 /** Lasting tasks. */
-const monitors: QueueLoad = {
-    ...settlements,
+const lasting: QueueLoad = {
+    ...deferrable,
     name: "lasting",
     priority: 1,
     perSecond: 0.22,
@@ -65,8 +65,8 @@
 };
 
 /** Gangs whose members need two, four or all eight accelerators of a worker. */
-const screenings: QueueLoad = {
-    ...settlements,
+const gangs: QueueLoad = {
+    ...deferrable,
     name: "gangs",
     service: accelerated,
     priority: 1,
@@ -85,12 +85,12 @@
     savesShare: 0.9,
     failingShare: 0.05,
     advice: { decision: 715, eachWorker: 10.3, validity: 2_000, permittedShare: 0.3 },
-    worth: 3.3,
+    value: 3.3,
 };
 
 /** Tasks that need one accelerator of the same workers. */
-const readings: QueueLoad = {
-    ...settlements,
+const smallTasks: QueueLoad = {
+    ...deferrable,
     name: "small",
     service: accelerated,
     perSecond: 2.6,
@@ -101,7 +101,7 @@
     accelerators: [1],
     work: { mean: 3_000, spread: 0.5, max: 7_500 },
     advice: { decision: 195, eachWorker: 2.7, validity: 2_000, permittedShare: 0.45 },
-    worth: 1.8,
+    value: 1.8,
 };
 
 const acceleratedWorkers: LoadService = {
@@ -125,7 +125,7 @@
     advisingVms: 32,
     duration: 34_000,
     drainTime: 60_000,
-    queues: [quotes, settlements, monitors, screenings, readings],
+    queues: [urgent, deferrable, lasting, gangs, smallTasks],
     bursts: [{ queue: "urgent", at: 20_000, duration: 4_000, factor: 2.2 }],
     departures: [],
     slowStores: [],
@@ -170,7 +170,7 @@
     swing: { share: 0.55, period: 15_000 },
     queues: [
         {
-            ...quotes,
+            ...urgent,
             perSecond: 25,
             latencyTarget: 300,
             processorThousandths: { mean: 2_700, spread: 0.45, max: 8_000 },
@@ -179,7 +179,7 @@
             failingShare: 0.02,
         },
         {
-            ...settlements,
+            ...deferrable,
             perSecond: 1.45,
             width: { mean: 18, spread: 0.6, max: 88 },
             processorThousandths: { mean: 4_500, spread: 0.4, max: 7_600 },
@@ -189,13 +189,13 @@
             failingShare: 0.02,
         },
         {
-            ...monitors,
+            ...lasting,
             perSecond: 0.15,
             processorThousandths: { mean: 4_500, spread: 0.4, max: 7_600 },
             memoryMebibytes: { mean: 9_500, spread: 0.5, max: 19_000 },
         },
         {
-            ...screenings,
+            ...gangs,
             perSecond: 2.8,
             width: { mean: 5.1, spread: 0.6, max: 26 },
             memoryMebibytes: { mean: 250_000, spread: 0, max: 250_000 },
@@ -204,7 +204,7 @@
             failingShare: 0.02,
         },
         {
-            ...readings,
+            ...smallTasks,
             perSecond: 3.1,
             width: { mean: 20, spread: 0.8, max: 120 },
             memoryMebibytes: { mean: 59_000, spread: 0, max: 59_000 },
--- a/packages/cell/test/support/load/load-worker.ts
+++ b/packages/cell/test/support/load/load-worker.ts
@@ -62,8 +62,10 @@
 }
 
 /** Completed share of a run's task, from 0 to 1, including the restored part. */
-export const shareCompleted = ({ startedAt: began, endsAt, restored }: LoadRun, now: Milliseconds): number => {
-    const done = began === undefined ? 0 : Math.min(1, Math.max(0, (now - began) / Math.max(1, endsAt - began)));
+export const shareCompleted = ({ startedAt, endsAt, restored }: LoadRun, now: Milliseconds): number => {
+    const done = startedAt === undefined
+        ? 0
+        : Math.min(1, Math.max(0, (now - startedAt) / Math.max(1, endsAt - startedAt)));
     return restored + (1 - restored) * done;
 };
 
@@ -72,8 +74,8 @@
     if (!run.step.savesProgress || run.startedAt === undefined) {
         return "";
     }
-    const stretches = Math.floor((now - run.startedAt) / checkpointInterval);
-    return stretches === 0 ? "" : String(shareCompleted(run, run.startedAt + stretches * checkpointInterval));
+    const intervals = Math.floor((now - run.startedAt) / checkpointInterval);
+    return intervals === 0 ? "" : String(shareCompleted(run, run.startedAt + intervals * checkpointInterval));
 };
 
 const runKey = (task: TaskAddress, run: RunNumber): string => `${task}#${run}`;
--- a/packages/cell/test/support/load/main.ts
+++ b/packages/cell/test/support/load/main.ts
@@ -39,15 +39,15 @@
 
 const percent = (share: number): string => `${(100 * share).toFixed(1)}%`;
 
-const servedLine = (name: string, { submitted: asked, onTime, late, share, median }: ServiceLevel): string =>
+const serviceLevelLine = (name: string, { submitted, onTime, late, share, median }: ServiceLevel): string =>
     `  ${name.padEnd(24)} ${
         percent(share).padStart(7)
-    } of its worth; ${onTime} on time, ${late} late of ${asked}; median ${Math.round(median)} ms`;
+    } of its worth; ${onTime} on time, ${late} late of ${submitted}; median ${Math.round(median)} ms`;
 
-const cycleLine = (passes: readonly number[]): string => {
-    const sorted = [...passes].sort((left, right) => right - left);
-    const mean = passes.reduce((sum, pass) => sum + pass, 0) / Math.max(1, passes.length);
-    return `  ${passes.length} passes: mean ${mean.toFixed(2)} ms, longest ${(sorted[0] ?? 0).toFixed(0)} ms`;
+const cycleLine = (durations: readonly number[]): string => {
+    const sorted = [...durations].sort((left, right) => right - left);
+    const mean = durations.reduce((sum, duration) => sum + duration, 0) / Math.max(1, durations.length);
+    return `  ${durations.length} passes: mean ${mean.toFixed(2)} ms, longest ${(sorted[0] ?? 0).toFixed(0)} ms`;
 };
 
 const print = (pattern: LoadPattern, seed: number, outcome: Outcome): void => {
@@ -65,10 +65,10 @@
     if (outcome.lastingShare !== undefined) {
         console.log(`  tasks that last were at work ${percent(outcome.lastingShare)} of their time`);
     }
-    for (const [name, { all, nextFifth: fifthBeneath, largestTenth }] of Object.entries(outcome.queues)) {
-        console.log(servedLine(name, all));
-        console.log(servedLine(`${name}, largest tenth`, largestTenth));
-        console.log(servedLine(`${name}, fifth beneath`, fifthBeneath));
+    for (const [name, { all, nextFifth, largestTenth }] of Object.entries(outcome.queues)) {
+        console.log(serviceLevelLine(name, all));
+        console.log(serviceLevelLine(`${name}, largest tenth`, largestTenth));
+        console.log(serviceLevelLine(`${name}, fifth beneath`, nextFifth));
     }
     if (outcome.worstOrganisations !== undefined) {
         console.log(
--- a/packages/cell/test/support/load/outcome.ts
+++ b/packages/cell/test/support/load/outcome.ts
@@ -5,10 +5,11 @@
 /** A job that takes up to this multiple of its objective is late and earns part of its value; a later one earns nothing. */
 const lateFactor = 3;
 /** Share of its value that a late job earns. */
-const lateWorth = 0.2;
+const lateValueShare = 0.2;
 /** Share of a job's value that does not depend on its size. */
-const fixedWorth = 0.3;
-const maxWorth = 4;
+const fixedValueShare = 0.3;
+/** Maximum value of a job, as a multiple of its queue's mean. */
+const maxRelativeValue = 4;
 /** Length of the windows of submission time by which jobs are grouped. */
 const windowLength: Milliseconds = 2_000;
 
@@ -68,14 +69,14 @@
 /** Computes the service level of jobs of one queue. `mean`: mean size of the queue's jobs. */
 export const serviceLevelOf = (jobs: readonly JobOutcome[], mean: number): ServiceLevel => {
     const grades = jobs.map(gradeOf);
-    const worths = jobs.map(({ job }) => worthOf(job, mean));
+    const jobValues = jobs.map(({ job }) => relativeValueOf(job, mean));
     const sum = (values: readonly number[]): number => values.reduce((total, value) => total + value, 0);
-    const times = jobs.map(({ duration: took }) => took ?? Infinity).sort((left, right) => left - right);
+    const times = jobs.map(({ duration }) => duration ?? Infinity).sort((left, right) => left - right);
     return {
         submitted: jobs.length,
         onTime: grades.filter(grade => grade === 1).length,
-        late: grades.filter(grade => grade === lateWorth).length,
-        share: sum(grades.map((grade, index) => grade * worths[index])) / Math.max(1e-9, sum(worths)),
+        late: grades.filter(grade => grade === lateValueShare).length,
+        share: sum(grades.map((grade, index) => grade * jobValues[index])) / Math.max(1e-9, sum(jobValues)),
         median: times[Math.floor(times.length / 2)] ?? 0,
     };
 };
@@ -97,7 +98,7 @@
     let asked = 0;
     let earned = 0;
     for (const jobs of queues.values()) {
-        const worth = jobs.reduce((sum, { job }) => sum + job.load.worth, 0);
+        const worth = jobs.reduce((sum, { job }) => sum + job.load.value, 0);
         asked += worth;
         earned += worth * queueOutcome(jobs).all.share;
     }
@@ -113,7 +114,7 @@
             const { organisation } = outcome.job.definition;
             if (organisation !== undefined) {
                 const entry = byOrganisation.get(organisation) ?? { asked: 0, earned: 0 };
-                const worth = worthOf(outcome.job, mean);
+                const worth = relativeValueOf(outcome.job, mean);
                 byOrganisation.set(organisation, {
                     asked: entry.asked + worth,
                     earned: entry.earned + worth * gradeOf(outcome),
@@ -139,7 +140,7 @@
         for (const outcome of jobs) {
             const at = Math.floor(outcome.job.at / windowLength);
             const window = windows.get(at) ?? { asked: 0, earned: 0 };
-            const worth = worthOf(outcome.job, mean);
+            const worth = relativeValueOf(outcome.job, mean);
             windows.set(at, { asked: window.asked + worth, earned: window.earned + worth * gradeOf(outcome) });
         }
     }
@@ -147,13 +148,13 @@
     return worst.slice(0, 2).reduce((sum, share) => sum + share, 0) / Math.min(2, Math.max(1, worst.length));
 };
 
-const gradeOf = ({ job, duration: took }: JobOutcome): number => {
+const gradeOf = ({ job, duration }: JobOutcome): number => {
     const objective = job.load.extension * job.criticalPath + job.load.latencyTarget;
-    if (took === undefined || took > lateFactor * objective) {
+    if (duration === undefined || duration > lateFactor * objective) {
         return 0;
     }
-    return took > objective ? lateWorth : 1;
+    return duration > objective ? lateValueShare : 1;
 };
 
-const worthOf = ({ coreSeconds: size, load }: LoadJob, mean: number): number =>
-    load.worth * Math.min(maxWorth, fixedWorth + (1 - fixedWorth) * size / mean);
+const relativeValueOf = ({ coreSeconds, load }: LoadJob, mean: number): number =>
+    load.value * Math.min(maxRelativeValue, fixedValueShare + (1 - fixedValueShare) * coreSeconds / mean);
--- a/packages/cell/test/support/load/pattern.ts
+++ b/packages/cell/test/support/load/pattern.ts
@@ -47,7 +47,7 @@
     readonly crashesWorkers?: boolean;
     readonly advice: LoadAdvice | undefined;
     /** Value of a job of mean size to its caller. */
-    readonly worth: number;
+    readonly value: number;
 }
 
 /** An organisation, which submits jobs in proportion to its weight. */
--- a/packages/cell/test/support/load/patterns.ts
+++ b/packages/cell/test/support/load/patterns.ts
@@ -19,7 +19,7 @@
     savesShare: 0,
     failingShare: 0.005,
     advice: { decision: 16, eachWorker: 0.23, validity: 1_500, permittedShare: 0.7 },
-    worth: 0.413,
+    value: 0.413,
 };
 
 /** Deferrable jobs of many small tasks, most of which save progress. */
@@ -40,7 +40,7 @@
     savesShare: 0.8,
     failingShare: 0.05,
     advice: { decision: 140, eachWorker: 2, validity: 1_500, permittedShare: 0.45 },
-    worth: 2.62,
+    value: 2.62,
 };
 
 /** Wide gangs of large tasks; one worker in four is permitted to run a step. */
@@ -61,7 +61,7 @@
     savesShare: 0.5,
     failingShare: 0.05,
     advice: { decision: 600, eachWorker: 8.6, validity: 1_500, permittedShare: 0.25 },
-    worth: 8.53,
+    value: 8.53,
 };
 
 /** Load of about three quarters of the cell's capacity, without bursts. */
@@ -127,7 +127,7 @@
             memoryMebibytes: { mean: 26_000, spread: 0.5, max: 52_000 },
             estimateError: 0.9,
             advice: { decision: 560, eachWorker: 8.1, validity: 1_500, permittedShare: 0.25 },
-            worth: 20,
+            value: 20,
         },
     ],
     bursts: [
@@ -165,7 +165,7 @@
             memoryMebibytes: { mean: 26_000, spread: 0.5, max: 51_000 },
             estimateError: 0.9,
             advice: { decision: 540, eachWorker: 7.7, validity: 1_500, permittedShare: 0.25 },
-            worth: 16.3,
+            value: 16.3,
         },
     ],
 };
@@ -214,7 +214,7 @@
             memoryMebibytes: { mean: 2_500, spread: 0.6, max: 7_600 },
             work: { mean: 640, spread: 0.5, max: 1_600 },
             advice: { decision: 9.4, eachWorker: 0.13, validity: 1_500, permittedShare: 0.7 },
-            worth: 0.39,
+            value: 0.39,
         },
         {
             ...deferrable,
@@ -225,7 +225,7 @@
             work: { mean: 3_400, spread: 0.5, max: 8_400 },
             estimateError: 0.9,
             advice: { decision: 156, eachWorker: 2.34, validity: 1_500, permittedShare: 0.45 },
-            worth: 4.86,
+            value: 4.86,
         },
         {
             ...wide,
@@ -235,7 +235,7 @@
             work: { mean: 4_000, spread: 0.5, max: 10_000 },
             failingShare: 0.005,
             advice: { decision: 455, eachWorker: 6.5, validity: 1_500, permittedShare: 0.25 },
-            worth: 10.4,
+            value: 10.4,
         },
     ],
     departures: [],
--- a/packages/cell/test/support/load/replay.ts
+++ b/packages/cell/test/support/load/replay.ts
@@ -85,7 +85,7 @@
     readonly #failed = new Set<TaskAddress>();
     readonly #advice: SimulatedAdvice;
     readonly #dispatcher: AdviceDispatcher;
-    readonly #drawer: Sampler;
+    readonly #sampler: Sampler;
     readonly #due = new Map<Milliseconds, (() => void)[]>();
     readonly #pollPlanned = new Set<LoadWorker>();
     readonly #violations: string[] = [];
@@ -96,7 +96,7 @@
     #slowJudgements = 0;
     #questions = 0;
     /** Number of jobs that end by themselves. */
-    readonly #endingJobs: number;
+    readonly #finiteJobs: number;
     #nextJob = 0;
     #nextCycle: Milliseconds = 0;
     #worked = 0;
@@ -104,15 +104,15 @@
     /** Sum of the idle shares of all samples, by service. */
     readonly #idle = new Map<string, number>();
     #lastingTasks = 0;
-    #lastingAtWork = 0;
+    #lastingRunning = 0;
     #samples = 0;
 
     /** `stopwatch`: real clock that measures the durations of scheduling cycles. */
     constructor(private readonly pattern: LoadPattern, private readonly stopwatch?: Clock) {
         this.#jobs = generateJobs(pattern);
         this.#jobs.forEach(job => this.#byId.set(job.definition.job, job));
-        this.#endingJobs = this.#jobs.filter(({ lifetime: stay }) => stay === undefined).length;
-        this.#drawer = new Sampler(new SeededRandom(pattern.seed));
+        this.#finiteJobs = this.#jobs.filter(({ lifetime }) => lifetime === undefined).length;
+        this.#sampler = new Sampler(new SeededRandom(pattern.seed));
         this.#advice = new SimulatedAdvice(pattern.seed);
         this.#cell = new CellScheduler({
             clock: this.#clock,
@@ -144,10 +144,10 @@
         const due = this.#due.get(now) ?? [];
         this.#due.delete(now);
         due.forEach(action => action());
-        if (this.pattern.pauses.some(({ at, duration: lasts }) => now >= at && now < at + lasts)) {
+        if (this.pattern.pauses.some(({ at, duration }) => now >= at && now < at + duration)) {
             return;
         }
-        this.#arrive(now);
+        this.#submitDue(now);
         if (now % tickInterval === 0) {
             this.#cell.tick();
             this.#sample();
@@ -157,30 +157,30 @@
             this.#nextCycle = now + cycleInterval;
         }
         if (this.#cell.hasOutput) {
-            this.#carryOut(this.#cell.drain(), now);
+            this.#execute(this.#cell.drain(), now);
         }
     }
 
     #cycle(): void {
-        const begunAt = this.stopwatch?.monotonic() ?? 0;
+        const startedAt = this.stopwatch?.monotonic() ?? 0;
         this.#cell.place();
         if (this.stopwatch !== undefined) {
-            this.#cycleTimes.push(this.stopwatch.monotonic() - begunAt);
+            this.#cycleTimes.push(this.stopwatch.monotonic() - startedAt);
         }
     }
 
-    #arrive(now: Milliseconds): void {
+    #submitDue(now: Milliseconds): void {
         while (this.#nextJob < this.#jobs.length && this.#jobs[this.#nextJob].at <= now) {
-            const { definition, lifetime: stay } = this.#jobs[this.#nextJob++];
+            const { definition, lifetime } = this.#jobs[this.#nextJob++];
             this.#cell.submit(definition);
-            if (stay !== undefined) {
-                this.#after(stay, () => this.#cell.cancel(jobId(definition.job)));
+            if (lifetime !== undefined) {
+                this.#after(lifetime, () => this.#cell.cancel(jobId(definition.job)));
             }
         }
     }
 
     #isDone(): boolean {
-        return this.#nextJob === this.#jobs.length && this.#endedAt.size === this.#endingJobs;
+        return this.#nextJob === this.#jobs.length && this.#endedAt.size === this.#finiteJobs;
     }
 
     #at(time: Milliseconds, action: () => void): void {
@@ -195,7 +195,7 @@
         this.#at(this.#clock.monotonic() + delay, action);
     }
 
-    #carryOut(turn: TurnOutput, now: Milliseconds): void {
+    #execute(turn: TurnOutput, now: Milliseconds): void {
         this.#questions += turn.questions.length;
         this.#dispatcher.ask(...turn.questions);
         for (const command of turn.commands) {
@@ -207,7 +207,7 @@
     }
 
     #recordDelay(now: Milliseconds): Milliseconds {
-        const slow = this.pattern.slowStores.find(({ at, duration: lasts }) => now >= at && now < at + lasts);
+        const slow = this.pattern.slowStores.find(({ at, duration }) => now >= at && now < at + duration);
         return recordDelay + (slow?.delay ?? 0);
     }
 
@@ -262,7 +262,7 @@
             endsAt: Infinity,
         };
         worker.add(entry);
-        this.#checkRoom(worker);
+        this.#checkCapacity(worker);
         this.#checkLimit(entry);
         this.#after(messageDelay, () => this.#cell.startAccepted(id, task, run));
         if (step.isGang) {
@@ -284,7 +284,7 @@
 
     #crashShare({ share }: CrashWave): void {
         for (const worker of [...this.#workers.values()]) {
-            if (worker.isUp && this.#drawer.happens(share)) {
+            if (worker.isUp && this.#sampler.happens(share)) {
                 this.#crash(worker);
             }
         }
@@ -309,14 +309,14 @@
     }
 
     #restart({ entry, slowness }: LoadWorker): void {
-        const isUnderItsId = this.#restarts++ % 2 === 0;
-        const id = isUnderItsId ? entry.worker : workerId(`${entry.worker}+`);
+        const keepsId = this.#restarts++ % 2 === 0;
+        const id = keepsId ? entry.worker : workerId(`${entry.worker}+`);
         const life = workerIncarnation(this.#restarts);
         const next = makeWorker(id, { ...entry, worker: id, life });
         const worker = new LoadWorker(next, slowness);
         this.#workers.delete(entry.worker);
         this.#workers.set(id, worker);
-        if (isUnderItsId) {
+        if (keepsId) {
             this.#cell.applyRestart(id, life);
         }
         else {
@@ -401,14 +401,14 @@
 
     #end(entry: LoadRun, end: RunEnd): void {
         const now = this.#clock.monotonic();
-        const isKept = end === RunEnd.Stopped && entry.step.savesProgress;
-        const checkpoint = isKept ? String(shareCompleted(entry, now)) : "";
+        const isSaved = end === RunEnd.Stopped && entry.step.savesProgress;
+        const checkpoint = isSaved ? String(shareCompleted(entry, now)) : "";
         if (!entry.worker.end(entry, end, checkpoint)) {
             return;
         }
         const work = entry.step.size.processorThousandths * (now - entry.arrivedAt);
         this.#worked += work;
-        this.#wasted += end === RunEnd.Done || isKept || entry.step.isLasting ? 0 : work;
+        this.#wasted += end === RunEnd.Done || isSaved || entry.step.isLasting ? 0 : work;
         this.#planPoll(entry.worker);
     }
 
@@ -464,7 +464,7 @@
 
     #depart({ share, notice }: Departure): void {
         for (const worker of this.#workers.values()) {
-            if (worker.isUp && this.#drawer.happens(share)) {
+            if (worker.isUp && this.#sampler.happens(share)) {
                 this.#cell.updateWorkerEntries([{ ...worker.entry, isDraining: true, leavesIn: notice }], []);
                 this.#after(notice, () => this.#leave(worker));
             }
@@ -525,7 +525,7 @@
         return this.#byId.get(task.split("/")[0])?.definition.organisation;
     }
 
-    #checkRoom({ runs, entry }: LoadWorker): void {
+    #checkCapacity({ runs, entry }: LoadWorker): void {
         let used = 0;
         let accelerators = 0;
         for (const { step } of runs.values()) {
@@ -566,26 +566,26 @@
 
     /** Samples the share of lasting tasks that are running, except those of jobs submitted recently. */
     #sampleLasting(): void {
-        for (const { definition, lifetime: stay } of this.#jobs.slice(0, this.#nextJob)) {
+        for (const { definition, lifetime } of this.#jobs.slice(0, this.#nextJob)) {
             const job = this.#cell.jobs.get(jobId(definition.job));
-            if (stay === undefined || job?.isOver !== false || this.#isNew(job)) {
+            if (lifetime === undefined || job?.isOver !== false || this.#isNew(job)) {
                 continue;
             }
             const tasks = tasksOf(job);
             this.#lastingTasks += tasks.length;
-            this.#lastingAtWork += tasks.filter(({ runs }) =>
+            this.#lastingRunning += tasks.filter(({ runs }) =>
                 runs.some(({ phase }) => phase === RunPhase.Running)
             ).length;
         }
     }
 
-    #isNew({ acceptedAtMonotonic: acceptedSteady, terms }: Job): boolean {
-        return this.#clock.monotonic() < acceptedSteady + terms.latencyTarget;
+    #isNew({ acceptedAtMonotonic, terms }: Job): boolean {
+        return this.#clock.monotonic() < acceptedAtMonotonic + terms.latencyTarget;
     }
 
     #outcome(): Outcome {
         const outcomes = new Map<string, JobOutcome[]>();
-        for (const job of this.#jobs.filter(({ isEntitled: isOwed, lifetime: stay }) => isOwed && stay === undefined)) {
+        for (const job of this.#jobs.filter(({ isEntitled, lifetime }) => isEntitled && lifetime === undefined)) {
             const endedAt = this.#endedAt.get(jobId(job.definition.job));
             const jobs = outcomes.get(job.load.name) ?? [];
             jobs.push({ job, duration: endedAt === undefined ? undefined : endedAt - job.at });
@@ -598,7 +598,7 @@
             worstOrganisations: worstTenth(organisations),
             queues: Object.fromEntries([...outcomes].map(([name, jobs]) => [name, queueOutcome(jobs)])),
             worstWindows: worstWindows(outcomes),
-            lastingShare: this.#lastingTasks === 0 ? undefined : this.#lastingAtWork / this.#lastingTasks,
+            lastingShare: this.#lastingTasks === 0 ? undefined : this.#lastingRunning / this.#lastingTasks,
             idleShares: Object.fromEntries(
                 [...this.#idle].map(([name, sum]) => [name, sum / Math.max(1, this.#samples)]),
             ),
--- a/packages/cell/test/support/simulated-cell.ts
+++ b/packages/cell/test/support/simulated-cell.ts
@@ -31,9 +31,9 @@
 
 const lease: Milliseconds = 2_000;
 const stepTime: Milliseconds = 50;
-const mostFailures = 3;
+const maxFailures = 3;
 /** Tokens are raised by this for each restart, so that links to later incarnations have higher ones. */
-const tokensPerLife = 1_000;
+const tokensPerIncarnation = 1_000;
 /** Time after a change of capacity for which starts within the former capacity are still allowed. */
 const shrinkTime: Milliseconds = 4_500;
 
@@ -59,11 +59,11 @@
 export const noFaults: Faults = { crash: 0, cut: 0, takeOver: 0, cancel: 0, start: 0, fail: 0, advice: undefined };
 
 /** Limits of an organisation in cores: initial and final one, minimum, and range above the minimum. */
-const usualLimit = 24;
-const leastLimit = 4;
+const initialLimit = 24;
+const minLimit = 4;
 const limitRange = 36;
 /** Maximum delay between the decision on a start and its execution. */
-const latestStart: Milliseconds = 3 * lease;
+const maxStartDelay: Milliseconds = 3 * lease;
 
 /** Limit of an organisation in cores, and former limits with the time until which they still count. */
 interface Limit {
@@ -74,12 +74,12 @@
 interface Link {
     worker: FakeWorker;
     /** Published capacity, and former ones with the time until which they still count. */
-    room: TaskSize;
-    former: { readonly room: TaskSize; readonly until: Milliseconds; }[];
+    capacity: TaskSize;
+    former: { readonly capacity: TaskSize; readonly until: Milliseconds; }[];
     token: number;
     forgetThrough: number;
     cutUntil: Milliseconds;
-    isAssigned: boolean;
+    isNewLink: boolean;
     isSilent: boolean;
     reportedThrough: number;
     /** Current incarnation; undefined before the first restart. */
@@ -127,7 +127,7 @@
             ? undefined
             : new FakeAdvice(new SeededRandom(seed + 1), faults.advice);
         if (faults.limits !== undefined) {
-            ["north", "south"].forEach(name => this.#limits.set(name, { cores: usualLimit, former: [] }));
+            ["north", "south"].forEach(name => this.#limits.set(name, { cores: initialLimit, former: [] }));
         }
         this.driver = new CellDriver(this.clock, this.#configuration());
         for (let index = 0; index < workers; index++) {
@@ -173,8 +173,8 @@
             this.#injectFaults(now);
         }
         else {
-            this.#restoreRooms(now);
-            this.#limits.forEach((_, name) => this.#changeLimit(name, usualLimit));
+            this.#restoreCapacities(now);
+            this.#limits.forEach((_, name) => this.#changeLimit(name, initialLimit));
         }
         this.#links.forEach(link => this.#poll(link, now));
         this.#advice?.answer(this.driver.cell, now);
@@ -205,12 +205,12 @@
         const entry = makeWorker(`w${this.#nextWorker++}`);
         const link: Link = {
             worker: new FakeWorker(entry.worker, entry.capacity),
-            room: entry.capacity,
+            capacity: entry.capacity,
             former: [],
             token: this.#tokenBase(),
             forgetThrough: 0,
             cutUntil: 0,
-            isAssigned: true,
+            isNewLink: true,
             isSilent: false,
             reportedThrough: 0,
             incarnation: undefined,
@@ -242,7 +242,7 @@
         }
         for (const name of this.#limits.keys()) {
             if (this.#happens(this.faults.limits ?? 0)) {
-                this.#changeLimit(name, leastLimit + this.#below(limitRange));
+                this.#changeLimit(name, minLimit + this.#below(limitRange));
             }
         }
         const ids = [...this.#jobs.keys()];
@@ -263,7 +263,7 @@
     #changeLimit(name: string, cores: number): void {
         const limit = this.#limits.get(name)!;
         if (limit.cores !== cores) {
-            limit.former.push({ cores: limit.cores, until: this.clock.monotonic() + latestStart });
+            limit.former.push({ cores: limit.cores, until: this.clock.monotonic() + maxStartDelay });
             limit.cores = cores;
             this.#version++;
             this.driver.cell.configure(this.#configuration());
@@ -296,19 +296,19 @@
     }
 
     #resize(link: Link, now: Milliseconds): void {
-        link.former.push({ room: link.room, until: now + shrinkTime });
+        link.former.push({ capacity: link.capacity, until: now + shrinkTime });
         const processorThousandths = 2_000 + this.#below(10_000);
-        link.room = { ...link.room, processorThousandths };
+        link.capacity = { ...link.capacity, processorThousandths };
         this.driver.cell.updateWorkerEntries([this.#entryOf(link)], []);
     }
 
     /** Restores shrunk capacities when the faults are over; otherwise a gang might never fit. */
-    #restoreRooms(now: Milliseconds): void {
+    #restoreCapacities(now: Milliseconds): void {
         for (const link of this.#links.values()) {
             const { capacity } = link.worker;
-            if (link.room.processorThousandths < capacity.processorThousandths) {
-                link.former.push({ room: link.room, until: now + shrinkTime });
-                link.room = capacity;
+            if (link.capacity.processorThousandths < capacity.processorThousandths) {
+                link.former.push({ capacity: link.capacity, until: now + shrinkTime });
+                link.capacity = capacity;
                 this.driver.cell.updateWorkerEntries([this.#entryOf(link)], []);
             }
         }
@@ -316,14 +316,14 @@
 
     #entryOf(link: Link): WorkerEntry {
         const life = link.incarnation === undefined ? {} : { life: link.incarnation };
-        return makeWorker(link.worker.id, { capacity: link.room, ...life });
+        return makeWorker(link.worker.id, { capacity: link.capacity, ...life });
     }
 
     /** Largest capacity that the worker published recently, in thousandths of a processor. */
-    #roomOf({ room, former }: Link): number {
+    #maxRecentCapacity({ capacity, former }: Link): number {
         const now = this.clock.monotonic();
-        const counted = former.filter(({ until }) => until >= now).map(entry => entry.room.processorThousandths);
-        return Math.max(room.processorThousandths, ...counted);
+        const counted = former.filter(({ until }) => until >= now).map(entry => entry.capacity.processorThousandths);
+        return Math.max(capacity.processorThousandths, ...counted);
     }
 
     #takeOver(): void {
@@ -333,7 +333,7 @@
         this.driver.cell.configure(this.#configuration());
         for (const link of this.#links.values()) {
             link.token = this.#tokenBase();
-            link.isAssigned = true;
+            link.isNewLink = true;
             link.reportedThrough = 0;
             link.forgetThrough = 0;
             link.isSilent = false;
@@ -363,12 +363,12 @@
     }
 
     /** Replaces the link to the former incarnation when the new one answers for the first time. */
-    #noteRestart(link: Link): void {
+    #replaceLink(link: Link): void {
         link.isRestarted = false;
-        link.isAssigned = true;
+        link.isNewLink = true;
         link.forgetThrough = 0;
         link.reportedThrough = 0;
-        link.token = this.#tokenBase() + this.#restarts * tokensPerLife;
+        link.token = this.#tokenBase() + this.#restarts * tokensPerIncarnation;
         this.driver.cell.applyRestart(link.worker.id, link.incarnation!);
         this.driver.cell.updateWorkerEntries([this.#entryOf(link)], []);
     }
@@ -382,20 +382,20 @@
             return;
         }
         if (link.isRestarted) {
-            this.#noteRestart(link);
+            this.#replaceLink(link);
         }
-        const look = link.worker.poll(fencingToken(link.token), link.forgetThrough, now + lease, now);
-        if (look === undefined) {
+        const poll = link.worker.poll(fencingToken(link.token), link.forgetThrough, now + lease, now);
+        if (poll === undefined) {
             this.violations.push(`${link.worker.id} refused the owner's token`);
             return;
         }
-        const fresh = look.ended.filter(end => end.number > link.reportedThrough);
+        const fresh = poll.ended.filter(end => end.number > link.reportedThrough);
         fresh.forEach(end => this.#countEnd(end));
         link.reportedThrough = Math.max(link.reportedThrough, ...fresh.map(end => end.number));
-        const settledBefore = link.isAssigned ? now : -Infinity;
-        link.isAssigned = false;
+        const settledBefore = link.isNewLink ? now : -Infinity;
+        link.isNewLink = false;
         link.isSilent = false;
-        this.driver.cell.applyPoll(link.worker.id, { ...look, ended: fresh }, now, settledBefore);
+        this.driver.cell.applyPoll(link.worker.id, { ...poll, ended: fresh }, now, settledBefore);
     }
 
     #start(command: StartCommand, now: Milliseconds, hasFaults: boolean): void {
@@ -423,7 +423,7 @@
         link.token++;
         if (now < link.cutUntil) {
             // The link keeps polling, and the first answer of the worker settles this start too.
-            link.isAssigned = true;
+            link.isNewLink = true;
             return;
         }
         this.#poll(link, now);
@@ -481,8 +481,8 @@
     }
 
     #stepOf(task: TaskAddress): StepDefinition {
-        const place = parseTaskAddress(task)!;
-        return this.#jobs.get(place.job)!.steps[place.step];
+        const coordinates = parseTaskAddress(task)!;
+        return this.#jobs.get(coordinates.job)!.steps[coordinates.step];
     }
 
     /** Counts an end once, however many owners it is reported to. */
@@ -502,7 +502,7 @@
 
     /** Checks the invariants that apply when a worker starts a run. */
     #checkStart(worker: FakeWorker, { task, payload }: StartCommand, step: StepDefinition): void {
-        const place = parseTaskAddress(task)!;
+        const coordinates = parseTaskAddress(task)!;
         for (const { worker: other } of this.#links.values()) {
             const copies = other.runs.filter(run => run.task === task).length - (other === worker ? 1 : 0);
             if (copies > 0) {
@@ -511,28 +511,29 @@
         }
         const used = worker.runs.reduce((sum, run) => sum + run.size.processorThousandths, 0);
         const link = this.#links.get(worker.id);
-        if (link !== undefined && used > this.#roomOf(link)) {
+        if (link !== undefined && used > this.#maxRecentCapacity(link)) {
             this.violations.push(`${worker.id} is overcommitted with ${used} thousandths of a processor`);
         }
         if (this.#isDone(task)) {
             this.violations.push(`${task} started after it was done`);
         }
         for (const before of step.after) {
-            const tasks = this.#jobs.get(place.job)!.steps[before].taskCount;
+            const tasks = this.#jobs.get(coordinates.job)!.steps[before].taskCount;
             const isOpen = Array.from({ length: tasks }, (_, index) => index)
-                .some(index => !this.#isDoneOrGangDone(place.job, before, index));
+                .some(index => !this.#isDoneOrGangDone(coordinates.job, before, index));
             if (isOpen) {
                 this.violations.push(`${task} started before step ${before} was done`);
             }
         }
-        if ((this.#failures.get(task) ?? 0) >= mostFailures) {
-            this.violations.push(`${task} started after ${mostFailures} failed runs`);
+        if ((this.#failures.get(task) ?? 0) >= maxFailures) {
+            this.violations.push(`${task} started after ${maxFailures} failed runs`);
         }
-        const sameStep = worker.runs.filter(run => run.task.startsWith(`${place.job}/0/${place.step}/`)).length;
+        const sameStep =
+            worker.runs.filter(run => run.task.startsWith(`${coordinates.job}/0/${coordinates.step}/`)).length;
         if (step.mostPerWorker !== undefined && sameStep > step.mostPerWorker) {
-            this.violations.push(`${worker.id} has ${sameStep} tasks of ${place.job}/0/${place.step}`);
+            this.violations.push(`${worker.id} has ${sameStep} tasks of ${coordinates.job}/0/${coordinates.step}`);
         }
-        if (payload !== this.#jobs.get(place.job)!.payload) {
+        if (payload !== this.#jobs.get(coordinates.job)!.payload) {
             this.violations.push(`${task} started with another payload`);
         }
     }
