--- a/packages/cell/src/state/definition.ts
+++ b/packages/cell/src/state/definition.ts
@@ -22,6 +22,7 @@
     readonly estimate: Milliseconds;
     /** Indexes of earlier steps, from 0, that must be complete first. */
     readonly after: readonly number[];
+    /** Tasks write checkpoints, from which their next runs resume. */
     readonly savesProgress: boolean;
     /** All tasks start together and end together (gang scheduling). */
     readonly isGang: boolean;
@@ -71,7 +72,9 @@
 export interface JobTerms {
     readonly service: ServiceName;
     readonly priority: number;
+    /** Number of failed runs after which a task fails its job. */
     readonly attempts: number;
+    /** A job is on time if it takes at most this multiple of its critical path, plus the latency target. */
     readonly extension: number;
     readonly latencyTarget: Milliseconds;
     readonly advice: AdvicePolicy | undefined;
--- a/packages/cell/test/scheduler/lasting.test.ts
+++ b/packages/cell/test/scheduler/lasting.test.ts
@@ -90,22 +90,22 @@
 
     it("are throttled while a serving task is near its latency target, and released in steps", () => {
         const { driver, server, filler } = fillerAndServer();
-        const look = (tail: number): number[] => {
+        const poll = (tail: number): number[] => {
             driver.clock.advance(500);
             driver.poll("w1", [measured(server, tail), running(filler)], [], false);
             return pacesOf(driver);
         };
-        expect(look(50)).toEqual([]);
-        expect(look(90)).toEqual([50]);
-        expect(look(95)).toEqual([25]);
-        expect(look(70)).toEqual([25]);
-        expect(look(40)).toEqual([35]);
+        expect(poll(50)).toEqual([]);
+        expect(poll(90)).toEqual([50]);
+        expect(poll(95)).toEqual([25]);
+        expect(poll(70)).toEqual([25]);
+        expect(poll(40)).toEqual([35]);
     });
 
     it("are paused rather than throttled to a minimal pace", () => {
         const { driver, server, filler } = fillerAndServer();
         let last: number[] = [];
-        for (let look = 0; look < 8; look++) {
+        for (let poll = 0; poll < 8; poll++) {
             driver.poll("w1", [measured(server, 200), running(filler)], [], false);
             last = pacesOf(driver);
         }
--- a/packages/cell/test/support/fake-advice.ts
+++ b/packages/cell/test/support/fake-advice.ts
@@ -6,7 +6,7 @@
 export const fakePolicy = { decision: 150, eachWorker: 10, validity: 600 };
 
 interface Question {
-    readonly command: AdviceRequest;
+    readonly request: AdviceRequest;
     /** When it is answered. */
     readonly at: Milliseconds;
 }
@@ -23,9 +23,9 @@
     constructor(private readonly random: SeededRandom, private readonly loss: number) {}
 
     /** Accepts questions, which are answered later. */
-    ask(commands: readonly AdviceRequest[], now: Milliseconds): void {
-        commands.forEach(command =>
-            this.#questions.push({ command, at: now + callDuration(command.policy, command.workers.length) })
+    ask(requests: readonly AdviceRequest[], now: Milliseconds): void {
+        requests.forEach(request =>
+            this.#questions.push({ request, at: now + callDuration(request.policy, request.workers.length) })
         );
     }
 
@@ -38,7 +38,7 @@
     answer(cell: CellScheduler, now: Milliseconds): void {
         const due = this.#questions.filter(question => question.at <= now);
         this.#questions = this.#questions.filter(question => question.at > now);
-        for (const { command: { step, workers } } of due) {
+        for (const { request: { step, workers } } of due) {
             if (!cell.isAdviceWanted(step)) {
                 cell.dropAdvice(step, workers);
                 continue;
--- a/packages/cell/test/support/fleet.ts
+++ b/packages/cell/test/support/fleet.ts
@@ -66,8 +66,8 @@
         return [...this.#runs].filter(([, runs]) => runs.filter(isLongRunning).length >= count).map(([id]) => id);
     }
 
-    /** Workers of the job that is spread over the most workers, among jobs on at most `most` workers. */
-    workersOfWidestJob(most: number): readonly WorkerId[] {
+    /** Workers of the job that is spread over the most workers, among jobs on at most `maxWorkers` workers. */
+    workersOfWidestJob(maxWorkers: number): readonly WorkerId[] {
         const workers = new Map<string, Set<WorkerId>>();
         for (const [id, runs] of this.#runs) {
             for (const { start } of runs) {
@@ -75,7 +75,7 @@
                 workers.set(job, (workers.get(job) ?? new Set()).add(id));
             }
         }
-        const jobs = [...workers.values()].filter(({ size }) => size <= most);
+        const jobs = [...workers.values()].filter(({ size }) => size <= maxWorkers);
         return [...jobs.reduce((widest, other) => other.size > widest.size ? other : widest)];
     }
 
@@ -105,8 +105,8 @@
         }
     }
 
-    #between([least, most]: readonly [number, number]): number {
-        return least + this.#random.next() * (most - least);
+    #between([min, max]: readonly [number, number]): number {
+        return min + this.#random.next() * (max - min);
     }
 
     /** Submits a job unless enough cores are in use. */
--- a/packages/cell/test/support/load/replay.ts
+++ b/packages/cell/test/support/load/replay.ts
@@ -486,9 +486,9 @@
     #addAdvisingVms(): void {
         for (let index = 0; index < this.pattern.advisingVms; index++) {
             let busyUntil = 0;
-            this.#dispatcher.join(`vm${index}`, (question, command, duration) => {
+            this.#dispatcher.join(`vm${index}`, (question, request, duration) => {
                 busyUntil = Math.max(busyUntil, this.#clock.monotonic() + messageDelay) + duration;
-                this.#at(busyUntil, () => this.#answer(question, command));
+                this.#at(busyUntil, () => this.#answer(question, request));
             });
         }
     }
--- a/packages/cell/test/support/simulated-cell.ts
+++ b/packages/cell/test/support/simulated-cell.ts
@@ -278,7 +278,7 @@
             return;
         }
         const now = this.clock.monotonic();
-        const most = Math.max(
+        const maxCores = Math.max(
             limit.cores,
             ...limit.former.filter(({ until }) => until >= now).map(({ cores }) => cores),
         );
@@ -286,8 +286,8 @@
         const used = runs
             .filter(run => this.#organisationOf(run.task) === name)
             .reduce((sum, { size }) => sum + size.processorThousandths, 0);
-        if (used > most * 1_000) {
-            this.violations.push(`${name} uses ${used} of ${most * 1_000} thousandths of a processor`);
+        if (used > maxCores * 1_000) {
+            this.violations.push(`${name} uses ${used} of ${maxCores * 1_000} thousandths of a processor`);
         }
     }
 
