--- a/packages/cell/src/crashes/crash-watch.ts
+++ b/packages/cell/src/crashes/crash-monitor.ts
@@ -1,4 +1,4 @@
-/** Keeps what is known of crashes from loss to judgement: silences that wait for an explanation, trials, tasks that are cleared. */
+/** Tasks suspected of crashing their workers. */
 import {
     logEvents,
     type Milliseconds,
@@ -25,41 +25,40 @@
 import { judge, outlives } from "./judgement.js";
 import { Judgement } from "./types.js";
 
-/** Waiting tasks of a step by what they may do. */
+/** Waiting tasks of a step by how they may be started. */
 export interface PartitionedTasks {
     readonly trusted: readonly Task[];
-    /** Tasks that may be tried apart now. */
+    /** Tasks that may be started now, as isolated trials. */
     readonly suspects: readonly Task[];
-    /** Whether other tasks wait for their trial, or for word of silent workers. */
+    /** Whether further tasks have to wait for their trial or for an explanation of silences. */
     readonly hasPostponed: boolean;
 }
 
-/** How many tasks and jobs are under suspicion. */
+/** Figures about suspected tasks. They are logged under these names. */
 export interface CrashSummary {
     readonly suspects: number;
     readonly trials: number;
 }
 
-/** A worker that was lost as silent: what answers there later tells whether it crashed. */
+/** A worker that was lost while silent. What answers at its address later shows whether it crashed. */
 interface LostWorker {
     readonly address: string;
     readonly incarnation: WorkerIncarnation | undefined;
 }
 
-/** See the module's comment. */
+/** Follows strikes until they are explained or cleared, limits trials of suspected tasks, and reports tasks that are at fault. */
 export class CrashMonitor {
-    /** Jobs with anything held against a task. */
     readonly #jobsWithStrikes = new Set<Job>();
     readonly #trials = new Set<TaskRun>();
-    /** Workers of strikes that are not explained. */
+    /** Workers of unproved strikes. */
     readonly #unexplained = new Map<WorkerId, LostWorker>();
-    /** Until when tasks wait for word of silent workers, by the owner's monotonic clock. */
+    /** Until when tasks wait for an explanation of silences, by the owner's monotonic clock. */
     readonly #postponedUntil = new Map<Task, Milliseconds>();
 
-    /** `giveUp`: told of tasks at fault. */
+    /** `giveUp`: called with tasks that are at fault. */
     constructor(private readonly context: CellContext, private readonly giveUp: (task: Task) => void) {}
 
-    /** Takes over what the journal holds against tasks. */
+    /** Restores the strikes of the journal. */
     recover(): void {
         for (const job of this.context.table.jobs.values()) {
             if (!job.isOver && !job.strikes.isEmpty) {
@@ -69,13 +68,12 @@
         }
     }
 
-    /** A strike was recorded. */
     addStrike({ step: { job } }: Task, strike: Strike): void {
         this.#jobsWithStrikes.add(job);
         this.#trackSilence(strike);
     }
 
-    /** A run is tried apart from others. */
+    /** Starts to follow a run that was ordered as an isolated trial. */
     beginTrial(run: TaskRun): void {
         this.#trials.add(run);
         this.context.options.log.log(logEvents.taskOnTrial, {
@@ -87,20 +85,20 @@
         });
     }
 
-    /** Word of a lost worker: it crashed, or it lived on. */
+    /** Resolves the unproved strikes of a worker: it crashed, or it was only unreachable. */
     explain(worker: WorkerId, isCrash: boolean): void {
         if (this.#unexplained.delete(worker)) {
             this.#explainAll(worker, isCrash);
         }
     }
 
-    /** A life of a worker answers: the one that fell silent lived on if it is the same, and has crashed if it is another. */
+    /** Explains a worker's silence when it answers again: another incarnation proves a crash, the same one disproves it. */
     noteAnswer(worker: WorkerId, incarnation: WorkerIncarnation | undefined): void {
         const lost = this.#unexplained.get(worker)?.incarnation;
         this.explain(worker, lost !== undefined && incarnation !== undefined && lost !== incarnation);
     }
 
-    /** A worker that was not known is listed at an address: whoever was there before and is silent has crashed. */
+    /** Explains the silence of workers at an address at which a new worker is listed: they have crashed. */
     noteNewWorker(worker: WorkerId, address: string): void {
         for (const [silent, lost] of this.#unexplained) {
             if (lost.address === address && silent !== worker) {
@@ -109,7 +107,7 @@
         }
     }
 
-    /** Sorts waiting tasks of a step by what they may do now. */
+    /** Sorts the waiting tasks of a step by how they may be started now. */
     partition(step: Step, waiting: readonly Task[], now: Milliseconds): PartitionedTasks {
         const { strikes } = step.job;
         if (strikes.isEmpty) {
@@ -123,12 +121,12 @@
         return { trusted, suspects, hasPostponed: suspects.length < others.length };
     }
 
-    /** Whether a copy of a run may be started beside it: a task that workers may have crashed under has one run at a time. */
+    /** Whether a speculative copy of a run may be started. A task with strikes has one run at a time. */
     allowsCopy({ task }: TaskRun): boolean {
         return task.step.job.strikes.of(task.address).length === 0;
     }
 
-    /** Looks at which runs have outlived what is held against their tasks. */
+    /** Ends decided trials and clears tasks whose runs have outlived their strikes. */
     tick(): void {
         this.#trials.forEach(run => this.#endIfDecided(run));
         for (const job of this.#jobsWithStrikes) {
@@ -146,7 +144,6 @@
         }
     }
 
-    /** Figures for logs and metrics. */
     summary(): CrashSummary {
         let suspects = 0;
         for (const job of this.#jobsWithStrikes) {
@@ -183,7 +180,7 @@
         }
     }
 
-    /** A trial ends with its run or its job, or once the run has outlived what is held against its task. */
+    /** Ends a trial with its run or job, or once the run has outlived the strikes against its task. */
     #endIfDecided(run: TaskRun): void {
         const { task } = run;
         const { job } = task.step;
@@ -195,8 +192,8 @@
 
     #clearIfOutlived(task: Task): void {
         const { strikes } = task.step.job;
-        const held = strikes.of(task.address);
-        const run = held.length === 0 ? undefined : task.runs.find(other => outlives(other, held));
+        const strikesOfTask = strikes.of(task.address);
+        const run = strikesOfTask.length === 0 ? undefined : task.runs.find(other => outlives(other, strikesOfTask));
         if (run === undefined) {
             return;
         }
@@ -205,11 +202,11 @@
             task: task.address,
             run: run.run,
             worker: run.worker.id,
-            strikes: held.length,
+            strikes: strikesOfTask.length,
         });
     }
 
-    /** One trial a job at a time, a few in all, and none while too much of the service is away. */
+    /** Allows one trial per job, a limited number per service, and none while too many of its workers are silent. */
     #mayStartTrial({ job }: Step): boolean {
         const { service } = job.terms;
         let trials = 0;
--- a/packages/cell/src/crashes/index.ts
+++ b/packages/cell/src/crashes/index.ts
@@ -1,6 +1,6 @@
-/** Which tasks crash the workers that start them: what is held against each, how it is tried, when it is given up. */
+/** Detection of tasks that crash their workers: strikes, isolated trials, and giving up. */
 export { riskCost } from "./constants.js";
-export * from "./crash-watch.js";
+export * from "./crash-monitor.js";
 export * from "./judgement.js";
-export * from "./silence-log.js";
+export * from "./silence-history.js";
 export * from "./types.js";
--- a/packages/cell/src/crashes/silence-log.ts
+++ b/packages/cell/src/crashes/silence-history.ts
@@ -1,24 +1,23 @@
-/** Remembers when workers fell silent, so that a loss that many shared is told from one that a task may have brought about. */
+/** Times at which workers fell silent. */
 import type { Milliseconds, ServiceName, WorkerId } from "@pebbledale/core";
 import { minSharedFraction, minSharedLosses, sharedLossWindow } from "./constants.js";
 
-/** Most silences that are remembered: a few times all workers of a large cell. */
+/** Bounds the history to a few times the number of workers in a large cell. */
 const maxRecorded = 2_000;
 
-/** A worker fell silent. It is remembered also once the worker is gone: others that were lost with it are looked at after it. */
+/** The latest silence of a worker. Kept after the worker is gone, because losses at the same time may be judged later. */
 interface RecordedSilence {
     readonly at: Milliseconds;
-    /** Undefined when the platform had not listed the worker to this owner. */
+    /** Undefined when this owner had no entry of the worker. */
     readonly service: ServiceName | undefined;
 }
 
-/** See the module's comment. */
+/** Distinguishes losses that many workers shared, such as a network failure, from those that a task may have caused. */
 export class SilenceHistory {
-    /** The latest silence of each worker, the oldest first. */
+    /** Latest silence of each worker, oldest first. */
     readonly #silences = new Map<WorkerId, RecordedSilence>();
 
-    /** A worker of a service fell silent. */
-    note(worker: WorkerId, service: ServiceName | undefined, at: Milliseconds): void {
+    record(worker: WorkerId, service: ServiceName | undefined, at: Milliseconds): void {
         this.#silences.delete(worker);
         this.#silences.set(worker, { at, service });
         const oldest = this.#silences.keys().next().value;
@@ -27,7 +26,7 @@
         }
     }
 
-    /** Whether many others of its service, which has so many `workers`, fell silent together with a worker. */
+    /** Whether many other workers of its service fell silent together with a worker. `workers`: size of the service. */
     isShared(worker: WorkerId, workers: number): boolean {
         const silence = this.#silences.get(worker);
         if (silence === undefined) {
@@ -35,8 +34,8 @@
         }
         let others = 0;
         for (const [other, { at, service }] of this.#silences) {
-            const isWithIt = service === silence.service && Math.abs(at - silence.at) <= sharedLossWindow;
-            others += other !== worker && isWithIt ? 1 : 0;
+            const isSimultaneous = service === silence.service && Math.abs(at - silence.at) <= sharedLossWindow;
+            others += other !== worker && isSimultaneous ? 1 : 0;
         }
         return others >= Math.max(minSharedLosses, workers * minSharedFraction);
     }
--- a/packages/cell/src/runs/worker-entries.ts
+++ b/packages/cell/src/runs/worker-entry-reconciler.ts
@@ -1,12 +1,12 @@
-/** What the platform's store lists of workers: room, labels, whether they leave. */
+/** Workers' entries in the platform's store. */
 import { logEvents, type WorkerId } from "@pebbledale/core";
 import type { CrashMonitor } from "../crashes/index.js";
 import { type CellContext, type TaskSize, WorkerState } from "../state/index.js";
 import type { WorkerEntry } from "../worker-directory/index.js";
 import type { WorkerListener } from "./types.js";
-import type { WorkerIncarnations } from "./worker-lives.js";
+import type { WorkerIncarnations } from "./worker-incarnations.js";
 
-/** See the module's comment. */
+/** Applies workers' entries from the platform's store: capacity, labels, and whether a worker drains. */
 export class WorkerEntryReconciler {
     constructor(
         private readonly context: CellContext,
@@ -15,7 +15,7 @@
         private readonly listener: WorkerListener,
     ) {}
 
-    /** Takes in all entries of the platform's store. */
+    /** Applies a complete listing: workers that it does not name are no longer listed. */
     applyListing(entries: readonly WorkerEntry[], unreadable: readonly WorkerId[]): void {
         const listed = new Set([...entries.map(entry => entry.worker), ...unreadable]);
         entries.forEach(entry => this.applyEntry(entry));
@@ -27,7 +27,7 @@
         }
     }
 
-    /** Takes in one entry. */
+    /** Applies a new or changed entry, unless it describes another incarnation than the one that answers. */
     applyEntry(entry: WorkerEntry): void {
         const { log } = this.context.options;
         const worker = this.context.workers.get(entry.worker) ?? this.#add(entry);
@@ -56,10 +56,10 @@
                 labels: entry.labels,
             });
         }
-        this.listener.roomChanged();
+        this.listener.capacityChanged();
     }
 
-    /** An entry can no longer be read: its worker takes nothing new until it can. What runs there goes on. */
+    /** Marks an entry as unparsable: its worker gets no new runs until the entry can be parsed again, its present runs continue. */
     markUnreadable(id: WorkerId): void {
         const worker = this.context.workers.get(id);
         if (worker !== undefined) {
@@ -68,7 +68,7 @@
         }
     }
 
-    /** An entry is gone from the platform's store. The worker may live on: it is asked until its leases are over. */
+    /** Marks a worker as unlisted. It may still be alive, so it is polled until its leases have expired. */
     markUnlisted(id: WorkerId): void {
         const worker = this.context.workers.get(id);
         if (worker !== undefined && worker.unlistedSince === undefined) {
@@ -85,14 +85,14 @@
     }
 
     #logCapacityChange(worker: WorkerState, former: WorkerEntry | undefined): void {
-        const room = worker.entry!.capacity;
-        if (former === undefined || isSameCapacity(former.capacity, room)) {
+        const capacity = worker.entry!.capacity;
+        if (former === undefined || isSameCapacity(former.capacity, capacity)) {
             return;
         }
         this.context.options.log.log(logEvents.workerRoomChanged, {
             worker: worker.id,
             former: former.capacity,
-            room,
+            room: capacity,
             runs: worker.runs.size,
             isOverfull: worker.isOvercommitted,
         });
--- a/packages/cell/src/runs/worker-pool.ts
+++ b/packages/cell/src/runs/worker-pool.ts
@@ -1,4 +1,4 @@
-/** The cell's workers: who there is, and when nothing can run there any more. */
+/** The workers of a cell. */
 import { logEvents, type Milliseconds, type WorkerId, type WorkerIncarnation } from "@pebbledale/core";
 import { type CrashMonitor, LossCause, type SilenceHistory } from "../crashes/index.js";
 import type { FillerPaceController } from "../pacing/index.js";
@@ -7,13 +7,13 @@
 import type { ProgressMonitor } from "../watching/index.js";
 import type { WorkerEntry } from "../worker-directory/index.js";
 import { leaseMargin, unlistedGracePeriod } from "./constants.js";
-import type { RunLifecycle } from "./run-book.js";
+import type { RunLifecycle } from "./run-lifecycle.js";
 import type { Silence, WorkerListener } from "./types.js";
-import { WorkerEntryReconciler } from "./worker-entries.js";
-import { WorkerIncarnations } from "./worker-lives.js";
-import { WorkerPollReconciler } from "./worker-looks.js";
+import { WorkerEntryReconciler } from "./worker-entry-reconciler.js";
+import { WorkerIncarnations } from "./worker-incarnations.js";
+import { WorkerPollReconciler } from "./worker-poll-reconciler.js";
 
-/** What a pool needs. */
+/** Components that a worker pool works with. */
 export interface WorkerPoolOptions {
     readonly context: CellContext;
     readonly runs: RunLifecycle;
@@ -24,7 +24,7 @@
     readonly listener: WorkerListener;
 }
 
-/** See the module's comment. */
+/** Follows all workers of a cell from their first entry until no run can be left on them. */
 export class WorkerPool {
     readonly #context: CellContext;
     readonly #runs: RunLifecycle;
@@ -46,16 +46,16 @@
         this.#polls = new WorkerPollReconciler(context, runs, this.#incarnations, progress, paces, crashes, listener);
     }
 
-    /** All workers that are to be asked. */
+    /** All workers that are to be polled. */
     get workers(): ReadonlyMap<WorkerId, WorkerState> {
         return this.#context.workers;
     }
 
-    /** Takes over the workers of the journal, and the runs there whose ends are not known. */
+    /** Restores workers from the journal, and their runs whose ends are unknown. */
     recover(): void {
         const { table, workers } = this.#context;
-        for (const [id, { address, incarnation: life }] of table.knownWorkers) {
-            const worker = new WorkerState(id, address, life);
+        for (const [id, { address, incarnation }] of table.knownWorkers) {
+            const worker = new WorkerState(id, address, incarnation);
             worker.isCommitted = true;
             workers.set(id, worker);
         }
@@ -64,38 +64,32 @@
         }
     }
 
-    /** See {@link WorkerEntryReconciler.applyListing}. */
     applyListing(entries: readonly WorkerEntry[], unreadable: readonly WorkerId[]): void {
         this.#entries.applyListing(entries, unreadable);
     }
 
-    /** See {@link WorkerEntryReconciler.applyEntry}. */
     applyEntry(entry: WorkerEntry): void {
         this.#entries.applyEntry(entry);
     }
 
-    /** See {@link WorkerEntryReconciler.markUnreadable}. */
     markUnreadable(id: WorkerId): void {
         this.#entries.markUnreadable(id);
     }
 
-    /** See {@link WorkerEntryReconciler.markUnlisted}. */
     markUnlisted(id: WorkerId): void {
         this.#entries.markUnlisted(id);
     }
 
-    /** See {@link WorkerPollReconciler.applyPoll}. */
     applyPoll(id: WorkerId, poll: PollResult, sentAt: Milliseconds, settledBefore: Milliseconds): void {
         this.#polls.applyPoll(id, poll, sentAt, settledBefore);
     }
 
-    /** See {@link WorkerPollReconciler.applyEnds}. */
     applyEnds(id: WorkerId, ended: PollResult["ended"]): void {
         this.#polls.applyEnds(id, ended);
     }
 
-    /** A worker does not answer. `lapsesAt`: when every lease there is over, if that is known. */
-    applySilence(id: WorkerId, lapsesAt: Milliseconds | undefined, { cause, heardAgo }: Silence): void {
+    /** Handles a worker that does not answer. `leasesExpireAt`: when its last lease expires, if known. */
+    applySilence(id: WorkerId, leasesExpireAt: Milliseconds | undefined, { cause, heardAgo }: Silence): void {
         const worker = this.#context.workers.get(id);
         if (worker === undefined) {
             return;
@@ -106,21 +100,21 @@
         if (worker.silentSince === undefined) {
             worker.silentSince = this.#context.now();
             if (worker.lastHeardAt !== undefined) {
-                // A new owner finds all that fell silent before its time at one moment.
-                this.#silences.note(id, worker.entry?.service, worker.silentSince);
+                // Without an earlier answer the time of silence is unknown: a new owner notices all silent workers at once.
+                this.#silences.record(id, worker.entry?.service, worker.silentSince);
             }
             this.#context.options.log.log(logEvents.workerSilent, {
                 worker: id,
                 cause,
-                lapsesAt,
+                lapsesAt: leasesExpireAt,
                 runs: worker.runs.size,
             });
         }
-        worker.leasesExpireAt = lapsesAt ?? worker.leasesExpireAt;
+        worker.leasesExpireAt = leasesExpireAt ?? worker.leasesExpireAt;
         this.#incarnations.followAddress(worker);
     }
 
-    /** A worker of another id answers where this one was: it is over, with all that ran there. */
+    /** Handles that a worker with another id answers at this worker's address: this one is gone with all its runs. */
     applyReplacement(id: WorkerId): void {
         const worker = this.#context.workers.get(id);
         if (worker !== undefined) {
@@ -130,13 +124,12 @@
         this.#applyPendingEntry(worker?.pendingEntry);
     }
 
-    /** See {@link WorkerIncarnations.applyRestart}. */
     applyRestart(id: WorkerId, incarnation: WorkerIncarnation | undefined): void {
         this.#applyPendingEntry(this.#incarnations.applyRestart(id, incarnation));
-        this.#listener.roomChanged();
+        this.#listener.capacityChanged();
     }
 
-    /** Looks at what time has brought: leases that are over. */
+    /** Expires the leases of silent workers and removes workers that have left. */
     tick(): void {
         const now = this.#context.now();
         for (const worker of [...this.#context.workers.values()]) {
@@ -146,7 +139,7 @@
                 }
             }
             else if (this.#hasLeft(worker, now)) {
-                this.#incarnations.remove(worker, "it left", LossCause.Alive);
+                this.#incarnations.remove(worker, "left the cell", LossCause.Alive);
             }
         }
     }
@@ -158,18 +151,18 @@
     }
 
     #recoverRuns(task: Task): void {
-        for (const [run, { worker: id, incarnation: life }] of [...task.openRuns]) {
+        for (const [run, { worker: id, incarnation }] of [...task.openRuns]) {
             const worker = this.#context.workers.get(id);
             if (worker === undefined) {
-                // The worker was recorded as gone after this run was: the run went with it.
+                // The worker was recorded as gone after this run, so the run is lost.
                 this.#context.record({ kind: "lost", task: task.address, run });
                 continue;
             }
-            this.#runs.recover(task, run, worker, life);
+            this.#runs.recover(task, run, worker, incarnation);
         }
     }
 
-    /** Whether a worker that answers is no longer listed and has nothing at work. */
+    /** Whether a worker that answers has been unlisted for the grace period and has no runs. */
     #hasLeft(worker: WorkerState, now: Milliseconds): boolean {
         return worker.unlistedSince !== undefined
             && worker.silentSince === undefined
@@ -178,22 +171,18 @@
             && now - worker.unlistedSince > unlistedGracePeriod;
     }
 
-    /** Every lease at a worker that does not answer is over. */
+    /** Loses all runs of a silent worker, whose leases have expired. */
     #expireLeases(worker: WorkerState): void {
         const isListed = worker.unlistedSince === undefined && worker.entry !== undefined;
         const lost = [...worker.runs.values()];
         this.#context.options.log.log(logEvents.workerLapsed, { worker: worker.id, runs: lost.length });
-        const loss = this.#incarnations.lossOf(worker, "every lease at its silent worker is over", LossCause.Silent);
+        const loss = this.#incarnations.lossOf(worker, "all leases of the silent worker expired", LossCause.Silent);
         lost.forEach(run => this.#runs.lose(run, loss));
         worker.leasesExpireAt = undefined;
-        // Whatever it says next is compared as if it were new.
+        // Its next answer is treated like the first one of a new worker.
         worker.isClaimed = false;
         if (!isListed) {
-            this.#incarnations.remove(
-                worker,
-                "it is neither listed nor heard and its leases are over",
-                LossCause.Silent,
-            );
+            this.#incarnations.remove(worker, "not listed, silent, and its leases expired", LossCause.Silent);
         }
     }
 }
--- a/packages/cell/src/scheduler/cell-summary.ts
+++ b/packages/cell/src/scheduler/cell-summary.ts
@@ -1,71 +1,69 @@
-/** How a cell stands, in a few figures, for logs and metrics. */
+/** Summary of a cell's state for logs and metrics. */
 import type { Milliseconds, OrganisationName, ServiceName } from "@pebbledale/core";
 import { type CellContext, type Step, TaskPhase, type WorkerState } from "../state/index.js";
 
-/** See the module's comment. */
+/** Figures about a cell at one moment. They are logged under these names. */
 export interface CellSummary {
     readonly workers: number;
-    /** Workers that may be ordered. */
+    /** Workers that may be given new runs. */
     readonly openWorkers: number;
-    /** Workers that do not answer. */
     readonly silentWorkers: number;
-    /** Thousandths of processors that all workers have, and that are free on open ones. */
+    /** Thousandths of processors: capacity of all workers, and free on open ones. */
     readonly processor: number;
     readonly freeProcessor: number;
     readonly runs: number;
-    /** Jobs that are not over. */
+    /** Jobs that have not ended. */
     readonly openJobs: number;
-    /** Tasks that wait, by the priority of their queue, and the processor that they ask for, in thousandths. */
+    /** Waiting tasks by the priority of their queue, and the thousandths of processors that they need. */
     readonly waiting: Readonly<Record<string, { readonly tasks: number; readonly processor: number; }>>;
-    /** Of these the tasks that the last pass held back, as a gang of a more urgent queue is short of room. */
+    /** Waiting tasks that the last scheduling cycle held back because a gang of a more urgent queue lacked resources. */
     readonly heldBack: number;
-    /** How each service stands. */
     readonly services: Readonly<Record<ServiceName, ServiceSummary>>;
-    /** Organisations whose work waits for their own limit, those with the most of it first; at most {@link maxReportedOrganisations}. */
+    /** Organisations whose tasks wait because of their own limit, most waiting tasks first; at most {@link maxReportedOrganisations}. */
     readonly atLimit: readonly WaitingOrganisation[];
 }
 
-/** How one service stands: what of its room is free on workers that may be ordered, and what waits for it. */
+/** Capacity and demand of one service. Free resources count on open workers only. */
 export interface ServiceSummary {
     readonly workers: number;
     readonly openWorkers: number;
-    /** Workers that take nothing new as their runs make little progress. */
+    /** Workers that get no new runs because their runs make too little progress. */
     readonly slowWorkers: number;
-    /** Thousandths of processors, mebibytes and accelerators. */
+    /** Thousandths of processors, mebibytes of memory, and accelerators. */
     readonly processor: number;
     readonly freeProcessor: number;
     readonly memory: number;
     readonly freeMemory: number;
     readonly accelerators: number;
     readonly freeAccelerators: number;
-    /** Tasks that wait, and thousandths of processors that they ask for. */
+    /** Waiting tasks; {@link waitingProcessor} is what they need, in thousandths of processors. */
     readonly waitingTasks: number;
-    /** Thousandths of processors that patient work leaves free for urgent work. */
+    /** Thousandths of processors that deferrable work leaves free for urgent work. */
     readonly keptProcessor: number;
     readonly waitingProcessor: number;
 }
 
-/** An organisation some of whose work would start, were its limit higher. */
+/** An organisation with tasks that would start if its limit were higher. */
 export interface WaitingOrganisation {
     readonly organisation: OrganisationName;
-    /** Tasks that wait for the limit. */
+    /** Tasks that wait because of the limit. */
     readonly tasks: number;
-    /** Thousandths of processors and mebibytes that it has at work, and that it may have; 0 stands for no limit. */
+    /** Thousandths of processors and mebibytes in use and allowed; an allowance of 0 means no limit. */
     readonly processor: number;
     readonly mostProcessor: number;
     readonly memory: number;
     readonly mostMemory: number;
 }
 
-/** Most organisations that one summary tells of: the line stays below two kilobytes. */
+/** Bounds the length of the log line to about two kilobytes. */
 const maxReportedOrganisations = 10;
 
-/** Works the figures out. */
+/** Computes a summary. `ready`: steps whose dependencies are complete; `headroomOf`: processors kept free in a service. */
 export const summarizeCell = (
     context: CellContext,
     ready: ReadonlySet<Step>,
-    heldBack: number,
-    keptIn: (service: ServiceName) => number,
+    deferredTasks: number,
+    headroomOf: (service: ServiceName) => number,
 ): CellSummary => {
     const now = context.now();
     const workers = [...context.workers.values()];
@@ -79,9 +77,9 @@
         freeProcessor: sum(open.map(worker => Math.max(0, worker.freeProcessor))),
         runs: sum(workers.map(worker => worker.runs.size)),
         openJobs: [...context.table.jobs.values()].filter(job => !job.isOver).length,
-        heldBack,
+        heldBack: deferredTasks,
         waiting: waitingByPriority(ready),
-        services: summarizeServices(workers, ready, keptIn, now),
+        services: summarizeServices(workers, ready, headroomOf, now),
         atLimit: waitingForLimits(context, ready),
     };
 };
@@ -104,14 +102,14 @@
 const summarizeServices = (
     workers: readonly WorkerState[],
     ready: ReadonlySet<Step>,
-    keptIn: (service: ServiceName) => number,
+    headroomOf: (service: ServiceName) => number,
     now: Milliseconds,
 ): CellSummary["services"] => {
     const services: Record<ServiceName, { -readonly [figure in keyof ServiceSummary]: number; }> = {};
     for (const worker of workers) {
         if (worker.entry !== undefined) {
             const { service, capacity } = worker.entry;
-            const figures = services[service] ??= { ...emptyService, keptProcessor: keptIn(service) };
+            const figures = services[service] ??= { ...emptyService, keptProcessor: headroomOf(service) };
             const isOpen = worker.isOpen(now);
             figures.workers++;
             figures.openWorkers += isOpen ? 1 : 0;
@@ -138,9 +136,9 @@
     for (const step of ready) {
         const { job: { organisation }, definition: { size, isGang }, tasks: { length } } = step;
         const waiting = step.waitingTasks().length;
-        const left = usage.countRemaining(organisation, size);
-        if (organisation !== undefined && waiting > 0 && left < (isGang ? length : waiting)) {
-            tasks.set(organisation, (tasks.get(organisation) ?? 0) + waiting - (isGang ? 0 : left));
+        const remaining = usage.countRemaining(organisation, size);
+        if (organisation !== undefined && waiting > 0 && remaining < (isGang ? length : waiting)) {
+            tasks.set(organisation, (tasks.get(organisation) ?? 0) + waiting - (isGang ? 0 : remaining));
         }
     }
     return [...tasks].sort(([, left], [, right]) => right - left).slice(0, maxReportedOrganisations).map(
--- a/packages/cell/src/scheduler/job-flow.ts
+++ b/packages/cell/src/scheduler/job-lifecycle.ts
@@ -1,4 +1,4 @@
-/** The way of jobs from step to step: which steps are opened, when an occurrence is let go of, and when a job is. */
+/** Progress of jobs from step to step. */
 import { logEvents } from "@pebbledale/core";
 import type { Placer } from "../placing/index.js";
 import {
@@ -10,32 +10,32 @@
     type Step,
 } from "../state/index.js";
 import type { HealthMonitor } from "../watching/index.js";
-import type { OccurrenceTimer } from "./timetable-watch.js";
+import type { OccurrenceTimer } from "./occurrence-timer.js";
 
-/** What the way of a job leads through. */
+/** Components that follow the progress of jobs. */
 export interface JobLifecycleParts {
     readonly placer: Placer;
     readonly timer: OccurrenceTimer;
     readonly health: HealthMonitor;
 }
 
-/** See the module's comment. */
+/** Opens steps as their dependencies complete, closes complete occurrences, and releases jobs that have ended. */
 export class JobLifecycle {
-    /** `onWork`: told when there may be something to place. */
+    /** `requestCycle`: called when tasks may have become ready to start. */
     constructor(
         private readonly context: CellContext,
         private readonly parts: JobLifecycleParts,
         private readonly requestCycle: () => void,
     ) {}
 
-    /** Shows the state of a job whose records are kept: a final one only then. */
+    /** Reports the state of a job to callers once the records that led to it are committed. */
     publishState(job: Job | undefined): void {
         if (job !== undefined && (job.publishedState === CellJobState.Queued || isTerminalState(job.state))) {
             job.publishedState = job.state;
         }
     }
 
-    /** Opens the steps of a job that wait for nothing. */
+    /** Opens all steps of a job whose dependencies are complete. */
     openSteps(job: Job): void {
         if (job.isOver) {
             return;
@@ -47,7 +47,7 @@
         this.requestCycle();
     }
 
-    /** Opens the steps of an occurrence that wait for nothing any more. */
+    /** Opens all steps of an occurrence whose dependencies are complete. */
     openOccurrence(occurrence: Occurrence): void {
         for (const step of occurrence.steps) {
             if (!step.isDone && step.isUnblocked) {
@@ -56,7 +56,7 @@
         }
     }
 
-    /** Lets go of an occurrence that is done, unless it is its job's only one. */
+    /** Removes a complete occurrence without runs, unless it is the only one of its job. */
     #closeOccurrence({ job, number, steps }: Occurrence): void {
         const isOver = job.doneOccurrences.has(number) && steps.every(hasNoRuns);
         if (isOver && job.occurrenceCount > 1) {
@@ -73,7 +73,7 @@
         this.requestCycle();
     }
 
-    /** A task of a step waits again, or all of the step is done. */
+    /** Handles that a task of a step waits again or that the step is complete. */
     stepChanged(step: Step): void {
         this.requestCycle();
         this.context.outbox.markJobChanged(step.job.id);
@@ -86,7 +86,7 @@
         this.#open(step);
     }
 
-    /** A job is over: nothing of it waits, and it is let go of once nothing of it runs. */
+    /** Handles that a job has ended: removes its waiting tasks, and frees the job once it has no runs. */
     jobEnded(job: Job): void {
         for (const occurrence of job.occurrences.values()) {
             occurrence.steps.forEach(step => this.parts.placer.remove(step));
--- a/packages/cell/test/crashes/judgement.test.ts
+++ b/packages/cell/test/crashes/judgement.test.ts
@@ -5,14 +5,14 @@
 import { CrashingCell, makeJob, makeStep, type TaskBehaviour } from "../support/index.js";
 
 const innocent: TaskBehaviour = { crashesAfter: undefined, duration: 2_000 };
-const conductOf = (crashesAfter: Milliseconds) => (task: TaskAddress): TaskBehaviour =>
+const behaviourOf = (crashesAfter: Milliseconds) => (task: TaskAddress): TaskBehaviour =>
     task.startsWith("bad") ? { crashesAfter, duration: crashesAfter + 1_000 } : innocent;
 
 const stateOf = (cell: CrashingCell, job: string): CellJobState | undefined => cell.driver.cell.stateOf(jobId(job));
 
 describe("a task whose worker was lost", () => {
-    it("is tried with nothing else started beside it", () => {
-        const cell = new CrashingCell(8, conductOf(10));
+    it("is retried in isolation", () => {
+        const cell = new CrashingCell(8, behaviourOf(10));
         cell.driver.cell.submit(makeJob("bad", [makeStep()]));
         cell.advance(3_500);
         const [, trial] = cell.startsOf("bad/0/0/0");
@@ -22,8 +22,8 @@
         expect(beside).toEqual([]);
     });
 
-    it("is not given up when it sat beside a task at fault twice and crashes nothing itself", () => {
-        const cell = new CrashingCell(2, conductOf(10));
+    it("is not given up when it was lost twice beside a task at fault", () => {
+        const cell = new CrashingCell(2, behaviourOf(10));
         cell.driver.cell.submit(makeJob("good", [makeStep({ taskCount: 6 })]));
         cell.driver.cell.submit(makeJob("bad", [makeStep({ taskCount: 6 })]));
         cell.advance(60_000);
@@ -31,16 +31,16 @@
         expect(stateOf(cell, "bad")).toEqual(CellJobState.Failed);
     });
 
-    it("is given up after five crashes when it crashes its workers in the middle of its work", () => {
-        const cell = new CrashingCell(8, conductOf(1_500));
+    it("is given up after five crashes when these come late in its runs", () => {
+        const cell = new CrashingCell(8, behaviourOf(1_500));
         cell.driver.cell.submit(makeJob("bad", [makeStep()]));
         cell.advance(60_000);
         expect(cell.startsOf("bad/0/0/0").length).toEqual(5);
         expect(stateOf(cell, "bad")).toEqual(CellJobState.Failed);
     });
 
-    it("is not given up on silences: it waits for word of the workers, then goes on", () => {
-        const cell = new CrashingCell(8, conductOf(10));
+    it("is not given up because of silences: it waits for an explanation and then continues", () => {
+        const cell = new CrashingCell(8, behaviourOf(10));
         cell.driver.cell.submit(makeJob("good", [makeStep()]));
         for (let cuts = 0; cuts < 6; cuts++) {
             cell.advance(50);
@@ -53,8 +53,8 @@
         expect(stateOf(cell, "good")).toEqual(CellJobState.Completed);
     });
 
-    it("is given up once for its job when word of one silent worker convicts two of its tasks", () => {
-        const cell = new CrashingCell(8, conductOf(10));
+    it("ends its job only once when the explanation of one silence convicts two of its tasks", () => {
+        const cell = new CrashingCell(8, behaviourOf(10));
         cell.driver.cell.submit(makeJob("bad", [makeStep({ taskCount: 2 })]));
         cell.advance(40_000);
         const ended = cell.driver.logged.filter(({ event }) => event === logEvents.jobEnded);
@@ -62,16 +62,16 @@
         expect(cell.driver.logged.filter(({ event }) => event === logEvents.taskGivenUp).length).toEqual(1);
     });
 
-    it("that lasts is given up too, though it has no limit of failed runs", () => {
-        const cell = new CrashingCell(8, conductOf(10));
+    it("is given up also if it is a lasting task, whose failed runs are not limited", () => {
+        const cell = new CrashingCell(8, behaviourOf(10));
         cell.driver.cell.submit(makeJob("bad", [makeStep({ isLasting: true })]));
         cell.advance(60_000);
         expect(cell.startsOf("bad/0/0/0").length).toEqual(3);
         expect(stateOf(cell, "bad")).toEqual(CellJobState.Failed);
     });
 
-    it("keeps what is held against it from one occurrence of its job to the next", () => {
-        const cell = new CrashingCell(8, conductOf(10));
+    it("keeps its strikes from one occurrence of its job to the next", () => {
+        const cell = new CrashingCell(8, behaviourOf(10));
         const timetable = { occurrences: 20, firstAt: cell.clock.now().getTime(), interval: 4_000 };
         cell.driver.cell.submit(makeJob("bad", [makeStep()], { timetable }));
         cell.advance(80_000);
@@ -79,9 +79,9 @@
         expect(stateOf(cell, "bad")).toEqual(CellJobState.Failed);
     });
 
-    it("costs at most a tenth of the workers at a time once it is known, however many tasks are at fault", () => {
+    it("takes down at most a tenth of the workers at a time once it has crashed one, however many tasks are at fault", () => {
         const workers = 30;
-        const cell = new CrashingCell(workers, conductOf(10));
+        const cell = new CrashingCell(workers, behaviourOf(10));
         for (let job = 0; job < 20; job++) {
             cell.driver.cell.submit(makeJob(`bad${job}`, [makeStep()]));
         }
--- a/packages/cell/test/scheduler/restarts.test.ts
+++ b/packages/cell/test/scheduler/restarts.test.ts
@@ -1,6 +1,6 @@
 /*
- * A worker that was started again under its id may be of another kind. What the advice service said of its former life was kept by
- * id, so a worker that was refused once was never asked about again, and one that was permitted was sent starts with tickets that it refused.
+ * Guards against state of a former incarnation that is applied to the next one: advice kept by worker id, strikes left unexplained, and
+ * orders left unsettled.
  */
 import { logEvents, workerIncarnation } from "@pebbledale/core";
 import { expect } from "earl";
@@ -10,14 +10,14 @@
 
 const worker = idOf("w");
 const validity = 60_000;
-const formerLife = workerIncarnation(1_000);
-const presentLife = workerIncarnation(2_000);
+const formerIncarnation = workerIncarnation(1_000);
+const currentIncarnation = workerIncarnation(2_000);
 
-/** A cell of one worker with a step that its service has judged on. */
-const begin = (permits: readonly Permit[]): CellDriver => {
+/** A cell of one worker, with a step about which the advice service has answered. */
+const createAdvisedCell = (permits: readonly Permit[]): CellDriver => {
     const advice = { decision: 10, eachWorker: 1, validity };
     const driver = new CellDriver(undefined, makeConfiguration(1, [makeQueue("work", { advice })]));
-    driver.addWorkers(makeWorker("w", { life: formerLife }));
+    driver.addWorkers(makeWorker("w", { life: formerIncarnation }));
     driver.cell.submit(makeJob("j", [makeStep()]));
     const questions = [...driver.run().questions, ...driver.run().questions];
     expect(questions.flatMap(({ workers }) => workers)).toEqual([worker]);
@@ -28,17 +28,17 @@
 };
 
 const restart = (driver: CellDriver): void => {
-    driver.cell.applyRestart(worker, presentLife);
-    driver.cell.updateWorkerEntries([makeWorker("w", { life: presentLife })], []);
+    driver.cell.applyRestart(worker, currentIncarnation);
+    driver.cell.updateWorkerEntries([makeWorker("w", { life: currentIncarnation })], []);
     driver.run();
     driver.poll("w");
     driver.clock.advance(1_000);
 };
 
-describe("what the advice service said of a worker's former life", () => {
-    it("says nothing of the next one, which is asked about anew", () => {
+describe("advice about a worker's former incarnation", () => {
+    it("does not apply to the next one, about which the service is asked again", () => {
         for (const permits of [[], [{ worker, ticket: "former" }]]) {
-            const driver = begin(permits);
+            const driver = createAdvisedCell(permits);
             restart(driver);
             const { questions, starts } = driver.run();
             expect(starts).toEqual([]);
@@ -47,11 +47,11 @@
     });
 });
 
-describe("a worker that was given up as silent and comes back under its id", () => {
-    /** A run goes with its worker, which is dropped once its leases are over, and is listed again. */
-    const comeBack = (life: typeof formerLife): unknown[] => {
+describe("a worker that was removed as silent and returns under its id", () => {
+    /** A worker is lost with a run, removed once its leases have expired, and listed again. */
+    const returnAs = (incarnation: typeof formerIncarnation): unknown[] => {
         const driver = new CellDriver();
-        driver.addWorkers(makeWorker("w", { life: formerLife }));
+        driver.addWorkers(makeWorker("w", { life: formerIncarnation }));
         driver.cell.submit(makeJob("j", [makeStep()]));
         driver.run();
         driver.confirm(...driver.run().starts);
@@ -59,34 +59,34 @@
         driver.cell.updateWorkerEntries([], [worker]);
         driver.clock.advance(2_000);
         driver.cell.tick();
-        driver.cell.updateWorkerEntries([makeWorker("w", { life })], []);
+        driver.cell.updateWorkerEntries([makeWorker("w", { life: incarnation })], []);
         driver.run();
         driver.poll("w");
         return driver.logged.filter(({ event }) => event === logEvents.silenceExplained)
             .map(({ fields }) => fields["isCrash"]);
     };
 
-    it("has crashed when it is another life, and lived on when it is the same", () => {
-        expect(comeBack(presentLife)).toEqual([true]);
-        expect(comeBack(formerLife)).toEqual([false]);
+    it("has crashed if it is another incarnation, and was only unreachable if it is the same", () => {
+        expect(returnAs(currentIncarnation)).toEqual([true]);
+        expect(returnAs(formerIncarnation)).toEqual([false]);
     });
 });
 
-describe("a restart that an owner did not live to settle", () => {
-    it("is settled by the next one, which holds the crash against what was ordered of the former life", () => {
+describe("a restart that an owner could not settle before it failed", () => {
+    it("is settled by the next owner, which attributes the crash to runs ordered from the former incarnation", () => {
         for (const fromSnapshot of [false, true]) {
             const driver = new CellDriver();
-            driver.addWorkers(makeWorker("w", { life: formerLife }));
+            driver.addWorkers(makeWorker("w", { life: formerIncarnation }));
             driver.cell.submit(makeJob("j", [makeStep()]));
             expect([...driver.run().starts, ...driver.run().starts].length).toEqual(1);
-            driver.cell.applyRestart(worker, presentLife);
+            driver.cell.applyRestart(worker, currentIncarnation);
             driver.run();
             const snapshot = JSON.parse(JSON.stringify(driver.cell.snapshot())) as ReturnType<
                 typeof driver.cell.snapshot
             >;
             driver.takeOver(fromSnapshot ? snapshot : undefined);
             expect(JSON.stringify(driver.cell.snapshot())).toEqual(JSON.stringify(snapshot));
-            driver.cell.updateWorkerEntries([makeWorker("w", { life: presentLife })], []);
+            driver.cell.updateWorkerEntries([makeWorker("w", { life: currentIncarnation })], []);
             driver.poll("w");
             const lost = driver.logged.filter(({ event }) => event === logEvents.runLost);
             expect(lost.map(({ fields }) => fields["cause"])).toEqual(["crashed"]);
@@ -95,14 +95,14 @@
     });
 });
 
-describe("a worker that the journal names without a life", () => {
-    it("is used as it is listed once the life that its entry names answers, though another one had answered before", () => {
+describe("a worker that the journal names without an incarnation", () => {
+    it("is used with its listed entry once the incarnation in that entry answers, although another one answered before", () => {
         const driver = new CellDriver();
         driver.addWorkers(makeWorker("w"));
         driver.takeOver();
-        driver.cell.updateWorkerEntries([makeWorker("w", { life: presentLife })], []);
+        driver.cell.updateWorkerEntries([makeWorker("w", { life: currentIncarnation })], []);
         driver.poll("w");
-        driver.cell.applyRestart(worker, presentLife);
+        driver.cell.applyRestart(worker, currentIncarnation);
         driver.run();
         driver.poll("w");
         driver.run();
--- a/packages/cell/test/support/cell-driver.ts
+++ b/packages/cell/test/support/cell-driver.ts
@@ -1,4 +1,4 @@
-/** Drives a cell's decisions in a test: time, a journal in memory, and what is drained. */
+/** Driver for tests of the cell's scheduler. */
 import { type LogEvent, ManualClock, type RunNumber, type TaskAddress } from "@pebbledale/core";
 import {
     type AdviceRequest,
@@ -18,22 +18,22 @@
 } from "../../src/index.js";
 import { idOf, makeConfiguration, makeQueue } from "./builders.js";
 
-/** What a turn led to, sorted. */
+/** Output of one or more turns, by kind of command. */
 export interface DriverOutput {
     readonly starts: readonly StartCommand[];
     readonly stops: readonly StopCommand[];
     readonly paces: readonly PaceCommand[];
     readonly questions: readonly AdviceRequest[];
-    /** Ends that a worker may forget, by its name. */
+    /** Highest number of the ends that each worker may forget, by worker id. */
     readonly acknowledged: Readonly<Record<string, number>>;
 }
 
-/** See the module's comment. */
+/** Runs a scheduler with a manual clock and a journal in memory; committing can be delayed, and another owner can take over. */
 export class CellDriver {
     cell: CellScheduler;
     readonly records: CellRecord[] = [];
     readonly logged: { readonly event: LogEvent; readonly fields: Readonly<Record<string, unknown>>; }[] = [];
-    /** Turns whose records are not kept yet. */
+    /** Turns whose records are not committed yet. */
     #uncommitted: TurnOutput[] = [];
     #numbers = new Map<string, number>();
 
@@ -44,33 +44,33 @@
         this.cell = this.#makeCell();
     }
 
-    /** Lists workers and lets each answer its first look. */
+    /** Lists workers and has each answer its first poll. */
     addWorkers(...entries: WorkerEntry[]): void {
         this.cell.updateWorkerEntries(entries, []);
         this.run();
         entries.forEach(entry => this.poll(entry.worker));
     }
 
-    /** A look at a worker that shows `running` and `ended`; `isFirst` of a link settles what was sent before. */
+    /** Applies a poll that reports `running` and `ended`. `isFirst`: whether it is the first of a link, which settles earlier orders. */
     poll(worker: string, running: readonly WorkerRun[] = [], ended: readonly EndedRun[] = [], isFirst = true): void {
         const now = this.clock.monotonic();
         const report: PollResult = { clock: now, running, ended };
         this.cell.applyPoll(idOf(worker), report, now, isFirst ? now : -Infinity);
     }
 
-    /** One turn: places, keeps the records, and tells what is to be sent. */
+    /** Runs a scheduling cycle, commits its records, and returns the commands to be sent. */
     run(): DriverOutput {
         this.decide();
         return this.commit();
     }
 
-    /** Places, and leaves the records unkept. */
+    /** Runs a scheduling cycle without committing its records. */
     decide(): void {
         this.cell.place();
         this.#uncommitted.push(this.cell.drain());
     }
 
-    /** Keeps all records and tells what is to be sent. */
+    /** Commits all records and returns the commands to be sent. */
     commit(): DriverOutput {
         const turns = this.#uncommitted;
         this.#uncommitted = [];
@@ -84,29 +84,29 @@
         };
     }
 
-    /** The worker of a start confirms it. */
+    /** Confirms starts on behalf of their workers. */
     confirm(...starts: StartCommand[]): void {
         starts.forEach(({ worker, task, run }) => this.cell.startAccepted(worker, task, run));
     }
 
-    /** A worker lists the end of a run. */
+    /** Reports the end of a run on behalf of its worker. */
     end({ worker, task, run }: StartCommand, end: RunEnd = RunEnd.Done, checkpoint = ""): void {
         this.cell.applyEnds(worker, [this.ended(worker, task, run, end, checkpoint)]);
     }
 
-    /** An end as a worker lists it, with the worker's next number. */
+    /** Builds an end with the worker's next end number. */
     ended(worker: string, task: TaskAddress, run: RunNumber, end: RunEnd, checkpoint = ""): EndedRun {
         const number = (this.#numbers.get(worker) ?? 0) + 1;
         this.#numbers.set(worker, number);
         return { number, task, run, end, checkpoint };
     }
 
-    /** Another life of a worker counts its ends from 1. */
+    /** Restarts the end numbers of a worker at 1, as a new incarnation does. */
     resetEndNumbers(worker: string): void {
         this.#numbers.delete(worker);
     }
 
-    /** Another owner takes over with what is kept, and with the configuration or without one. */
+    /** Replaces the scheduler by one that is restored from `snapshot`, or from the committed records. Records not committed are lost. */
     takeOver(snapshot?: CellSnapshot, isConfigured = true): void {
         this.#uncommitted = [];
         const records = snapshot === undefined ? [...this.records] : [];
@@ -148,7 +148,7 @@
     }
 }
 
-/** A run as a worker's look shows it. */
+/** Builds the report of a run in progress. */
 export const running = ({ task, run }: StartCommand, percent = 10, checkpoint = ""): WorkerRun => ({
     task,
     run,
--- a/packages/cell/test/support/fake-advice.ts
+++ b/packages/cell/test/support/fake-advice.ts
@@ -1,44 +1,44 @@
-/** The advice service in the tests' time: answers after a while, or never, and knows which tickets hold. */
+/** Simulated advice service. */
 import type { Milliseconds, SeededRandom, WorkerId } from "@pebbledale/core";
 import { type AdviceRequest, callDuration, type CellScheduler, type StartCommand } from "../../src/index.js";
 
-/** Policy of the queue that is advised on. */
+/** Advice policy of the queue under test. */
 export const fakePolicy = { decision: 150, eachWorker: 10, validity: 600 };
 
 interface Question {
-    readonly command: AdviceRequest;
-    /** When the answer comes. */
+    readonly request: AdviceRequest;
+    /** When it is answered. */
     readonly at: Milliseconds;
 }
 
-/** See the module's comment. */
+/** Answers questions after the time that their calls take, loses some of them, and knows which tickets are valid. */
 export class FakeAdvice {
     #questions: Question[] = [];
-    /** By step, the one worker that may not run it. */
+    /** The one worker that may not run a step, by step. */
     readonly #refused = new Map<string, WorkerId>();
-    /** By step and worker, until when the newest ticket holds. */
+    /** Expiry of the latest ticket, by step and worker. */
     readonly #tickets = new Map<string, Milliseconds>();
 
-    /** `loss`: share of the questions that get no answer. */
+    /** `loss`: share of questions that get no answer. */
     constructor(private readonly random: SeededRandom, private readonly loss: number) {}
 
-    /** Takes questions in. */
-    ask(commands: readonly AdviceRequest[], now: Milliseconds): void {
-        commands.forEach(command =>
-            this.#questions.push({ command, at: now + callDuration(command.policy, command.workers.length) })
+    /** Accepts questions, which are answered later. */
+    ask(requests: readonly AdviceRequest[], now: Milliseconds): void {
+        requests.forEach(request =>
+            this.#questions.push({ request, at: now + callDuration(request.policy, request.workers.length) })
         );
     }
 
-    /** The owner that asked is gone. */
+    /** Drops all questions, as their owner is gone. */
     dropQuestions(): void {
         this.#questions = [];
     }
 
-    /** Gives the answers that are due. */
+    /** Delivers the answers that are due. */
     answer(cell: CellScheduler, now: Milliseconds): void {
         const due = this.#questions.filter(question => question.at <= now);
         this.#questions = this.#questions.filter(question => question.at > now);
-        for (const { command: { step, workers } } of due) {
+        for (const { request: { step, workers } } of due) {
             if (!cell.isAdviceWanted(step)) {
                 cell.dropAdvice(step, workers);
                 continue;
@@ -47,7 +47,7 @@
                 cell.applyAdvice(step, workers, undefined);
                 continue;
             }
-            const permits = workers.filter(worker => this.#isGood(step, worker)).map(worker => ({
+            const permits = workers.filter(worker => this.#isPermitted(step, worker)).map(worker => ({
                 worker,
                 ticket: "ticket",
             }));
@@ -56,14 +56,14 @@
         }
     }
 
-    /** Whether the ticket of a start holds. */
+    /** Whether a start has a valid ticket. */
     isTicketValid({ task, worker, ticket }: StartCommand, now: Milliseconds): boolean {
         const step = task.slice(0, task.lastIndexOf("/"));
         return ticket !== undefined && (this.#tickets.get(`${step} ${worker}`) ?? -Infinity) >= now;
     }
 
-    /** One worker in seven may not run a step, and only one for each step, so that every job has its place. */
-    #isGood(step: string, worker: WorkerId): boolean {
+    /** Refuses at most one worker for each step, so that every job can be placed. */
+    #isPermitted(step: string, worker: WorkerId): boolean {
         const numbers = `${step}${worker}`.match(/\d+/g)?.map(Number) ?? [];
         const isUnlucky = numbers.reduce((sum, number) => sum + number, 0) % 7 === 0;
         if (isUnlucky && !this.#refused.has(step)) {
--- a/packages/cell/test/support/fleet.ts
+++ b/packages/cell/test/support/fleet.ts
@@ -1,4 +1,4 @@
-/** Workers of uneven speed under steady load of tasks whose estimates are off, in the tests' time. */
+/** Simulation of workers of uneven speed. */
 import { logEvents, type Milliseconds, SeededRandom, type WorkerId } from "@pebbledale/core";
 import { parseTaskAddress, type StartCommand } from "../../src/index.js";
 import { idOf, makeJob, makeStep, makeWorker } from "./builders.js";
@@ -6,21 +6,21 @@
 
 const stepTime: Milliseconds = 50;
 const pollInterval: Milliseconds = 600;
-/** Workers have eight cores, tasks take one: so much of them is in use. */
+/** Share of the cores that the load uses; each task needs one core. */
 const maxUsedShare = 0.85;
 const cores = 8;
-/** Tasks of one step differ in their work by this share. */
+/** Maximum relative deviation of a task's work from the mean of its step. */
 const unevenness = 0.3;
 
-/** What a fleet is made from. */
+/** Load and workers of a simulation. */
 export interface FleetOptions {
     readonly seed: number;
-    /** By worker in turn. */
+    /** Speeds, assigned to workers in turn. */
     readonly speeds: readonly number[];
     readonly workers: number;
-    /** Natural logarithm of the factor by which estimates are off at most. */
+    /** Maximum error of estimates, as the natural logarithm of their ratio to the mean work. */
     readonly estimateError: number;
-    /** Tasks of a job and the work of one, from these to these. */
+    /** Ranges of the number of tasks of a job and of the work of one task. */
     readonly width: readonly [number, number];
     readonly work: readonly [Milliseconds, Milliseconds];
 }
@@ -28,14 +28,14 @@
 interface FleetRun {
     readonly start: StartCommand;
     readonly work: Milliseconds;
-    readonly begunAt: Milliseconds;
+    readonly startedAt: Milliseconds;
     done: Milliseconds;
 }
 
-/** See the module's comment. */
+/** Runs a steady load of tasks with inaccurate estimates, and records which workers are judged slow. */
 export class Fleet {
     readonly driver = new CellDriver();
-    /** When workers were judged slow, by worker; of each the first time. */
+    /** When each worker was first judged slow. */
     readonly judgedSlowAt = new Map<WorkerId, Milliseconds>();
     readonly #speeds = new Map<WorkerId, number>();
     readonly #runs = new Map<WorkerId, FleetRun[]>();
@@ -54,20 +54,20 @@
         }
     }
 
-    /** Tasks on these workers take so many times as long from now on; `Infinity` lets them stand still. */
+    /** Multiplies the duration of tasks on these workers from now on; `Infinity` stops them. */
     slowDown(workers: readonly WorkerId[], factor: number): void {
         workers.forEach(id => this.#speeds.set(id, this.#speeds.get(id)! / factor));
     }
 
-    /** Workers with at least so many tasks that have been at work for a time. */
+    /** Workers with at least `count` tasks that have been running for `time`. */
     workersWithTasks(count: number, time: Milliseconds): readonly WorkerId[] {
         const since = this.driver.clock.monotonic() - time;
-        const isLongAtWork = ({ begunAt }: FleetRun): boolean => begunAt <= since;
-        return [...this.#runs].filter(([, runs]) => runs.filter(isLongAtWork).length >= count).map(([id]) => id);
+        const isLongRunning = ({ startedAt }: FleetRun): boolean => startedAt <= since;
+        return [...this.#runs].filter(([, runs]) => runs.filter(isLongRunning).length >= count).map(([id]) => id);
     }
 
-    /** All workers of the one job that has the most, of those with at most so many. */
-    workersOfWidestJob(most: number): readonly WorkerId[] {
+    /** Workers of the job that is spread over the most workers, among jobs on at most `maxWorkers` workers. */
+    workersOfWidestJob(maxWorkers: number): readonly WorkerId[] {
         const workers = new Map<string, Set<WorkerId>>();
         for (const [id, runs] of this.#runs) {
             for (const { start } of runs) {
@@ -75,24 +75,24 @@
                 workers.set(job, (workers.get(job) ?? new Set()).add(id));
             }
         }
-        const jobs = [...workers.values()].filter(({ size }) => size <= most);
+        const jobs = [...workers.values()].filter(({ size }) => size <= maxWorkers);
         return [...jobs.reduce((widest, other) => other.size > widest.size ? other : widest)];
     }
 
-    /** Lets time pass under load. */
+    /** Runs the simulation for a while. */
     run(duration: Milliseconds): void {
         const { clock, cell } = this.driver;
         for (let passed = 0; passed < duration; passed += stepTime) {
             clock.advance(stepTime);
             this.#submitJobs();
-            this.#work();
+            this.#advanceRuns();
             this.#pollDue();
             if (clock.monotonic() % (2 * stepTime) === 0) {
                 cell.tick();
             }
             const { starts, stops } = this.driver.run();
             this.driver.confirm(...starts);
-            starts.forEach(start => this.#begin(start));
+            starts.forEach(start => this.#startRun(start));
             stops.forEach(stop => {
                 const runs = this.#runs.get(stop.worker)!;
                 const index = runs.findIndex(({ start }) => start.task === stop.task && start.run === stop.run);
@@ -101,15 +101,15 @@
                     runs.splice(index, 1);
                 }
             });
-            this.#noteJudgements();
+            this.#recordJudgements();
         }
     }
 
-    #between([least, most]: readonly [number, number]): number {
-        return least + this.#random.next() * (most - least);
+    #between([min, max]: readonly [number, number]): number {
+        return min + this.#random.next() * (max - min);
     }
 
-    /** Hands jobs in while there is room. */
+    /** Submits a job unless enough cores are in use. */
     #submitJobs(): void {
         const inUse = [...this.#runs.values()].reduce((sum, { length }) => sum + length, 0);
         if (inUse > this.options.workers * cores * maxUsedShare) {
@@ -123,13 +123,13 @@
         this.driver.cell.submit(makeJob(id, [makeStep({ taskCount: Math.round(this.#between(width)), estimate })]));
     }
 
-    #begin(start: StartCommand): void {
+    #startRun(start: StartCommand): void {
         const mean = this.#taskWork.get(parseTaskAddress(start.task)!.job)!;
         const work = mean * this.#between([1 - unevenness, 1 + unevenness]);
-        this.#runs.get(start.worker)!.push({ start, work, begunAt: this.driver.clock.monotonic(), done: 0 });
+        this.#runs.get(start.worker)!.push({ start, work, startedAt: this.driver.clock.monotonic(), done: 0 });
     }
 
-    #work(): void {
+    #advanceRuns(): void {
         for (const [id, runs] of this.#runs) {
             runs.forEach(run => run.done += stepTime * this.#speeds.get(id)!);
             const ended = runs.filter(({ done, work }) => done >= work);
@@ -138,19 +138,19 @@
         }
     }
 
-    /** Workers are looked at in turn. */
+    /** Polls the workers whose turn it is. */
     #pollDue(): void {
         const now = this.driver.clock.monotonic();
         [...this.#runs.keys()].forEach((id, index) => {
             if ((now / stepTime + index) % (pollInterval / stepTime) === 0) {
                 const runs = this.#runs.get(id)!;
-                const shown = runs.map(({ start, done, work }) => running(start, Math.floor(done / work * 100)));
-                this.driver.poll(id, shown, [], false);
+                const reported = runs.map(({ start, done, work }) => running(start, Math.floor(done / work * 100)));
+                this.driver.poll(id, reported, [], false);
             }
         });
     }
 
-    #noteJudgements(): void {
+    #recordJudgements(): void {
         const { logged, clock } = this.driver;
         for (const { event, fields } of logged.slice(this.#logged)) {
             const id = idOf(String(fields["worker"]));
--- a/packages/cell/test/support/index.ts
+++ b/packages/cell/test/support/index.ts
@@ -1,8 +1,8 @@
-/** Support of the cell's tests. */
+/** Support for the cell's tests. */
 export * from "./builders.js";
 export * from "./cell-driver.js";
 export * from "./crashing-cell.js";
 export * from "./fake-advice.js";
 export * from "./fake-worker.js";
 export * from "./fleet.js";
-export * from "./world.js";
+export * from "./simulated-cell.js";
--- a/packages/cell/test/support/load/replay.ts
+++ b/packages/cell/test/support/load/replay.ts
@@ -1,9 +1,4 @@
-/**
- * Drives the real decisions over a load pattern on virtual time.
- *
- * Delays are those measured on small VMs: a record is kept 25 ms after its turn, a message to a worker takes 5 ms, an end
- * is seen 10 ms after it came. No message is lost; what strikes is what the pattern says.
- */
+/** Replay of a load pattern. */
 import {
     type Clock,
     jobId,
@@ -38,8 +33,7 @@
     type TurnOutput,
 } from "../../../src/index.js";
 import { makeConfiguration, makeOrganisation, makeQueue, makeWorker, service } from "../builders.js";
-import { generateJobs, type LoadJob, Sampler } from "./draw.js";
-import { SimulatedAdvice } from "./load-advice.js";
+import { generateJobs, type LoadJob, Sampler } from "./generate-jobs.js";
 import { type LoadRun, LoadWorker, shareCompleted } from "./load-worker.js";
 import {
     type JobOutcome,
@@ -51,23 +45,24 @@
     worstWindows,
 } from "./outcome.js";
 import type { CrashWave, Departure, LoadPattern, LoadService, QueueLoad } from "./pattern.js";
+import { SimulatedAdvice } from "./simulated-advice.js";
 
 const stepTime: Milliseconds = 5;
 const recordDelay: Milliseconds = 25;
 const messageDelay: Milliseconds = 5;
 const endDelay: Milliseconds = 10;
 const stopDelay: Milliseconds = 300;
-/** Least time between two passes over what waits. */
+/** Minimum time between two scheduling cycles. */
 const cycleInterval: Milliseconds = 20;
 const pollInterval: Milliseconds = 600;
 const tickInterval: Milliseconds = 100;
 const restoreTime: Milliseconds = 600;
-/** A task at fault crashes its worker after this time; the next life comes after that one, and leases run longer. */
+/** Delays from the start of a task at fault to the crash of its worker and from there to the worker's restart; leases last longer. */
 const crashDelay: Milliseconds = 10;
 const restartDelay: Milliseconds = 3_000;
 const crashedLease: Milliseconds = 6_000;
 const lease: Milliseconds = 1_000;
-/** A run that fails does so after this share of its work. */
+/** Share of the work after which a failing run fails. */
 const failsAfter = 0.5;
 
 interface Gang {
@@ -75,7 +70,10 @@
     hasEnded: boolean;
 }
 
-/** See the module's comment. */
+/**
+ * Runs the real scheduler over a load pattern on virtual time, with fixed delays for the store, messages and polls. No message is
+ * lost; the only faults are those of the pattern.
+ */
 export class Replay {
     readonly #clock = new ManualClock();
     readonly #cell: CellScheduler;
@@ -87,7 +85,7 @@
     readonly #failed = new Set<TaskAddress>();
     readonly #advice: SimulatedAdvice;
     readonly #dispatcher: AdviceDispatcher;
-    readonly #drawer: Sampler;
+    readonly #sampler: Sampler;
     readonly #due = new Map<Milliseconds, (() => void)[]>();
     readonly #pollPlanned = new Set<LoadWorker>();
     readonly #violations: string[] = [];
@@ -97,24 +95,24 @@
     readonly #cycleTimes: Milliseconds[] = [];
     #slowJudgements = 0;
     #questions = 0;
-    /** Jobs that end by themselves. */
-    readonly #endingJobs: number;
+    /** Number of jobs that end by themselves. */
+    readonly #finiteJobs: number;
     #nextJob = 0;
     #nextCycle: Milliseconds = 0;
     #worked = 0;
     #wasted = 0;
-    /** By service. */
+    /** Sum of the idle shares of all samples, by service. */
     readonly #idle = new Map<string, number>();
     #lastingTasks = 0;
-    #lastingAtWork = 0;
+    #lastingRunning = 0;
     #samples = 0;
 
-    /** `stopwatch`: measures what passes take. */
+    /** `stopwatch`: real clock that measures the durations of scheduling cycles. */
     constructor(private readonly pattern: LoadPattern, private readonly stopwatch?: Clock) {
         this.#jobs = generateJobs(pattern);
         this.#jobs.forEach(job => this.#byId.set(job.definition.job, job));
-        this.#endingJobs = this.#jobs.filter(({ lifetime: stay }) => stay === undefined).length;
-        this.#drawer = new Sampler(new SeededRandom(pattern.seed));
+        this.#finiteJobs = this.#jobs.filter(({ lifetime }) => lifetime === undefined).length;
+        this.#sampler = new Sampler(new SeededRandom(pattern.seed));
         this.#advice = new SimulatedAdvice(pattern.seed);
         this.#cell = new CellScheduler({
             clock: this.#clock,
@@ -132,7 +130,6 @@
         pattern.crashes?.forEach(wave => this.#at(wave.at, () => this.#crashShare(wave)));
     }
 
-    /** Plays the whole pattern. */
     run(): Outcome {
         const end = this.pattern.duration + this.pattern.drainTime;
         while (this.#clock.monotonic() < end && !this.#isDone()) {
@@ -147,10 +144,10 @@
         const due = this.#due.get(now) ?? [];
         this.#due.delete(now);
         due.forEach(action => action());
-        if (this.pattern.pauses.some(({ at, duration: lasts }) => now >= at && now < at + lasts)) {
+        if (this.pattern.pauses.some(({ at, duration }) => now >= at && now < at + duration)) {
             return;
         }
-        this.#arrive(now);
+        this.#submitDue(now);
         if (now % tickInterval === 0) {
             this.#cell.tick();
             this.#sample();
@@ -160,30 +157,30 @@
             this.#nextCycle = now + cycleInterval;
         }
         if (this.#cell.hasOutput) {
-            this.#carryOut(this.#cell.drain(), now);
+            this.#execute(this.#cell.drain(), now);
         }
     }
 
     #cycle(): void {
-        const begunAt = this.stopwatch?.monotonic() ?? 0;
+        const startedAt = this.stopwatch?.monotonic() ?? 0;
         this.#cell.place();
         if (this.stopwatch !== undefined) {
-            this.#cycleTimes.push(this.stopwatch.monotonic() - begunAt);
+            this.#cycleTimes.push(this.stopwatch.monotonic() - startedAt);
         }
     }
 
-    #arrive(now: Milliseconds): void {
+    #submitDue(now: Milliseconds): void {
         while (this.#nextJob < this.#jobs.length && this.#jobs[this.#nextJob].at <= now) {
-            const { definition, lifetime: stay } = this.#jobs[this.#nextJob++];
+            const { definition, lifetime } = this.#jobs[this.#nextJob++];
             this.#cell.submit(definition);
-            if (stay !== undefined) {
-                this.#after(stay, () => this.#cell.cancel(jobId(definition.job)));
+            if (lifetime !== undefined) {
+                this.#after(lifetime, () => this.#cell.cancel(jobId(definition.job)));
             }
         }
     }
 
     #isDone(): boolean {
-        return this.#nextJob === this.#jobs.length && this.#endedAt.size === this.#endingJobs;
+        return this.#nextJob === this.#jobs.length && this.#endedAt.size === this.#finiteJobs;
     }
 
     #at(time: Milliseconds, action: () => void): void {
@@ -198,7 +195,7 @@
         this.#at(this.#clock.monotonic() + delay, action);
     }
 
-    #carryOut(turn: TurnOutput, now: Milliseconds): void {
+    #execute(turn: TurnOutput, now: Milliseconds): void {
         this.#questions += turn.questions.length;
         this.#dispatcher.ask(...turn.questions);
         for (const command of turn.commands) {
@@ -210,7 +207,7 @@
     }
 
     #recordDelay(now: Milliseconds): Milliseconds {
-        const slow = this.pattern.slowStores.find(({ at, duration: lasts }) => now >= at && now < at + lasts);
+        const slow = this.pattern.slowStores.find(({ at, duration }) => now >= at && now < at + duration);
         return recordDelay + (slow?.delay ?? 0);
     }
 
@@ -265,7 +262,7 @@
             endsAt: Infinity,
         };
         worker.add(entry);
-        this.#checkRoom(worker);
+        this.#checkCapacity(worker);
         this.#checkLimit(entry);
         this.#after(messageDelay, () => this.#cell.startAccepted(id, task, run));
         if (step.isGang) {
@@ -287,13 +284,13 @@
 
     #crashShare({ share }: CrashWave): void {
         for (const worker of [...this.#workers.values()]) {
-            if (worker.isUp && this.#drawer.happens(share)) {
+            if (worker.isUp && this.#sampler.happens(share)) {
                 this.#crash(worker);
             }
         }
     }
 
-    /** A worker ends without a word; another life comes at its address after a while, each second one under its id. */
+    /** Crashes a worker, which is replaced at its address later, alternately under the same id and under a new one. */
     #crash(worker: LoadWorker): void {
         if (!worker.isUp) {
             return;
@@ -312,14 +309,14 @@
     }
 
     #restart({ entry, slowness }: LoadWorker): void {
-        const isUnderItsId = this.#restarts++ % 2 === 0;
-        const id = isUnderItsId ? entry.worker : workerId(`${entry.worker}+`);
+        const keepsId = this.#restarts++ % 2 === 0;
+        const id = keepsId ? entry.worker : workerId(`${entry.worker}+`);
         const life = workerIncarnation(this.#restarts);
         const next = makeWorker(id, { ...entry, worker: id, life });
         const worker = new LoadWorker(next, slowness);
         this.#workers.delete(entry.worker);
         this.#workers.set(id, worker);
-        if (isUnderItsId) {
+        if (keepsId) {
             this.#cell.applyRestart(id, life);
         }
         else {
@@ -327,7 +324,7 @@
         }
         this.#cell.updateWorkerEntries([next], []);
         this.#after(recordDelay * 2, () => {
-            // The first look under the link to this life.
+            // The first poll of the link to this incarnation.
             this.#poll(worker, this.#clock.monotonic());
             this.#pollAgain(worker);
         });
@@ -346,7 +343,7 @@
         }
     }
 
-    /** Tasks begin together and, as a gang, end together. */
+    /** Starts tasks that begin, and end, at the same time: a single task or a whole gang. */
     #begin(entries: readonly LoadRun[]): void {
         const now = this.#clock.monotonic();
         const isLasting = entries[0].step.isLasting;
@@ -375,7 +372,7 @@
         return work * worker.slowness * (1 - restored) + (restored > 0 ? restoreTime : 0);
     }
 
-    /** Whether a run is the one of its step that fails: the first of the task that the pattern names. */
+    /** Whether this is the run of its step that fails: the first run of the failing task. */
     #failsNow({ task }: LoadRun): boolean {
         const { job, step, index } = parseTaskAddress(task)!;
         if (this.#byId.get(job)!.failingTasks[step] !== index || this.#failed.has(task)) {
@@ -404,14 +401,14 @@
 
     #end(entry: LoadRun, end: RunEnd): void {
         const now = this.#clock.monotonic();
-        const isKept = end === RunEnd.Stopped && entry.step.savesProgress;
-        const checkpoint = isKept ? String(shareCompleted(entry, now)) : "";
+        const isSaved = end === RunEnd.Stopped && entry.step.savesProgress;
+        const checkpoint = isSaved ? String(shareCompleted(entry, now)) : "";
         if (!entry.worker.end(entry, end, checkpoint)) {
             return;
         }
         const work = entry.step.size.processorThousandths * (now - entry.arrivedAt);
         this.#worked += work;
-        this.#wasted += end === RunEnd.Done || isKept || entry.step.isLasting ? 0 : work;
+        this.#wasted += end === RunEnd.Done || isSaved || entry.step.isLasting ? 0 : work;
         this.#planPoll(entry.worker);
     }
 
@@ -451,7 +448,7 @@
         const first = this.#workers.size;
         for (let index = 0; index < workers; index++) {
             const rack = `r${first}-${Math.floor(index / workersPerRack)}`;
-            // Sizes change with each turn of the speeds, so that every size comes in every speed.
+            // The size changes after each round of speeds, so that all sizes occur with all speeds.
             const size = sizes[Math.floor(index / slowness.length) % sizes.length];
             const entry = makeWorker(`w${first + index}`, {
                 service: serviceName(name),
@@ -467,7 +464,7 @@
 
     #depart({ share, notice }: Departure): void {
         for (const worker of this.#workers.values()) {
-            if (worker.isUp && this.#drawer.happens(share)) {
+            if (worker.isUp && this.#sampler.happens(share)) {
                 this.#cell.updateWorkerEntries([{ ...worker.entry, isDraining: true, leavesIn: notice }], []);
                 this.#after(notice, () => this.#leave(worker));
             }
@@ -485,13 +482,13 @@
         this.#cell.applySilence(id, this.#clock.monotonic() + lease);
     }
 
-    /** The service answers one call at a time for each VM that asks. */
+    /** Adds VMs for each of which the advice service answers one call at a time. */
     #addAdvisingVms(): void {
         for (let index = 0; index < this.pattern.advisingVms; index++) {
             let busyUntil = 0;
-            this.#dispatcher.join(`vm${index}`, (question, command, duration) => {
+            this.#dispatcher.join(`vm${index}`, (question, request, duration) => {
                 busyUntil = Math.max(busyUntil, this.#clock.monotonic() + messageDelay) + duration;
-                this.#at(busyUntil, () => this.#answer(question, command));
+                this.#at(busyUntil, () => this.#answer(question, request));
             });
         }
     }
@@ -506,7 +503,7 @@
         });
     }
 
-    /** Whether the organisation of a run has more at work, as the workers have it, than it may. */
+    /** Checks that the runs of a run's organisation are within its limit. */
     #checkLimit({ task }: LoadRun): void {
         const organisation = this.#organisationOf(task);
         const limit = this.pattern.organisations?.find(({ name }) => name === organisation);
@@ -528,7 +525,7 @@
         return this.#byId.get(task.split("/")[0])?.definition.organisation;
     }
 
-    #checkRoom({ runs, entry }: LoadWorker): void {
+    #checkCapacity({ runs, entry }: LoadWorker): void {
         let used = 0;
         let accelerators = 0;
         for (const { step } of runs.values()) {
@@ -553,7 +550,7 @@
         }
     }
 
-    /** Free processors count as idle up to what waiting tasks ask for. */
+    /** Samples idle processors: free ones, up to the demand of waiting tasks of the service. */
     #sample(): void {
         if (this.#clock.monotonic() > this.pattern.duration) {
             return;
@@ -567,28 +564,28 @@
         this.#samples++;
     }
 
-    /** Tasks that last serve their callers by being at work. */
+    /** Samples the share of lasting tasks that are running, except those of jobs submitted recently. */
     #sampleLasting(): void {
-        for (const { definition, lifetime: stay } of this.#jobs.slice(0, this.#nextJob)) {
+        for (const { definition, lifetime } of this.#jobs.slice(0, this.#nextJob)) {
             const job = this.#cell.jobs.get(jobId(definition.job));
-            if (stay === undefined || job?.isOver !== false || this.#isNew(job)) {
+            if (lifetime === undefined || job?.isOver !== false || this.#isNew(job)) {
                 continue;
             }
             const tasks = tasksOf(job);
             this.#lastingTasks += tasks.length;
-            this.#lastingAtWork += tasks.filter(({ runs }) =>
+            this.#lastingRunning += tasks.filter(({ runs }) =>
                 runs.some(({ phase }) => phase === RunPhase.Running)
             ).length;
         }
     }
 
-    #isNew({ acceptedAtMonotonic: acceptedSteady, terms }: Job): boolean {
-        return this.#clock.monotonic() < acceptedSteady + terms.latencyTarget;
+    #isNew({ acceptedAtMonotonic, terms }: Job): boolean {
+        return this.#clock.monotonic() < acceptedAtMonotonic + terms.latencyTarget;
     }
 
     #outcome(): Outcome {
         const outcomes = new Map<string, JobOutcome[]>();
-        for (const job of this.#jobs.filter(({ isEntitled: isOwed, lifetime: stay }) => isOwed && stay === undefined)) {
+        for (const job of this.#jobs.filter(({ isEntitled, lifetime }) => isEntitled && lifetime === undefined)) {
             const endedAt = this.#endedAt.get(jobId(job.definition.job));
             const jobs = outcomes.get(job.load.name) ?? [];
             jobs.push({ job, duration: endedAt === undefined ? undefined : endedAt - job.at });
@@ -601,7 +598,7 @@
             worstOrganisations: worstTenth(organisations),
             queues: Object.fromEntries([...outcomes].map(([name, jobs]) => [name, queueOutcome(jobs)])),
             worstWindows: worstWindows(outcomes),
-            lastingShare: this.#lastingTasks === 0 ? undefined : this.#lastingAtWork / this.#lastingTasks,
+            lastingShare: this.#lastingTasks === 0 ? undefined : this.#lastingRunning / this.#lastingTasks,
             idleShares: Object.fromEntries(
                 [...this.#idle].map(([name, sum]) => [name, sum / Math.max(1, this.#samples)]),
             ),
--- a/packages/cell/test/support/world.ts
+++ b/packages/cell/test/support/simulated-cell.ts
@@ -1,7 +1,4 @@
-/**
- * A small cell under random faults: workers that keep their protocol's rules, links that lose and delay messages, and
- * owners that die. What must always hold is checked at the workers, whatever the owner believes.
- */
+/** Simulation of a cell under random faults. */
 import {
     fencingToken,
     jobId,
@@ -34,41 +31,41 @@
 
 const lease: Milliseconds = 2_000;
 const stepTime: Milliseconds = 50;
-const mostFailures = 3;
-/** A link to a later life of a worker has higher tokens. */
-const tokensPerLife = 1_000;
-/** A room that has shrunk counts from this long after the worker said so (the users' rules: three seconds and a beat). */
+const maxFailures = 3;
+/** Tokens are raised by this for each restart, so that links to later incarnations have higher ones. */
+const tokensPerIncarnation = 1_000;
+/** Time after a change of capacity for which starts within the former capacity are still allowed. */
 const shrinkTime: Milliseconds = 4_500;
 
-/** How likely each fault is in one step of time, from 0 to 1. */
+/** Probability of each fault in one time step, from 0 to 1. */
 export interface Faults {
     readonly crash: number;
     readonly cut: number;
     readonly takeOver: number;
     readonly cancel: number;
-    /** Of each start: lost, answered late, or carried out late. */
+    /** For each start: its answer is lost, or it is carried out late. */
     readonly start: number;
-    /** Of each run: its task fails. */
+    /** For each run: it fails. */
     readonly fail: number;
-    /** A worker's room shrinks or grows. Undefined where it never does. */
+    /** A worker's capacity changes. Undefined if it never does. */
     readonly resize?: number;
-    /** The limit of an organisation falls or rises. Undefined where nobody is told apart. */
+    /** The limit of an organisation changes. Undefined in a cell without organisations. */
     readonly limits?: number;
-    /** Of each question to the advice service: it gets no answer. Undefined where nothing is advised on. */
+    /** For each question to the advice service: it gets no answer. Undefined in a cell without advice. */
     readonly advice: number | undefined;
 }
 
-/** No faults. */
+/** All probabilities zero, in a cell without organisations and advice. */
 export const noFaults: Faults = { crash: 0, cut: 0, takeOver: 0, cancel: 0, start: 0, fail: 0, advice: undefined };
 
-/** What an organisation may have at work, in cores: as it begins and ends, the least, and by how much it may be more. */
-const usualLimit = 24;
-const leastLimit = 4;
+/** Limits of an organisation in cores: initial and final one, minimum, and range above the minimum. */
+const initialLimit = 24;
+const minLimit = 4;
 const limitRange = 36;
-/** A start that is carried out late was decided on so long ago at the most. */
-const latestStart: Milliseconds = 3 * lease;
+/** Maximum delay between the decision on a start and its execution. */
+const maxStartDelay: Milliseconds = 3 * lease;
 
-/** What an organisation may have at work, and until when what it might have before still counts. */
+/** Limit of an organisation in cores, and former limits with the time until which they still count. */
 interface Limit {
     cores: number;
     former: { readonly cores: number; readonly until: Milliseconds; }[];
@@ -76,18 +73,18 @@
 
 interface Link {
     worker: FakeWorker;
-    /** What the worker says of its room, and until when what it said before still counts. */
-    room: TaskSize;
-    former: { readonly room: TaskSize; readonly until: Milliseconds; }[];
+    /** Published capacity, and former ones with the time until which they still count. */
+    capacity: TaskSize;
+    former: { readonly capacity: TaskSize; readonly until: Milliseconds; }[];
     token: number;
     forgetThrough: number;
     cutUntil: Milliseconds;
-    isAssigned: boolean;
+    isNewLink: boolean;
     isSilent: boolean;
     reportedThrough: number;
-    /** The present life, once the worker was started again. */
+    /** Current incarnation; undefined before the first restart. */
     incarnation: WorkerIncarnation | undefined;
-    /** Whether it was started again and the owner has not heard of it. */
+    /** Whether it restarted and the owner does not know yet. */
     isRestarted: boolean;
 }
 
@@ -99,11 +96,14 @@
     readonly command: StartCommand;
 }
 
-/** See the module's comment. */
+/**
+ * A small cell with workers that follow their protocol, links that lose and delay messages, and owners that fail. The invariants are
+ * checked at the workers, independently of the owner's state.
+ */
 export class SimulatedCell {
     readonly clock = new ManualClock();
     readonly driver: CellDriver;
-    /** What was broken, in words. */
+    /** Violated invariants, one message each. */
     readonly violations: string[] = [];
     readonly #random: SeededRandom;
     readonly #advice: FakeAdvice | undefined;
@@ -127,7 +127,7 @@
             ? undefined
             : new FakeAdvice(new SeededRandom(seed + 1), faults.advice);
         if (faults.limits !== undefined) {
-            ["north", "south"].forEach(name => this.#limits.set(name, { cores: usualLimit, former: [] }));
+            ["north", "south"].forEach(name => this.#limits.set(name, { cores: initialLimit, former: [] }));
         }
         this.driver = new CellDriver(this.clock, this.#configuration());
         for (let index = 0; index < workers; index++) {
@@ -135,12 +135,12 @@
         }
     }
 
-    /** Jobs that were handed in. */
+    /** Submitted jobs. */
     get jobs(): ReadonlyMap<string, JobDefinition> {
         return this.#jobs;
     }
 
-    /** Whether every job has its final state. */
+    /** Whether every job has ended. */
     get isFinished(): boolean {
         return [...this.#jobs.keys()].every(id => {
             const state = this.driver.cell.stateOf(jobId(id));
@@ -148,7 +148,7 @@
         });
     }
 
-    /** Hands a random job in. */
+    /** Submits a random job. */
     submit(): void {
         const id = `job${this.#nextJob++}`;
         const count = 1 + this.#below(3);
@@ -163,7 +163,7 @@
         this.driver.cell.submit(definition);
     }
 
-    /** One step of time under the faults, or without them. */
+    /** Advances the simulation by one time step, with or without faults. */
     step(hasFaults: boolean): void {
         this.clock.advance(stepTime);
         const now = this.clock.monotonic();
@@ -173,8 +173,8 @@
             this.#injectFaults(now);
         }
         else {
-            this.#restoreRooms(now);
-            this.#limits.forEach((_, name) => this.#changeLimit(name, usualLimit));
+            this.#restoreCapacities(now);
+            this.#limits.forEach((_, name) => this.#changeLimit(name, initialLimit));
         }
         this.#links.forEach(link => this.#poll(link, now));
         this.#advice?.answer(this.driver.cell, now);
@@ -205,12 +205,12 @@
         const entry = makeWorker(`w${this.#nextWorker++}`);
         const link: Link = {
             worker: new FakeWorker(entry.worker, entry.capacity),
-            room: entry.capacity,
+            capacity: entry.capacity,
             former: [],
             token: this.#tokenBase(),
             forgetThrough: 0,
             cutUntil: 0,
-            isAssigned: true,
+            isNewLink: true,
             isSilent: false,
             reportedThrough: 0,
             incarnation: undefined,
@@ -242,7 +242,7 @@
         }
         for (const name of this.#limits.keys()) {
             if (this.#happens(this.faults.limits ?? 0)) {
-                this.#changeLimit(name, leastLimit + this.#below(limitRange));
+                this.#changeLimit(name, minLimit + this.#below(limitRange));
             }
         }
         const ids = [...this.#jobs.keys()];
@@ -263,14 +263,14 @@
     #changeLimit(name: string, cores: number): void {
         const limit = this.#limits.get(name)!;
         if (limit.cores !== cores) {
-            limit.former.push({ cores: limit.cores, until: this.clock.monotonic() + latestStart });
+            limit.former.push({ cores: limit.cores, until: this.clock.monotonic() + maxStartDelay });
             limit.cores = cores;
             this.#version++;
             this.driver.cell.configure(this.#configuration());
         }
     }
 
-    /** Whether the organisation of a task has more at work, as the workers have it, than it might have of late. */
+    /** Checks that the runs of a task's organisation, as its workers have them, are within its recent limits. */
     #checkLimit(task: TaskAddress): void {
         const name = this.#organisationOf(task);
         const limit = name === undefined ? undefined : this.#limits.get(name);
@@ -278,7 +278,7 @@
             return;
         }
         const now = this.clock.monotonic();
-        const most = Math.max(
+        const maxCores = Math.max(
             limit.cores,
             ...limit.former.filter(({ until }) => until >= now).map(({ cores }) => cores),
         );
@@ -286,8 +286,8 @@
         const used = runs
             .filter(run => this.#organisationOf(run.task) === name)
             .reduce((sum, { size }) => sum + size.processorThousandths, 0);
-        if (used > most * 1_000) {
-            this.violations.push(`${name} has ${used} of ${most * 1_000} at work`);
+        if (used > maxCores * 1_000) {
+            this.violations.push(`${name} uses ${used} of ${maxCores * 1_000} thousandths of a processor`);
         }
     }
 
@@ -296,19 +296,19 @@
     }
 
     #resize(link: Link, now: Milliseconds): void {
-        link.former.push({ room: link.room, until: now + shrinkTime });
+        link.former.push({ capacity: link.capacity, until: now + shrinkTime });
         const processorThousandths = 2_000 + this.#below(10_000);
-        link.room = { ...link.room, processorThousandths };
+        link.capacity = { ...link.capacity, processorThousandths };
         this.driver.cell.updateWorkerEntries([this.#entryOf(link)], []);
     }
 
-    /** Rooms that have shrunk grow again once the faults are over: else a gang may be too wide for ever. */
-    #restoreRooms(now: Milliseconds): void {
+    /** Restores shrunk capacities when the faults are over; otherwise a gang might never fit. */
+    #restoreCapacities(now: Milliseconds): void {
         for (const link of this.#links.values()) {
             const { capacity } = link.worker;
-            if (link.room.processorThousandths < capacity.processorThousandths) {
-                link.former.push({ room: link.room, until: now + shrinkTime });
-                link.room = capacity;
+            if (link.capacity.processorThousandths < capacity.processorThousandths) {
+                link.former.push({ capacity: link.capacity, until: now + shrinkTime });
+                link.capacity = capacity;
                 this.driver.cell.updateWorkerEntries([this.#entryOf(link)], []);
             }
         }
@@ -316,14 +316,14 @@
 
     #entryOf(link: Link): WorkerEntry {
         const life = link.incarnation === undefined ? {} : { life: link.incarnation };
-        return makeWorker(link.worker.id, { capacity: link.room, ...life });
+        return makeWorker(link.worker.id, { capacity: link.capacity, ...life });
     }
 
-    /** The most that the worker has said of late. */
-    #roomOf({ room, former }: Link): number {
+    /** Largest capacity that the worker published recently, in thousandths of a processor. */
+    #maxRecentCapacity({ capacity, former }: Link): number {
         const now = this.clock.monotonic();
-        const counted = former.filter(({ until }) => until >= now).map(entry => entry.room.processorThousandths);
-        return Math.max(room.processorThousandths, ...counted);
+        const counted = former.filter(({ until }) => until >= now).map(entry => entry.capacity.processorThousandths);
+        return Math.max(capacity.processorThousandths, ...counted);
     }
 
     #takeOver(): void {
@@ -333,14 +333,14 @@
         this.driver.cell.configure(this.#configuration());
         for (const link of this.#links.values()) {
             link.token = this.#tokenBase();
-            link.isAssigned = true;
+            link.isNewLink = true;
             link.reportedThrough = 0;
             link.forgetThrough = 0;
             link.isSilent = false;
         }
         const entries = [...this.#links.values()].map(link => this.#entryOf(link));
         this.driver.cell.replaceWorkerEntries(entries);
-        // A job whose record was not kept is not known to its caller either: it is handed in again.
+        // Callers submit jobs again, because those whose records were not committed are unknown to the new owner.
         this.#jobs.forEach(definition => this.driver.cell.submit(definition));
     }
 
@@ -355,20 +355,20 @@
         this.#addWorker();
     }
 
-    /** The worker is back at once under its id; its entry comes with its next look, or some time after. */
+    /** Restarts a worker immediately under its id. The owner learns of it at the next poll. */
     #restart(link: Link): void {
         link.worker = new FakeWorker(link.worker.id, link.worker.capacity);
         link.incarnation = workerIncarnation(this.#restarts);
         link.isRestarted = true;
     }
 
-    /** The link of the former life ends with the first answer of the next one. */
-    #noteRestart(link: Link): void {
+    /** Replaces the link to the former incarnation when the new one answers for the first time. */
+    #replaceLink(link: Link): void {
         link.isRestarted = false;
-        link.isAssigned = true;
+        link.isNewLink = true;
         link.forgetThrough = 0;
         link.reportedThrough = 0;
-        link.token = this.#tokenBase() + this.#restarts * tokensPerLife;
+        link.token = this.#tokenBase() + this.#restarts * tokensPerIncarnation;
         this.driver.cell.applyRestart(link.worker.id, link.incarnation!);
         this.driver.cell.updateWorkerEntries([this.#entryOf(link)], []);
     }
@@ -382,20 +382,20 @@
             return;
         }
         if (link.isRestarted) {
-            this.#noteRestart(link);
+            this.#replaceLink(link);
         }
-        const look = link.worker.poll(fencingToken(link.token), link.forgetThrough, now + lease, now);
-        if (look === undefined) {
-            this.violations.push(`${link.worker.id} refuses the owner's token`);
+        const poll = link.worker.poll(fencingToken(link.token), link.forgetThrough, now + lease, now);
+        if (poll === undefined) {
+            this.violations.push(`${link.worker.id} refused the owner's token`);
             return;
         }
-        const fresh = look.ended.filter(end => end.number > link.reportedThrough);
+        const fresh = poll.ended.filter(end => end.number > link.reportedThrough);
         fresh.forEach(end => this.#countEnd(end));
         link.reportedThrough = Math.max(link.reportedThrough, ...fresh.map(end => end.number));
-        const settledBefore = link.isAssigned ? now : -Infinity;
-        link.isAssigned = false;
+        const settledBefore = link.isNewLink ? now : -Infinity;
+        link.isNewLink = false;
         link.isSilent = false;
-        this.driver.cell.applyPoll(link.worker.id, { ...look, ended: fresh }, now, settledBefore);
+        this.driver.cell.applyPoll(link.worker.id, { ...poll, ended: fresh }, now, settledBefore);
     }
 
     #start(command: StartCommand, now: Milliseconds, hasFaults: boolean): void {
@@ -418,12 +418,12 @@
         this.#settle(link, command, now);
     }
 
-    /** No answer: the token is raised, and the next look is final. */
+    /** Settles a start without an answer: raises the token, so that the next poll is conclusive. */
     #settle(link: Link, { worker, task, run }: StartCommand, now: Milliseconds): void {
         link.token++;
         if (now < link.cutUntil) {
-            // The link goes on asking; what it finds once the worker answers settles this start too.
-            link.isAssigned = true;
+            // The link keeps polling, and the first answer of the worker settles this start too.
+            link.isNewLink = true;
             return;
         }
         this.#poll(link, now);
@@ -481,11 +481,11 @@
     }
 
     #stepOf(task: TaskAddress): StepDefinition {
-        const place = parseTaskAddress(task)!;
-        return this.#jobs.get(place.job)!.steps[place.step];
+        const coordinates = parseTaskAddress(task)!;
+        return this.#jobs.get(coordinates.job)!.steps[coordinates.step];
     }
 
-    /** An end that another owner sees again counts once. */
+    /** Counts an end once, however many owners it is reported to. */
     #countEnd({ task, run, end }: EndedRun): void {
         const name = `${task}#${run}`;
         if (this.#countedEnds.has(name)) {
@@ -500,9 +500,9 @@
         }
     }
 
-    /** What must hold whenever a worker begins a run. */
+    /** Checks the invariants that apply when a worker starts a run. */
     #checkStart(worker: FakeWorker, { task, payload }: StartCommand, step: StepDefinition): void {
-        const place = parseTaskAddress(task)!;
+        const coordinates = parseTaskAddress(task)!;
         for (const { worker: other } of this.#links.values()) {
             const copies = other.runs.filter(run => run.task === task).length - (other === worker ? 1 : 0);
             if (copies > 0) {
@@ -511,29 +511,30 @@
         }
         const used = worker.runs.reduce((sum, run) => sum + run.size.processorThousandths, 0);
         const link = this.#links.get(worker.id);
-        if (link !== undefined && used > this.#roomOf(link)) {
-            this.violations.push(`${worker.id} is given ${used}`);
+        if (link !== undefined && used > this.#maxRecentCapacity(link)) {
+            this.violations.push(`${worker.id} is overcommitted with ${used} thousandths of a processor`);
         }
         if (this.#isDone(task)) {
-            this.violations.push(`${task} starts after it was done`);
+            this.violations.push(`${task} started after it was done`);
         }
         for (const before of step.after) {
-            const tasks = this.#jobs.get(place.job)!.steps[before].taskCount;
+            const tasks = this.#jobs.get(coordinates.job)!.steps[before].taskCount;
             const isOpen = Array.from({ length: tasks }, (_, index) => index)
-                .some(index => !this.#isDoneOrGangDone(place.job, before, index));
+                .some(index => !this.#isDoneOrGangDone(coordinates.job, before, index));
             if (isOpen) {
-                this.violations.push(`${task} starts before step ${before} is done`);
+                this.violations.push(`${task} started before step ${before} was done`);
             }
         }
-        if ((this.#failures.get(task) ?? 0) >= mostFailures) {
-            this.violations.push(`${task} starts after ${mostFailures} failed runs`);
+        if ((this.#failures.get(task) ?? 0) >= maxFailures) {
+            this.violations.push(`${task} started after ${maxFailures} failed runs`);
         }
-        const sameStep = worker.runs.filter(run => run.task.startsWith(`${place.job}/0/${place.step}/`)).length;
+        const sameStep =
+            worker.runs.filter(run => run.task.startsWith(`${coordinates.job}/0/${coordinates.step}/`)).length;
         if (step.mostPerWorker !== undefined && sameStep > step.mostPerWorker) {
-            this.violations.push(`${worker.id} has ${sameStep} tasks of ${place.job}/0/${place.step}`);
+            this.violations.push(`${worker.id} has ${sameStep} tasks of ${coordinates.job}/0/${coordinates.step}`);
         }
-        if (payload !== this.#jobs.get(place.job)!.payload) {
-            this.violations.push(`${task} starts with another payload`);
+        if (payload !== this.#jobs.get(coordinates.job)!.payload) {
+            this.violations.push(`${task} started with another payload`);
         }
     }
 
