--- a/packages/entry/src/owner/assignments.ts
+++ b/packages/entry/src/owner/assignments.ts
@@ -1,4 +1,4 @@
-/** Which VM has the link to which worker. */
+/** Assignment of worker links to entry VMs. */
 import type { WorkerState } from "@pebbledale/cell";
 import { type Epoch, type FencingToken, fencingToken, type Milliseconds, type WorkerId } from "@pebbledale/core";
 import type { AssignMessage } from "../protocol/index.js";
@@ -6,30 +6,33 @@
 import { RestartPauses } from "./restart-pauses.js";
 import type { VmLink } from "./vm-link.js";
 
-/** One worker's link. */
+/** The link to one worker as it is assigned to a VM. */
 export interface Assignment {
     readonly vm: VmLink;
-    /** Where the link calls the worker. */
+    /** Address at which the link calls the worker. */
     readonly address: string;
-    /** The token that the link was given; names the assignment in what the VM reports. */
+    /** Initial fencing token of the link; identifies the assignment in the VM's reports. */
     readonly token: FencingToken;
-    /** When it was assigned, by the owner's monotonic clock: what was ordered before is settled by its first look. */
+    /** Assignment time on the owner's monotonic clock. The first poll of the link settles all orders sent before it. */
     readonly since: Milliseconds;
-    /** Whether its first look was taken in. */
+    /** Whether the first poll of the link has been applied. */
     hasLooked: boolean;
 }
 
-/** A VM may have this many more links than another, for each share of a core, before some are moved. */
+/** Links are moved when one VM has this many more than another, per core. */
 const imbalance = 2;
-/** The owner's own VM counts as loaded with this many links more: it also decides. */
+/** Number of links added to the load of the owner's VM to account for its scheduling work. */
 const ownerLoad = 4;
 
-/** See the module's comment. */
+/**
+ * Keeps track of which VM holds the link to which worker, assigns links and balances them by processor share,
+ * preferring VMs in the worker's data hall.
+ */
 export class Assignments {
     readonly #assigned = new Map<WorkerId, Assignment>();
     readonly #counts = new Map<WorkerId, number>();
     readonly #pauses: RestartPauses;
-    /** Until when orders to former lives of a worker may be carried out, where any may. */
+    /** Per worker, the time until which orders to earlier incarnations may still be carried out. */
     readonly #doubtfulUntil = new Map<WorkerId, Milliseconds>();
 
     constructor(
@@ -40,17 +43,16 @@
         this.#pauses = new RestartPauses(now);
     }
 
-    /** The VM that has the link to a worker. */
     vmOf(worker: WorkerId): VmLink | undefined {
         return this.#assigned.get(worker)?.vm;
     }
 
-    /** A worker was started again: its next link may have to wait. */
+    /** Records a restart of the worker; its next link may be delayed by a backoff. */
     noteRestart(worker: WorkerId): void {
         this.#pauses.note(worker);
     }
 
-    /** For so long an order that got no answer may still be carried out by any life of a worker. */
+    /** Unanswered orders to the worker may still be carried out, by any of its incarnations, for this long. */
     noteDoubt(worker: WorkerId, duration: Milliseconds): void {
         const until = this.now() + duration;
         if (duration > 0 && until > (this.#doubtfulUntil.get(worker) ?? 0)) {
@@ -58,19 +60,21 @@
         }
     }
 
-    /** Whether a worker's link calls another address than this. */
+    /** Whether the worker's link uses an address other than `address`. */
     isElsewhere(worker: WorkerId, address: string): boolean {
         const assignment = this.#assigned.get(worker);
         return assignment !== undefined && assignment.address !== address;
     }
 
-    /** The assignment under which a VM reports of a worker; undefined when the worker has another one by now. */
+    /** The current assignment with this token; undefined when the worker has been assigned anew since. */
     under(token: FencingToken, worker: WorkerId, vm: VmLink): Assignment | undefined {
         const assignment = this.#assigned.get(worker);
         return assignment?.vm === vm && assignment.token === token ? assignment : undefined;
     }
 
-    /** Gives workers without a link to VMs, those of their data hall first, and evens VMs out. */
+    /**
+     * Assigns each worker that has no link to the least loaded VM of its data hall, or of all VMs if the hall has none.
+     */
     balance(workers: Iterable<WorkerState>, vms: readonly VmLink[]): void {
         if (vms.length === 0) {
             return;
@@ -82,7 +86,7 @@
         }
     }
 
-    /** Moves links to a VM that has just joined, as long as others of its data hall have many more. */
+    /** Moves links from other VMs of the same data hall to a VM that has just joined until their loads are close. */
     even(workers: ReadonlyMap<WorkerId, WorkerState>, joined: VmLink, vms: readonly VmLink[]): void {
         const near = vms.filter(vm => vm.vm.dataHall === joined.vm.dataHall && vm !== joined);
         for (;;) {
@@ -104,13 +108,13 @@
         }
     }
 
-    /** A worker has no link any more. */
+    /** Forgets the worker's link without notifying its VM. */
     remove(worker: WorkerId): void {
         this.#assigned.get(worker)?.vm.workers.delete(worker);
         this.#assigned.delete(worker);
     }
 
-    /** Takes all links of a VM away. */
+    /** Forgets all links of a VM without notifying it. */
     removeAll(vm: VmLink): void {
         for (const worker of [...vm.workers]) {
             this.remove(worker);
@@ -159,7 +163,7 @@
         return {};
     }
 
-    /** Tokens of a later owner, and of a later assignment, are higher than all of earlier ones. */
+    /** Tokens increase with the owner's epoch, then with each assignment of the worker. */
     #tokenOf(count: number): FencingToken {
         return fencingToken((this.epoch * assignmentsPerEpoch + count) * tokensPerAssignment);
     }
--- a/packages/entry/src/owner/constants.ts
+++ b/packages/entry/src/owner/constants.ts
@@ -1,83 +1,86 @@
-/** Times and sizes of the owner, in milliseconds where they are times. */
+/** Timeouts, intervals and limits of the owner; times are in milliseconds. */
 import type { Milliseconds } from "@pebbledale/core";
 
-/** Time between two beats to each VM when nothing else is sent. */
+/** Maximum time between two messages to each VM; a heartbeat fills longer gaps. */
 export const ownerBeatInterval: Milliseconds = 250;
-/** Time between two looks at what time has brought. */
+/** Interval of the owner's main loop, which handles time-based events. */
 export const tickInterval: Milliseconds = 100;
-/** A VM that is not heard for this long is taken for gone: its links go to others. Four beats. */
+/** A VM that sends nothing for this long is considered down and its links are reassigned. Four heartbeats. */
 export const vmSilence: Milliseconds = 1_000;
-/** Wait before a VM that could not be reached is dialled again. */
+/** Delay before an unreachable VM is dialled again. */
 export const dialDelay: Milliseconds = 250;
-/** A dial without an answer by then has failed. */
+/** A dial attempt fails after this time. */
 export const dialLimit: Milliseconds = 700;
-/** A VM whose entry is gone is dialled for this long: it may only be cut off from the store. */
+/** A VM whose entry has disappeared is still dialled for this long, as it may only have lost the store. */
 export const rememberVm: Milliseconds = 30_000;
-/** Least time between two writes of the journal: bounds the writes of the cell. */
+/** Minimum time between two journal writes; bounds the write rate of the cell. */
 export const commitInterval: Milliseconds = 20;
-/** Keys of the journal's ring: a new owner reads them all, so there are few. */
+/** Number of keys in the journal's ring buffer. A new owner reads all of them, so it is kept small. */
 export const journalRingSize = 1_024;
-/** Segments after which a snapshot may replace them. */
+/** Number of segments after which a snapshot may replace them. */
 export const journalSnapshotEvery = 400;
-/** Largest value that the journal writes, in bytes, well below the store's limit with its encoding. */
+/** Maximum size of a journal value in bytes, well below the store's limit after encoding. */
 export const journalLargestBytes = 500_000;
-/** Wait before a write all of whose calls have failed is sent again. */
+/** Delay before a write is retried when all its attempts have failed. */
 export const journalRetryDelay: Milliseconds = 60;
 /**
- * A write without an answer is sent again beside the first after this time: the journal goes on as soon as the store is
- * back, not when a call that hangs is given up. A slow store answers in up to 400 ms and gets two calls more a write.
+ * A write without an answer is sent a second time in parallel after this delay, so that the journal resumes as soon as
+ * the store is back instead of when the hanging call times out. A slow store takes up to 400 ms and gets two extra
+ * calls per write.
  */
 export const journalRepeatAfter: Milliseconds = 160;
-/** Most segments on their way at once: those of a third of a second, in which a slow store answers. */
+/** Maximum number of segments in flight: enough for a third of a second, which covers a slow store's latency. */
 export const journalMostOnTheirWay = 16;
-/** A journal none of whose writes is answered for this long takes no new jobs. A slow store answers in up to 0.4 s. */
+/** New jobs are refused when no journal write has been answered for this long. A slow store answers within 0.4 s. */
 export const stalledAfter: Milliseconds = 450;
-/** When a caller that was refused for a stalled journal is to come back. */
+/** Delay after which a caller is asked to retry a request that the owner cannot serve yet. */
 export const stalledRetryAfter: Milliseconds = 1_000;
-/** A record that is not kept by then is uncertain to its caller. */
+/** A request whose record is not committed within this time is answered as uncertain. */
 export const recordLimit: Milliseconds = 2_500;
-/** Tokens that a link may count up from the one that it was assigned with. */
+/** Number of fencing tokens reserved for one assignment; a link increments its token within this range. */
 export const tokensPerAssignment = 1_000;
-/** Assignments of a worker's link under one owner. */
+/** Maximum number of assignments of one worker's link within one epoch. */
 export const assignmentsPerEpoch = 10_000;
-/** Taken off a look's time: messages between two VMs may be delayed by as much. */
+/** Subtracted from the time of a poll to allow for the delay of messages between two VMs. */
 export const lookAgeMargin: Milliseconds = 1_000;
 /**
- * Without a confirmation by the store for this long an owner has no more leases given: another may own the cell. With
- * the leases that run by then, work goes on through an outage of the store of about nine seconds.
+ * An owner that the store has not confirmed for this long grants no more leases, as another VM may own the cell. With
+ * the leases then in force, running work survives a store outage of about nine seconds.
  */
 export const confirmationHorizon: Milliseconds = 3_000;
-/** An owner that may have been suspended looks this often whether the store has confirmed it: its answer takes about 4 ms. */
+/**
+ * Interval at which an owner that may have been suspended checks for the store's confirmation, which takes about 4 ms.
+ */
 export const confirmationPause: Milliseconds = 5;
-/** A VM with this many times the owner's processor is offered the cell once it has been connected for a while. */
+/** A VM with at least this many times the owner's processor share is offered the cell. */
 export const muchLarger = 1.5;
-/** How long a much larger VM is connected before it is offered the cell. */
+/** How long a larger VM must be connected before it is offered the cell. */
 export const offerAfter: Milliseconds = 3_000;
-/** How long an owner that is to hand over serves on while the store is silent. */
+/** How long an owner that hands over keeps serving while the store does not answer. */
 export const storeWaitBeforeHandOver: Milliseconds = 4_500;
-/** Time between two looks at whether the store has answered. */
+/** Interval of checks for the store's answer. */
 export const storeAnswerLook: Milliseconds = 20;
-/** Longest wait for the last records to be kept, in which no caller is answered. */
+/** Maximum wait for the last records to be committed during a handover; callers get no answers meanwhile. */
 export const longestFreeze: Milliseconds = 1_000;
-/** How often the state of the cell is logged, in milliseconds. */
+/** Interval at which the state of the cell is logged, in milliseconds. */
 export const summaryInterval: Milliseconds = 1_000;
 /**
- * Longest wait between two passes while the last ones were short: one that took longer than a third of this was held up, by
- * a pause of the process or by its quota of the processor, and says nothing of what passes cost.
+ * Maximum pause between two scheduling cycles while recent ones were short. A cycle longer than a third of this was
+ * delayed by a process pause or by the processor quota and does not reflect the cost of scheduling.
  */
 export const longestPassPause: Milliseconds = 30;
 /**
- * The shortest of so many passes tells what passes cost. With hundreds of jobs that wait at 380 workers they took 150 ms each
- * on a small VM whose code was cold, and one after the other would have left the owner no time to hear the workers.
+ * Number of recent cycles whose minimum duration is taken as the cost of a cycle. Long cycles with a large backlog must
+ * leave the owner time to handle messages from workers.
  */
 export const rememberedPasses = 4;
-/** Passes over what waits take at most this share of the owner's time: the rest is for messages and calls. */
+/** Maximum share of the owner's time spent on scheduling cycles; the rest is for messages and calls. */
 export const passShare = 0.25;
-/** A worker may be started again so often of late before its links wait: a fault strikes a cell a few times in a row. */
+/** Number of recent restarts of a worker before its links are delayed. */
 export const freeRestarts = 3;
-/** The first such wait; each further restart doubles it. About what a process takes to start. */
+/** Initial backoff, about the start time of a process; it doubles with each further restart. */
 export const firstRestartPause: Milliseconds = 100;
-/** The longest such wait: a worker that comes to rest is used again soon after. */
+/** Maximum backoff, so that a worker that has stabilised is soon used again. */
 export const longestRestartPause: Milliseconds = 2_000;
-/** A worker that was not started again for this long has come to rest. */
+/** A worker that has not restarted for this long is considered stable. */
 export const restartMemory: Milliseconds = 10_000;
--- a/packages/entry/src/owner/index.ts
+++ b/packages/entry/src/owner/index.ts
@@ -1,4 +1,4 @@
-/** The owner of a cell. */
+/** The owner of a cell: scheduling, worker links and callers' requests. */
 export * from "./assignments.js";
 export * from "./constants.js";
 export * from "./owner-session.js";
--- a/packages/entry/src/owner/interval.ts
+++ b/packages/entry/src/owner/interval.ts
@@ -1,16 +1,15 @@
-/** Something that a loop does now and then. */
+/** Timer for periodic actions within a loop. */
 import type { Clock, Milliseconds } from "@pebbledale/core";
 
-/** See the module's comment. */
+/** Runs an action at most once per interval, when polled by a loop. */
 export class Interval {
     #lastAt: Milliseconds;
 
-    /** `length`: time between two times that it is done; the first comes after it. */
+    /** `length`: minimum time between two runs; the first one is due after it has passed once. */
     constructor(private readonly clock: Clock, private readonly length: Milliseconds) {
         this.#lastAt = clock.monotonic();
     }
 
-    /** Does it if it is due. */
     runIfDue(action: () => void): void {
         const now = this.clock.monotonic();
         if (now - this.#lastAt >= this.length) {
--- a/packages/entry/src/owner/outage-log.ts
+++ b/packages/entry/src/owner/outage-log.ts
@@ -1,35 +1,35 @@
-/** Tells when the owner's journal stops and when it goes on, a line each, and how callers were answered meanwhile. */
+/** Logging of journal outages. */
 import { type Clock, type Journal, logEvents, type Milliseconds } from "@pebbledale/core";
 import type { EventLogger } from "@pebbledale/runtime";
 import { stalledAfter } from "./constants.js";
 
-/** What the log needs. */
+/** Dependencies of the outage log. */
 export interface OutageLogOptions {
     readonly journal: Pick<Journal, "silentFor" | "waitingFor">;
     readonly clock: Clock;
     readonly logger: EventLogger;
 }
 
-/** See the module's comment. */
+/** Logs when the journal stalls and when it resumes, with the number of callers refused or left uncertain meanwhile. */
 export class OutageLog {
-    /** Since when no write was answered; undefined while writes are. */
+    /** Start of the current outage; undefined while writes are answered. */
     #since: Milliseconds | undefined;
     #refused = 0;
     #uncertain = 0;
 
     constructor(private readonly options: OutageLogOptions) {}
 
-    /** A job was refused as no record can be kept. */
+    /** Counts a job that was refused because the journal is stalled. */
     noteRefused(): void {
         this.#refused++;
     }
 
-    /** A caller was told that it is not known whether its request was done. */
+    /** Counts a request whose outcome the caller could not be told. */
     noteUncertain(): void {
         this.#uncertain++;
     }
 
-    /** Looks how the journal stands; called now and then. */
+    /** Checks whether the journal has stalled or resumed since the last call. */
     look(): void {
         const { journal, clock, logger } = this.options;
         const silentFor = journal.silentFor();
--- a/packages/entry/src/owner/owner-session.ts
+++ b/packages/entry/src/owner/owner-session.ts
@@ -1,4 +1,4 @@
-/** The owner's work: drives the decisions with what the VMs, the store and time bring, and carries them out. */
+/** Session of a VM that owns the cell. */
 import {
     AdviceDispatcher,
     type CellConfiguration,
@@ -44,7 +44,10 @@
 import { VmLink } from "./vm-link.js";
 import { WorkerInbox } from "./worker-inbox.js";
 
-/** See the module's comment. */
+/**
+ * Runs the scheduler of a cell while this VM owns it: feeds it with messages of the VMs, entries of the store and the
+ * passing of time, and carries out its decisions.
+ */
 export class OwnerSession {
     readonly cell: CellScheduler;
     readonly #vms = new Map<string, VmLink>();
@@ -59,9 +62,9 @@
     readonly #summary: Interval;
     readonly #workerEntries: FollowLoop;
     readonly #workerInbox: WorkerInbox;
-    /** Whether the cell is given up, at once or when the store answers. */
+    /** Whether a handover has been started, including the wait for the store. */
     #isOffered = false;
-    /** Whether it is being handed over: nothing is answered any more. */
+    /** Whether the handover is in progress: no request is answered any more. */
     #isHandingOver = false;
     #nextRelay = 0;
 
@@ -83,7 +86,7 @@
             assignments: this.#assignments,
             clock,
             formerLeasesOverAt: clock.monotonic() + options.formerLeases,
-            onFenced: worker => this.stepDown(`worker ${worker} has seen a later owner`),
+            onFenced: worker => this.stepDown(`worker ${worker} has seen the token of a later owner`),
         });
         this.#beat = new Interval(clock, ownerBeatInterval);
         this.#summary = new Interval(clock, summaryInterval);
@@ -130,17 +133,16 @@
         }
     }
 
-    /** The epoch of this owner. */
     get epoch(): number {
         return this.options.journal.epoch;
     }
 
-    /** Gives the cell up: there is another owner. */
+    /** Ends the session because another owner exists or is needed. */
     stepDown(reason: string): void {
         this.options.lost.abort(new JournalFencedError(reason));
     }
 
-    /** Serves until `lost` fires. */
+    /** Runs until `lost` fires. */
     async run(): Promise<void> {
         const { lost, clock, metrics } = this.options;
         const following = this.#workerEntries.run(lost.signal);
@@ -165,17 +167,17 @@
         this.#vms.forEach(vm => vm.channel.send({ kind: "beat", mayLease }));
     }
 
-    /** Whether the store has confirmed lately that this VM owns the cell. */
+    /** Whether the store has recently confirmed that this VM owns the cell. */
     get #isConfirmed(): boolean {
         return this.#isWithin(this.options.confirmedAt(), confirmationHorizon);
     }
 
-    /** Whether nobody else can have claimed the cell: its key has surely not run out. */
+    /** Whether the owner's key cannot have expired, so that no other VM can have claimed the cell. */
     get #doesKeyStand(): boolean {
         return this.#isWithin(this.options.keyConfirmedAt(), this.options.ownerLease);
     }
 
-    /** Whether less than a time, all of which was counted, has passed since a moment. */
+    /** Whether `moment` is less than `time` ago and the process has certainly not been suspended since. */
     #isWithin(moment: Milliseconds, time: Milliseconds): boolean {
         const { clock } = this.options;
         return clock.monotonic() - moment < time && moment >= clock.countedSince();
@@ -199,7 +201,7 @@
         this.#turns.request();
     }
 
-    /** Takes a newer configuration and passes it on. */
+    /** Applies a configuration if it is newer and announces it to the VMs. */
     configure(configuration: CellConfiguration): void {
         if (configuration.version <= (this.#configuration?.version ?? 0)) {
             return;
@@ -210,23 +212,22 @@
         this.#turns.request();
     }
 
-    /** Takes waves of upkeep in. */
+    /** Adds waves of upkeep to be carried out. */
     addWaves(waves: readonly UpkeepWave[]): void {
         this.#upkeep?.add(waves);
     }
 
-    /** Whether a VM is connected. */
     isConnected(name: string): boolean {
         return this.#vms.has(name);
     }
 
-    /** How long a connected VM has not been heard. */
+    /** Time since the last message of a connected VM; 0 for one that is not connected. */
     silenceOf(name: string): Milliseconds {
         const { clock } = this.options;
         return clock.monotonic() - (this.#vms.get(name)?.heardAt ?? clock.monotonic());
     }
 
-    /** Takes a connection to a VM into use. */
+    /** Attaches a connection to a VM, replacing a former one. */
     connect(vm: EntryVm, channel: Channel<OwnerMessage, VmMessage>): void {
         const { clock, journal, name } = this.options;
         const link = new VmLink(vm, channel, clock.monotonic());
@@ -246,15 +247,15 @@
         this.#assignments.even(this.cell.workers, link, [...this.#vms.values()]);
     }
 
-    /** VMs that can make calls of the store for this one, those first whose last call was answered. */
+    /** VMs through which the store can be called, in order of preference. */
     storeRelays(): StoreRelay[] {
         const others = [...this.#vms.values()].filter(link => link.vm.name !== this.options.name);
         return relayOrder(others, this.#nextRelay++).map(link => operation => link.callStore(operation));
     }
 
     /**
-     * Gives the cell to another VM once all that was accepted is kept. While the store is silent nobody could claim the cell, so it
-     * is served on for some time, and nothing has changed where the store stays silent.
+     * Hands the cell over to another VM once all accepted requests are committed. While the store does not answer, no
+     * VM could claim the cell: this one keeps serving for a while, and nothing has changed if the store stays silent.
      */
     async handOver(): Promise<HandOverOutcome> {
         this.#isOffered = true;
@@ -265,14 +266,14 @@
         const successor = chooseSuccessor(this.#vms.values(), this.options.name);
         this.#isHandingOver = true;
         this.#turns.freeze();
-        // A record that is not kept by then may be found by the next owner; no caller was told that it is.
+        // Records still in flight may be found by the next owner; no caller was told that they are committed.
         const kept = this.#turns.untilKept().catch((cause: unknown) => this.options.lost.abort(cause));
         await Promise.race([kept, this.options.clock.sleep(longestFreeze, this.options.lost.signal)]);
         successor?.channel.send({ kind: "hand-over" });
         return successor === undefined ? HandOverOutcome.NoSuccessor : HandOverOutcome.Offered;
     }
 
-    /** Whether the store answers a call that is made from now on, waited for up to a limit. */
+    /** Whether the store answers a call made from now on, within `limit`. */
     async #doesStoreAnswer(limit: Milliseconds): Promise<boolean> {
         const { clock, lost, confirm, confirmedAt } = this.options;
         const since = clock.monotonic();
@@ -283,7 +284,7 @@
         return confirmedAt() >= since;
     }
 
-    /** A VM knows a newer configuration: it is asked for it, unless the store shows it meanwhile. */
+    /** Requests a newer configuration from the VM that has it, unless the store delivers it within the grace period. */
     async #wantConfiguration(link: VmLink, version: number): Promise<void> {
         await this.options.clock.sleep(configurationGrace, this.options.lost.signal);
         if (version > (this.#configuration?.version ?? 0)) {
@@ -297,7 +298,7 @@
         }
     }
 
-    /** A VM is about to stop: its links and questions go to others. */
+    /** Reassigns the links and advice questions of a VM that is about to stop. */
     #takeLeave(link: VmLink): void {
         link.isLeaving = true;
         this.#advice.leave(link.vm.name);
@@ -308,7 +309,7 @@
         this.#balance();
     }
 
-    /** Gives workers without a link to VMs that stay. */
+    /** Assigns workers without a link to VMs that are not stopping, if there are any. */
     #balance(): void {
         const staying = [...this.#vms.values()].filter(link => !link.isLeaving);
         const vms = staying.length > 0 ? staying : [...this.#vms.values()];
@@ -327,7 +328,7 @@
         this.#balance();
     }
 
-    /** Offers the cell to a VM that can do much more of its work. */
+    /** Notifies the candidate once a considerably larger VM has been connected for a while. */
     #lookForLarger(): void {
         const now = this.options.clock.monotonic();
         const own = this.#vms.get(this.options.name)?.vm.processorShare ?? Infinity;
@@ -347,8 +348,8 @@
             }
         }
         if (this.options.isCutOff()) {
-            // Others that reach each other serve better; without a claim of theirs this VM comes back.
-            this.stepDown("this VM is cut off from most of the others");
+            // VMs that reach each other serve better. If none of them claims the cell, this VM claims it again.
+            this.stepDown("this VM is isolated from most of the others");
         }
     }
 
@@ -393,7 +394,7 @@
         const reply: OwnerReply = this.#isHandingOver
             ? { kind: "handing-over" }
             : await this.#requests.reply(body);
-        // What is uncertain as the cell is handed over meanwhile is asked of the next owner again by the front.
+        // The front repeats requests with an uncertain outcome at the next owner after a handover.
         if (!this.#isHandingOver || reply.kind !== "uncertain") {
             link.channel.send({ kind: "reply", request, reply });
         }
--- a/packages/entry/src/owner/pass-pacer.ts
+++ b/packages/entry/src/owner/pass-pacer.ts
@@ -1,21 +1,23 @@
-/** Spaces the passes over what waits, so that a long backlog leaves the owner's VM time for everything else. */
+/** Pacing of scheduling cycles. */
 import type { Clock, Milliseconds } from "@pebbledale/core";
 import { longestPassPause, passShare, rememberedPasses } from "./constants.js";
 
-/** See the module's comment. */
+/**
+ * Limits scheduling cycles to a fixed share of the owner's time, so that a long backlog does not delay messages and
+ * calls.
+ */
 export class PassPacer {
     #dueAt = -Infinity;
-    /** What the last passes took. */
     #durations: Milliseconds[] = [];
 
     constructor(private readonly clock: Clock) {}
 
-    /** Time until the next pass may be made; 0 when it may be made now. */
+    /** Time until the next cycle may run; 0 when it may run now. */
     get wait(): Milliseconds {
         return Math.max(0, this.#dueAt - this.clock.monotonic());
     }
 
-    /** Makes a pass. */
+    /** Runs a cycle and measures it. */
     run(pass: () => void): void {
         const begunAt = this.clock.monotonic();
         pass();
@@ -25,11 +27,11 @@
         this.#dueAt = endedAt + Math.min(pauseAfter(endedAt - begunAt), longest);
     }
 
-    /** What passes take at least of late: a single one that took longer was held up. */
+    /** Minimum duration of the recent cycles: a single longer one was delayed by something else. */
     get #usualDuration(): Milliseconds {
         return this.#durations.length < rememberedPasses ? 0 : Math.min(...this.#durations);
     }
 }
 
-/** The pause that leaves a pass its share of the time. */
+/** The pause after a cycle of this duration that keeps cycles within their share of the time. */
 const pauseAfter = (duration: Milliseconds): Milliseconds => duration * (1 / passShare - 1);
--- a/packages/entry/src/owner/relay-order.ts
+++ b/packages/entry/src/owner/relay-order.ts
@@ -1,12 +1,12 @@
-/** The order in which VMs are asked to make calls of the store for an owner that cannot reach it. */
+/** Selection of VMs that relay store calls for an owner that cannot reach the store. */
 import type { VmLink } from "./vm-link.js";
 
-/** What decides a VM's place. */
+/** The properties of a VM that determine its position. */
 type Relay = Pick<VmLink, "isStoreDoubtful" | "vm">;
 
 /**
- * VMs whose last call was answered first, the larger ones among them before the smaller ones, and equals in turn from `first` on. A segment of
- * the journal is up to half a megabyte: by its size alone it takes 0.04 s to pass a VM with 100 Mbit/s and 0.4 s to pass one with 10.
+ * Sorts VMs whose last relayed call succeeded first, then by descending processor share; equal VMs rotate, beginning at
+ * `first`. Larger VMs have more bandwidth: a journal segment of 0.5 MB takes 0.04 s at 100 Mbit/s and 0.4 s at 10.
  */
 export const relayOrder = <Link extends Relay>(links: readonly Link[], first: number): Link[] =>
     links
--- a/packages/entry/src/owner/request-desk.ts
+++ b/packages/entry/src/owner/request-desk.ts
@@ -1,30 +1,31 @@
-/** Answers what fronts ask for their callers, each as truly as the owner knows at the moment. */
+/** Handling of callers' requests by the owner. */
 import type { CellScheduler, JobDefinition } from "@pebbledale/cell";
 import type { Clock, JobId, Journal, OrganisationName } from "@pebbledale/core";
 import { NotNowReason, type OwnerReply, type OwnerRequest } from "../protocol/index.js";
 import { recordLimit, stalledAfter, stalledRetryAfter } from "./constants.js";
 import type { OutageLog } from "./outage-log.js";
 
-/** What a desk needs. */
+/** Dependencies of the request handler. */
 export interface RequestDeskOptions {
     readonly cell: CellScheduler;
     readonly journal: Journal;
     readonly clock: Clock;
-    /** Fires when the cell is lost to another owner. */
     readonly lost: AbortSignal;
-    /** Carries out what the inputs so far led to; resolves to whether all records so far are kept. */
+    /** Runs a turn on the inputs received so far; resolves to whether their records are committed. */
     readonly turn: () => Promise<boolean>;
-    /** Whether nobody else can own the cell now. */
+    /** Whether the owner's key is still valid, so that no other VM can own the cell. */
     readonly isConfirmed: () => boolean;
-    /** Told how callers are answered while no record is kept. */
+    /** Notified of refused and uncertain requests for the log of outages. */
     readonly outages?: Pick<OutageLog, "noteRefused" | "noteUncertain">;
 }
 
-/** See the module's comment. */
+/**
+ * Answers the requests that fronts pass on for their callers. A submission or cancellation is only confirmed once its
+ * record is committed, and a job is only reported unknown while no other VM can own the cell.
+ */
 export class RequestDesk {
     constructor(private readonly options: RequestDeskOptions) {}
 
-    /** Answers one request. */
     async reply(request: OwnerRequest): Promise<OwnerReply> {
         const { cell } = this.options;
         switch (request.kind) {
@@ -45,8 +46,8 @@
     }
 
     /**
-     * Whether a caller of an organisation may see and cancel a job. To others it is a job that is not there: they learn of no ids. One that
-     * was handed in without a key is everyone's.
+     * Whether a caller of an organisation may see and cancel a job. Jobs of other organisations are reported as
+     * unknown, so that their ids are not disclosed. A job submitted without a key is open to everyone.
      */
     #isOpenTo(
         { job, organisation }: { readonly job: JobId; readonly organisation?: OrganisationName | undefined; },
@@ -56,8 +57,8 @@
     }
 
     /**
-     * A job whose acceptance is not kept yet is neither known nor unknown. That there is none is said only while nobody else can own
-     * the cell: an owner that stood still was replaced meanwhile, and denied jobs that the next one had taken.
+     * The reply for a job without a committed state. An owner that is not confirmed must not deny a job: it may have
+     * been suspended and replaced, and the job accepted by its successor.
      */
     #unknown(job: JobId): OwnerReply {
         if (this.options.cell.jobs.has(job)) {
@@ -81,7 +82,7 @@
             return notNow(NotNowReason.JournalStalled);
         }
         if (known === undefined && !cell.knowsTermsOf(definition)) {
-            // The VM that asks knows a newer configuration; this owner will in a moment.
+            // The VM that asks already has a newer configuration, which this owner is about to receive.
             return notNow(NotNowReason.QueueUnknown);
         }
         if (known === undefined && cell.isBeyondLimit(definition)) {
@@ -98,7 +99,7 @@
         return await this.#untilKept() ? { kind: "cancelled" } : { kind: "uncertain" };
     }
 
-    /** Whether all that was recorded so far is kept, waited for up to the limit. */
+    /** Whether all records so far are committed within the timeout. */
     async #untilKept(): Promise<boolean> {
         const { clock, lost, turn, outages } = this.options;
         const kept = turn().then(isKept => isKept && !lost.aborted);
--- a/packages/entry/src/owner/restart-pauses.ts
+++ b/packages/entry/src/owner/restart-pauses.ts
@@ -1,7 +1,4 @@
-/**
- * How long the next link to a worker waits before its first look, when the worker was started again many times of late. A worker that named
- * another life at each answer kept owner and VM busy with 670 restarts a second (tests' time); with the pauses there are fewer than two.
- */
+/** Backoff for workers that restart repeatedly. */
 import type { Milliseconds, WorkerId } from "@pebbledale/core";
 import { firstRestartPause, freeRestarts, longestRestartPause, restartMemory } from "./constants.js";
 
@@ -10,13 +7,15 @@
     lastAt: Milliseconds;
 }
 
-/** See the module's comment. */
+/**
+ * Delays the first poll of a worker's next link with exponential backoff after repeated restarts. Without it, a worker
+ * that reports another incarnation in each answer keeps the owner and the VM busy with restarts.
+ */
 export class RestartPauses {
     readonly #restarts = new Map<WorkerId, Restarts>();
 
     constructor(private readonly now: () => Milliseconds) {}
 
-    /** A worker was started again. */
     note(worker: WorkerId): void {
         const now = this.now();
         const known = this.#restarts.get(worker);
@@ -24,7 +23,7 @@
         this.#restarts.set(worker, { count: isOfLate ? known.count + 1 : 1, lastAt: now });
     }
 
-    /** The pause before the next first look; 0 when there is none. */
+    /** Delay before the first poll of the next link; 0 when there is none. */
     of(worker: WorkerId): Milliseconds {
         const known = this.#restarts.get(worker);
         if (known === undefined || this.now() - known.lastAt >= restartMemory) {
--- a/packages/entry/src/owner/successor.ts
+++ b/packages/entry/src/owner/successor.ts
@@ -1,7 +1,7 @@
-/** Chooses the VM that the cell is handed to. */
+/** Selection of the VM to which the cell is handed over. */
 import type { VmLink } from "./vm-link.js";
 
-/** The VM to ask, of those that are connected and stay, besides the owner's own; undefined when there is none. */
+/** The best connected VM that is not stopping, other than the owner's own; undefined when there is none. */
 export const chooseSuccessor = (links: Iterable<VmLink>, owner: string): VmLink | undefined => {
     const candidates = [...links].filter(link => link.vm.name !== owner && !link.isLeaving);
     return candidates.reduce<VmLink | undefined>(
@@ -10,7 +10,7 @@
     );
 };
 
-/** The larger VM; among equals the one that started last, as that has had its stop where VMs are stopped in turn. */
+/** Prefers larger VMs, then the most recently started: in a rolling restart it has already been restarted. */
 const isBetterSuccessor = ({ vm: left }: VmLink, { vm: right }: VmLink): boolean =>
     left.processorShare !== right.processorShare
         ? left.processorShare > right.processorShare
--- a/packages/entry/src/owner/turn-runner.ts
+++ b/packages/entry/src/owner/turn-runner.ts
@@ -1,40 +1,40 @@
-/**
- * Carries out what the owner's decisions led to, turn by turn: records are kept, then orders, questions and
- * acknowledgements leave. Passes over what waits are paced.
- */
+/** Execution of the scheduler's decisions. */
 import type { AdviceDispatcher, CellScheduler, StartCommand, Turn, WorkerCommand } from "@pebbledale/cell";
 import type { GapClock, Journal, Milliseconds } from "@pebbledale/core";
 import type { Assignments } from "./assignments.js";
 import { confirmationPause } from "./constants.js";
 import { PassPacer } from "./pass-pacer.js";
 
-/** What turns need. */
+/** Dependencies of the turn runner. */
 export interface TurnRunnerOptions {
     readonly cell: CellScheduler;
     readonly journal: Journal;
     readonly clock: GapClock;
-    /** When the store last confirmed that this VM owns the cell, by the monotonic clock. */
+    /** Time of the store's last confirmation that this VM owns the cell, on the monotonic clock. */
     readonly confirmedAt: () => Milliseconds;
-    /** Has the store asked whether this VM owns the cell. */
+    /** Asks the store to confirm that this VM owns the cell. */
     readonly confirm: () => void;
     readonly advice: AdviceDispatcher;
     readonly assignments: Assignments;
-    /** Fired when the journal is another owner's. */
+    /** Aborted when the journal is fenced by another owner. */
     readonly lost: AbortController;
-    /** Told of workers that have no link yet. */
+    /** Called when workers without a link have appeared. */
     readonly onNewWorkers: () => void;
 }
 
-/** See the module's comment. */
+/**
+ * Carries out the scheduler's decisions in turns: the records of a turn are committed to the journal before its starts
+ * and acknowledgements are sent. Scheduling cycles are run between turns at a limited rate.
+ */
 export class TurnRunner {
     readonly #pacer: PassPacer;
     #isTurnDue = false;
-    /** Whether a turn is planned for when the next pass may be made. */
+    /** Whether a turn is scheduled for when the next cycle may run. */
     #isPassPlanned = false;
     #isFrozen = false;
-    /** Whether the store has been asked, since the last doubt, whether this VM owns the cell. */
+    /** Whether a confirmation has been requested since ownership last came into doubt. */
     #isConfirming = false;
-    /** Resolves once all records so far are kept. */
+    /** Resolves once all records so far are committed. */
     #kept: Promise<void> = Promise.resolve();
 
     constructor(private readonly options: TurnRunnerOptions) {
@@ -42,19 +42,18 @@
     }
 
     /**
-     * Nothing is decided or written any more: the cell is handed over. Each segment that the next owner finds beyond those
-     * that it has read takes it one more answer of the store.
+     * Stops all decisions and journal writes for a handover. Each segment that the next owner finds in addition to
+     * those it has read costs it another round trip to the store.
      */
     freeze(): void {
         this.#isFrozen = true;
     }
 
-    /** Resolves once all records so far are kept. */
     untilKept(): Promise<void> {
         return this.#kept;
     }
 
-    /** Plans a turn, with a pass where one is wanted, for when what is ready has run. */
+    /** Schedules a turn after pending callbacks, with a scheduling cycle before it if one is needed. */
     request(): void {
         if (this.#isTurnDue) {
             return;
@@ -70,8 +69,8 @@
     }
 
     /**
-     * Carries out what the inputs so far led to; resolves to whether all records so far are kept. They are not where the cell is handed over
-     * or lost meanwhile: no caller may then be told that its request was done.
+     * Runs a turn on the inputs received so far; resolves to whether their records are committed. It resolves to false
+     * when the cell is handed over or lost meanwhile, and callers must then not be told that their requests succeeded.
      */
     async run(): Promise<boolean> {
         const { cell, advice, journal, assignments, lost } = this.options;
@@ -80,7 +79,7 @@
         }
         const turn = cell.drain();
         if (this.#isFrozen) {
-            // What came since is seen by the next owner too: it is neither acted on nor acknowledged here.
+            // The next owner receives these inputs too: they are neither acted on nor acknowledged here.
             return false;
         }
         turn.commands.filter(command => command.kind !== "start").forEach(command => this.#send(command));
@@ -90,7 +89,7 @@
             if (turn.records.length > 0) {
                 this.#kept = journal.append(turn.records);
             }
-            // What this turn acknowledges may hang on records of an earlier one.
+            // Acknowledgements of this turn may depend on records of an earlier one.
             await this.#kept;
         }
         catch (cause) {
@@ -103,7 +102,7 @@
         cell.kept(turn);
         turn.commands.filter(command => command.kind === "start").forEach(command => this.#sendStart(command));
         for (const [worker, through] of turn.acknowledgements) {
-            // Numbers of ends are those of one life: the next one counts its own from 1.
+            // Run ends are numbered per incarnation; those of another incarnation must not be acknowledged.
             if (cell.workers.get(worker.id) === worker) {
                 const { id } = worker;
                 assignments.vmOf(id)?.channel.send({ kind: "acknowledge", worker: id, through });
@@ -116,8 +115,8 @@
     }
 
     /**
-     * Whether this process may have been suspended since the store last confirmed that it owns the cell: another VM may own it by
-     * now, and nothing tells how long ago the last confirmation was.
+     * Whether this process may have been suspended since the store last confirmed its ownership. The monotonic clock
+     * does not count a suspension, so another VM may own the cell by now.
      */
     get #isInDoubt(): boolean {
         return this.options.confirmedAt() < this.options.clock.countedSince();
@@ -135,7 +134,7 @@
         this.#isConfirming = false;
     }
 
-    /** A pass now, or a turn when the next one may be made. */
+    /** Runs a scheduling cycle now, or schedules a turn for when the next one may run. */
     #pass(): void {
         const { cell, clock, lost } = this.options;
         const { wait } = this.#pacer;
@@ -151,7 +150,7 @@
         }
     }
 
-    /** A start whose job ended while its record was written is not sent. */
+    /** Sends a start unless its job ended while the record was written or the worker has no link. */
     #sendStart(command: StartCommand): void {
         const { cell, assignments } = this.options;
         const { worker, task, run } = command;
@@ -168,7 +167,7 @@
         this.options.assignments.vmOf(command.worker)?.channel.send({ kind: "command", command });
     }
 
-    /** Workers that came get a link, those that are gone lose it, and those that are elsewhere get another. */
+    /** Requests links for new workers, and removes those of workers that are gone or have another address. */
     #tidyLinks(turn: Turn): void {
         const { assignments, onNewWorkers } = this.options;
         let hasNew = false;
--- a/packages/entry/src/owner/types.ts
+++ b/packages/entry/src/owner/types.ts
@@ -1,50 +1,50 @@
-/** What an owner is made from. */
+/** Options and results of an owner's session. */
 import type { CellConfiguration, VmService, WaveBoard, WorkerDirectory } from "@pebbledale/cell";
 import type { GapClock, Journal, JournalContents, Milliseconds } from "@pebbledale/core";
 import type { EventLogger } from "@pebbledale/runtime";
 import type { FollowLimits } from "../following/index.js";
 import type { EntryMetrics } from "../observation/index.js";
 
-/** What an owner needs. */
+/** Dependencies and callbacks of an owner's session. */
 export interface OwnerSessionOptions {
     readonly journal: Journal;
     readonly contents: JournalContents;
     readonly directory: WorkerDirectory;
-    /** How long the workers' entries may go unheard. */
+    /** Limits on the age of the workers' entries. */
     readonly followLimits: FollowLimits;
     readonly clock: GapClock;
     readonly logger: EventLogger;
     readonly metrics: EntryMetrics;
     readonly name: string;
     readonly configuration: CellConfiguration | undefined;
-    /** How long after a take-over an earlier owner's leases may run at a worker that nobody reaches. */
+    /** How long after a takeover leases granted by earlier owners may be in force at an unreachable worker. */
     readonly formerLeases: Milliseconds;
-    /** When the store last confirmed that this VM owns the cell, by the monotonic clock. */
+    /** Time of the store's last confirmation that this VM owns the cell, on the monotonic clock. */
     readonly confirmedAt: () => Milliseconds;
     /**
-     * When the store last renewed the owner's key, by the monotonic clock. Other confirmations prove that nobody else had the cell by then;
-     * only this keeps others from claiming it for a while.
+     * Time of the last renewal of the owner's key, on the monotonic clock. Other confirmations only prove that no other
+     * VM owned the cell at the time; a renewal also prevents a claim until the key expires.
      */
     readonly keyConfirmedAt: () => Milliseconds;
-    /** How long its key outlives the last confirmation: before that nobody else owns the cell. */
+    /** Lifetime of the owner's key after its last renewal; no other VM can own the cell before it has passed. */
     readonly ownerLease: Milliseconds;
-    /** Has the store asked whether this VM owns the cell. */
+    /** Asks the store to confirm that this VM owns the cell. */
     readonly confirm: () => void;
-    /** Fires when the cell is lost to another owner. */
+    /** Aborted when the cell is lost to another owner. */
     readonly lost: AbortController;
-    /** Told of a VM that gave no sign of life for too long. */
+    /** Called when a VM has timed out. */
     readonly onSilentVm: (name: string) => void;
-    /** Told once when a much larger VM has been connected for a while. */
+    /** Called while a considerably larger VM is connected and no handover is in progress. */
     readonly onLargerVm: () => void;
-    /** Whether this VM has been cut off from most of the others. */
+    /** Whether this VM has lost the connection to most of the others. */
     readonly isCutOff: () => boolean;
-    /** Told of a configuration that a VM saw. */
+    /** Called with a configuration received from a VM. */
     readonly onConfiguration: (configuration: CellConfiguration) => void;
-    /** The platform's service of VMs; undefined where there is none. */
+    /** Access to the platform's upkeep service; undefined where there is none. */
     readonly upkeep: OwnerUpkeep | undefined;
 }
 
-/** What an owner needs for waves of upkeep. */
+/** Dependencies for waves of upkeep. */
 export interface OwnerUpkeep {
     readonly vms: VmService;
     readonly board: WaveBoard;
@@ -52,12 +52,12 @@
     readonly turnLength: Milliseconds;
 }
 
-/** What came of handing the cell over. */
+/** Outcome of a handover. */
 export enum HandOverOutcome {
-    /** Another VM was asked to claim it. */
+    /** Another VM was asked to claim the cell. */
     Offered = "offered",
-    /** Nobody is there to take it. */
+    /** No VM is available to take over. */
     NoSuccessor = "no-successor",
-    /** The store, by which it would be claimed, does not answer. */
+    /** The store, which is needed for a claim, does not answer. */
     StoreSilent = "store-silent",
 }
--- a/packages/entry/src/owner/upkeep-keeper.ts
+++ b/packages/entry/src/owner/upkeep-keeper.ts
@@ -1,4 +1,4 @@
-/** Has VMs take their upkeep as operators ask in waves, while this VM is the owner. */
+/** Controller for waves of upkeep. */
 import {
     type PlannedWorker,
     type UpkeepWave,
@@ -13,26 +13,32 @@
 import { type Clock, logEvents, type Milliseconds, type WorkerId } from "@pebbledale/core";
 import type { EventLogger } from "@pebbledale/runtime";
 
-/** What a keeper needs. */
+/** Dependencies of the upkeep controller. */
 export interface UpkeepKeeperOptions {
     readonly vms: VmService;
     readonly board: WaveBoard;
     readonly clock: Clock;
     readonly logger: EventLogger;
     readonly orderer: VmOrderer;
-    /** How long a VM is down. */
+    /** Expected downtime of a VM. */
     readonly upkeepTime: Milliseconds;
-    /** How long after a take-over the former owner's orders count as its turn. */
+    /** How long to wait after a takeover, as orders of the former owner may still be in effect. */
     readonly turnLength: Milliseconds;
     readonly workerOf: (worker: WorkerId) => PlannedWorker;
     readonly closeWorkers: (closed: ReadonlySet<WorkerId>) => void;
     readonly signal: AbortSignal;
 }
 
-/** Time between two looks at the VMs while a wave runs, in milliseconds: two readings a second of the sixty allowed. */
+/**
+ * Interval at which VMs are polled while a wave runs, in milliseconds; uses two of the sixty readings allowed per
+ * second.
+ */
 const lookInterval: Milliseconds = 500;
 
-/** See the module's comment. */
+/**
+ * Carries out the waves of upkeep requested by operators while this VM is the owner: closes workers, orders VMs to
+ * begin their upkeep and reports the state of each wave to the board.
+ */
 export class UpkeepKeeper {
     readonly #planner: WavePlanner;
     readonly #told = new Map<number, WaveState>();
@@ -43,7 +49,7 @@
         this.#planner = new WavePlanner({ now: () => clock.monotonic(), workerOf, upkeepTime });
     }
 
-    /** Takes waves in. */
+    /** Adds waves and starts processing them if necessary. */
     add(waves: readonly UpkeepWave[]): void {
         waves.forEach(wave => this.#planner.add(wave));
         if (this.#planner.isBusy && !this.#isRunning) {
--- a/packages/entry/src/owner/vm-link.ts
+++ b/packages/entry/src/owner/vm-link.ts
@@ -1,10 +1,10 @@
-/** The owner's view of one entry VM: its connection and the workers whose links it has. */
+/** The owner's connection to one entry VM. */
 import { type Milliseconds, PlatformUnavailableError, type WorkerId } from "@pebbledale/core";
 import type { EntryVm } from "../membership/index.js";
 import type { Channel, OwnerMessage, VmMessage } from "../protocol/index.js";
 import type { StoreOperation } from "../store-relay/index.js";
 
-/** Added to a watch's wait before a call through a VM has failed, and the limit of other calls. */
+/** Timeout of store calls through a VM, in milliseconds; for a watch it is added to the duration of the watch. */
 const storeCallLimit: Milliseconds = 1_000;
 
 interface StoreCall {
@@ -13,13 +13,16 @@
     readonly timer: NodeJS.Timeout;
 }
 
-/** See the module's comment. */
+/**
+ * The owner's state for one entry VM: its connection, the workers whose links it holds, and store calls in progress
+ * through it.
+ */
 export class VmLink {
     readonly workers = new Set<WorkerId>();
     heardAt: Milliseconds;
-    /** Whether it is about to stop: it gets no links and no questions. */
+    /** Whether the VM is about to stop and must not get links or questions. */
     isLeaving = false;
-    /** Whether its last call of the store for the owner had no answer. */
+    /** Whether the last store call through this VM failed. */
     isStoreDoubtful = false;
     readonly #calls = new Map<number, StoreCall>();
     #nextCall = 1;
@@ -27,18 +30,20 @@
     constructor(
         readonly vm: EntryVm,
         readonly channel: Channel<OwnerMessage, VmMessage>,
-        /** When it was connected, by the owner's monotonic clock. */
+        /** Connection time on the owner's monotonic clock. */
         readonly connectedAt: Milliseconds,
     ) {
         this.heardAt = connectedAt;
     }
 
-    /** Links for each share of a core, were one more added: VMs with less take fewer. */
+    /** Number of links per core, counting one more than the VM has. */
     get load(): number {
         return (this.workers.size + 1) / this.vm.processorShare;
     }
 
-    /** Has the VM make a call of the store. */
+    /**
+     * Calls the store through the VM; rejects with {@link PlatformUnavailableError} when the call fails or times out.
+     */
     callStore(operation: StoreOperation): Promise<unknown> {
         const call = this.#nextCall++;
         const limit = storeCallLimit + (operation.kind === "changes" ? operation.duration : 0);
@@ -49,7 +54,7 @@
         });
     }
 
-    /** Takes the answer to a call of the store. */
+    /** Settles a store call with its answer or failure; ignores calls that have already been settled. */
     takeStoreAnswer(number: number, isAnswered: boolean, answer: unknown, cause = "no answer"): void {
         const call = this.#calls.get(number);
         if (call === undefined) {
@@ -62,11 +67,11 @@
             call.resolve(answer);
         }
         else {
-            call.reject(new PlatformUnavailableError(`through ${this.vm.name}: ${cause}`));
+            call.reject(new PlatformUnavailableError(`store call through VM ${this.vm.name} failed: ${cause}`));
         }
     }
 
-    /** The connection has ended: no call gets an answer any more. */
+    /** Rejects all store calls in progress because the connection has ended. */
     dropCalls(): void {
         [...this.#calls.keys()].forEach(call => this.takeStoreAnswer(call, false, undefined));
     }
--- a/packages/entry/src/owner/worker-inbox.ts
+++ b/packages/entry/src/owner/worker-inbox.ts
@@ -1,4 +1,4 @@
-/** Takes in what VMs say of the workers whose links they have. */
+/** Handling of VMs' reports on workers. */
 import type { CellScheduler } from "@pebbledale/cell";
 import type { Clock, Milliseconds, WorkerId } from "@pebbledale/core";
 import type { WorkerMessage } from "../protocol/index.js";
@@ -6,28 +6,27 @@
 import { lookAgeMargin } from "./constants.js";
 import type { VmLink } from "./vm-link.js";
 
-/** What an inbox needs. */
+/** Dependencies of the report handler. */
 export interface WorkerInboxOptions {
     readonly cell: CellScheduler;
     readonly assignments: Assignments;
     readonly clock: Clock;
-    /** When leases that an earlier owner gave are over, also at a worker that nobody reaches, by the monotonic clock. */
+    /** When all leases granted by earlier owners have expired, also at unreachable workers, on the monotonic clock. */
     readonly formerLeasesOverAt: Milliseconds;
-    /** Told of a worker that has seen a later owner. */
+    /** Called when a worker has seen a higher fencing token than this owner's. */
     readonly onFenced: (worker: WorkerId) => void;
 }
 
-/** See the module's comment. */
+/** Applies the reports of VMs on their links to the scheduler, and ignores reports of links that have been replaced. */
 export class WorkerInbox {
     constructor(private readonly options: WorkerInboxOptions) {}
 
-    /** Takes a message of a VM in. */
     take(link: VmLink, message: WorkerMessage): void {
         const { cell, assignments, onFenced } = this.options;
         const assignment = assignments.under(message.assignment, message.worker, link);
         if (assignment === undefined) {
-            // Another link, at this VM or another, has the worker by now; its first look tells all that is known here. A look of
-            // the former one would settle orders that may still reach the worker.
+            // The worker has another link by now, whose first poll reports everything. A poll of the former link would
+            // settle orders that may still reach the worker.
             return;
         }
         switch (message.kind) {
@@ -62,7 +61,7 @@
         }
     }
 
-    /** A link belongs to one life of its worker. */
+    /** Removes a link whose worker has another incarnation: a link serves one incarnation only. */
     #endLink(link: VmLink, worker: WorkerId): void {
         link.channel.send({ kind: "unassign", worker });
         this.options.assignments.remove(worker);
@@ -76,7 +75,7 @@
         cell.takeLook(worker, look, clock.monotonic() - age - lookAgeMargin, settledBefore);
     }
 
-    /** A worker that answers again may be given leases from now on: what lapsed meanwhile was taken in. */
+    /** Allows leases again at a worker that answers after a silence, as expired leases have been taken into account. */
     #resumeIfSilent(link: VmLink, worker: WorkerId): void {
         if (this.options.cell.workers.get(worker)?.silentSince !== undefined) {
             link.channel.send({ kind: "resume", worker });
@@ -92,7 +91,7 @@
         cell.startRefused(worker, task, run, refusal === "not-delivered" ? undefined : refusal);
     }
 
-    /** Until the first look of this owner, an earlier one's leases may run longer than this link's own. */
+    /** Before this owner's first poll of the worker, leases of an earlier owner may outlast those of the link. */
     #lapsesAt(worker: WorkerId, lapsesIn: Milliseconds): Milliseconds {
         const { cell, clock, formerLeasesOverAt } = this.options;
         const lapsesAt = clock.monotonic() + lapsesIn;
--- a/packages/entry/src/ownership/campaign.ts
+++ b/packages/entry/src/ownership/campaign.ts
@@ -1,4 +1,4 @@
-/** Decides when this VM claims the cell: pure, from what is known at the moment. */
+/** Rules by which a VM decides to claim the cell: pure functions of what it currently knows. */
 import type { Milliseconds } from "@pebbledale/core";
 import type { CellView, EntryVm } from "../membership/index.js";
 import {
@@ -11,23 +11,23 @@
     ownerSuspectedAfter,
 } from "./constants.js";
 
-/** What is known at a moment. */
+/** What a candidate knows at a point in time. */
 export interface CampaignInput {
     readonly view: CellView;
     readonly self: EntryVm;
-    /** Now, by the monotonic clock. */
+    /** Current time of the monotonic clock. */
     readonly now: Milliseconds;
-    /** How long ago an owner was heard; without end when none is connected. */
+    /** Time since the connected owner's last message; infinite when none is connected. */
     readonly ownerSilence: Milliseconds;
-    /** How long an owner that was heard in this life of the VM has been silent; undefined when none was. */
+    /** Time since the last message of any owner to this process; undefined when none was heard. */
     readonly heardSilence: Milliseconds | undefined;
-    /** Process of an owner that is known to be gone. */
+    /** Process of a former owner that is known to have ended. */
     readonly deadOwner: string | undefined;
-    /** Whether the owner asked this VM to take over. */
+    /** Whether the owner has asked this VM to take over. */
     readonly isAsked: boolean;
 }
 
-/** Why a VM may claim; undefined when it may not. */
+/** The reason for which the VM may claim the cell; undefined when it may not. */
 export const reasonToClaim = (input: CampaignInput): string | undefined => {
     const { view, self, deadOwner, isAsked } = input;
     const { owner } = view;
@@ -40,19 +40,19 @@
     if (owner.name === self.name) {
         return owner.process === self.process
             ? "an earlier claim of this process had no answer"
-            : "an earlier life of this VM is the owner";
+            : "an earlier process of this VM is the owner";
     }
     return owner.process === deadOwner ? "the owner's process is gone" : reasonToSuspect(input);
 };
 
-/** The reason of a claim that holds only if the other VMs do not hear the owner either. */
+/** Reason of a claim that is only valid if the other VMs do not hear the owner either. */
 export const ownerIsSilent = "the owner is silent";
 
 const reasonToSuspect = ({ view, now, heardSilence }: CampaignInput): string | undefined => {
     if (heardSilence === undefined) {
         return undefined;
     }
-    // What was heard before this owner's claim was an earlier one: a new owner reads the journal before it speaks.
+    // Messages before this owner's claim came from an earlier one: a new owner reads the journal before it sends any.
     const hasSpoken = now - heardSilence > view.ownerSince;
     const isSilent = hasSpoken ? heardSilence > ownerSuspectedAfter : now - view.ownerSince > firstWordLimit;
     return isSilent ? ownerIsSilent : undefined;
@@ -65,18 +65,18 @@
     if (ownerSilence > ownerHeardLately) {
         return "there is no owner";
     }
-    return now - view.ownerMissingSince > ownerKeyBack ? "the owner does not put its key back" : undefined;
+    return now - view.ownerMissingSince > ownerKeyBack ? "the owner has not restored its key" : undefined;
 };
 
-/** Whether VMs have just begun to show up, as in a start of all: larger ones may follow. */
+/** Whether VMs are still joining, as after a start of the whole cell, so that larger ones may follow. */
 export const isGathering = ({ view, now, isAsked }: CampaignInput): boolean =>
     !isAsked && now - view.grownAt < gatheringPause;
 
-/** Whether a claim can only become due by something that is told: no time that passes makes it so. */
+/** Whether only an event, and not the passing of time, can give a reason to claim. */
 export const isCalm = ({ view, heardSilence }: CampaignInput): boolean =>
     view.owner !== undefined && heardSilence === undefined;
 
-/** How long a VM leaves the claim to those before it: larger ones first, then by name. */
+/** How long this VM waits before it claims, so that larger VMs, and equal ones with a lower name, can go first. */
 export const claimDelay = ({ view, self, isAsked }: CampaignInput): Milliseconds => {
     if (isAsked) {
         return 0;
--- a/packages/entry/src/ownership/candidate.ts
+++ b/packages/entry/src/ownership/candidate.ts
@@ -1,4 +1,4 @@
-/** Campaigns for the cell, and serves as its owner while this VM has it. */
+/** Campaign of a VM for the ownership of the cell. */
 import type { CellConfiguration, UpkeepWave, WorkerDirectory } from "@pebbledale/cell";
 import {
     absentVersion,
@@ -43,7 +43,7 @@
 import { ClaimAbandonedError } from "./errors.js";
 import { OwnerKey } from "./owner-key.js";
 
-/** What a candidate needs. */
+/** Dependencies and callbacks of a candidate. */
 export interface CandidateOptions {
     readonly store: PlatformStore;
     readonly directory: WorkerDirectory;
@@ -53,55 +53,58 @@
     readonly metrics: EntryMetrics;
     readonly self: EntryVm;
     readonly view: CellView;
-    /** How long the owner's key outlives its last renewal. */
+    /** Lifetime of the owner's key after its last renewal. */
     readonly leaseLength: Milliseconds;
-    /** How long the workers' entries may go unheard. */
+    /** Limits on the age of the workers' entries. */
     readonly followLimits: FollowLimits;
     readonly configuration: () => CellConfiguration | undefined;
     readonly onConfiguration: (configuration: CellConfiguration) => void;
     readonly formerLeases: Milliseconds;
-    /** Waves of upkeep that are known. */
+    /** The known waves of upkeep. */
     readonly waves: () => readonly UpkeepWave[];
     readonly upkeep: OwnerUpkeep | undefined;
-    /** What is known of the present owner. */
+    /** What is known about the current owner. */
     readonly knownOwner: () => Pick<CampaignInput, "ownerSilence" | "heardSilence" | "deadOwner" | "isAsked">;
-    /** Connects this VM itself to its own work as owner. */
+    /** Connects this VM to its own session as owner. */
     readonly connectOwn: (session: OwnerSession) => void;
 }
 
-/** A claim that is on its way. */
+/** A claim in progress. */
 interface Claim {
     readonly dialer: VmDialer;
     readonly key: OwnerKey;
-    /** Resolves once the cell is this VM's; rejects with {@link ClaimAbandonedError} when it is not to be. */
+    /** Resolves once this VM owns the cell; rejects with {@link ClaimAbandonedError} when the claim is abandoned. */
     readonly claimed: Promise<void>;
 }
 
-/** The one journal of a cell. */
+/** The only shard of a cell's journal. */
 const cellShard = shardId("cell");
 
-/** See the module's comment. */
+/**
+ * Claims the cell when there is reason to, and runs the owner's session while this VM owns it. The other VMs are
+ * dialled and the journal is read while the claim is in progress.
+ */
 export class Candidate {
     #session: OwnerSession | undefined;
     #wantsSince: Milliseconds | undefined;
-    /** Since when this VM wants the cell and reaches too few of the others. */
+    /** Since when this VM wants the cell and reaches too few of the other VMs. */
     #isolatedSince: Milliseconds | undefined;
-    /** Suspicions are not followed before this: the other VMs did not share the last one. */
+    /** Suspicions of the owner are ignored until then, as the other VMs did not share the last one. */
     #trustsOwnerUntil = -Infinity;
 
     #poked = createAbortController();
 
     constructor(private readonly options: CandidateOptions) {}
 
-    /** The owner's work, while this VM is the owner. */
+    /** The owner's session; undefined while this VM does not own the cell. */
     get session(): OwnerSession | undefined {
         return this.#session;
     }
 
-    /** Another owner with a higher epoch speaks: what this VM still does as owner is over. */
+    /** Ends this VM's session if an owner with a higher epoch has appeared. */
     noteOwner(epoch: number): void {
         if (this.#session !== undefined && epoch > this.#session.epoch) {
-            this.#session.stepDown("another owner speaks");
+            this.#session.stepDown("another owner has appeared");
         }
     }
 
@@ -129,12 +132,12 @@
         }
     }
 
-    /** What may lead to a claim has changed. */
+    /** Re-evaluates the reasons to claim, as something they depend on has changed. */
     poke(): void {
         this.#poked.abort();
     }
 
-    /** Waits until something changes, or for `duration`. */
+    /** Waits for `duration`, or until woken. */
     async #pause(duration: Milliseconds, stop: AbortSignal): Promise<void> {
         this.#poked = createAbortController();
         const end = () => this.poke();
@@ -143,10 +146,9 @@
         stop.removeEventListener("abort", end);
     }
 
-    /** How long to wait after a claim that came to nothing. */
     #pauseAfter(cause: unknown): Milliseconds {
         if (cause instanceof ClaimAbandonedError) {
-            // Who was faster is seen by then; a claim that is tried again before that takes three calls of the store.
+            // By then the faster VM's claim is visible; an earlier attempt would cost three store calls in vain.
             return campaignInterval;
         }
         this.options.logger.log(logEvents.claimFailed, { cause: String(cause) });
@@ -186,8 +188,8 @@
             keeping = key.keep(released.signal);
         });
         try {
-            // Candidates that come after another one find its claim by now, and need not read the journal: in a start of 30 VMs each of them
-            // read all of it (counted by their calls of the store).
+            // Later candidates detect the first one's claim here and need not read the journal, which saves most of the
+            // reads when all VMs start at once.
             await Promise.race([reached, claimed]);
             await this.#serve({ dialer, key, claimed }, stop);
         }
@@ -198,7 +200,10 @@
         }
     }
 
-    /** Reaches the other VMs; resolves to the version of the owner's key that is to be replaced, rejects when this VM is not to have it. */
+    /**
+     * Checks the preconditions of a claim while the VMs are dialled; resolves to the version of the owner's key to be
+     * replaced, rejects when the claim must be abandoned.
+     */
     async #reach(dialer: VmDialer, key: OwnerKey, reason: string): Promise<KeyVersion> {
         const expected = this.options.view.ownerVersion ?? absentVersion;
         key.prepare();
@@ -206,22 +211,22 @@
             throw new ClaimAbandonedError("the other VMs hear the owner");
         }
         if (!await this.#reachesOthers(dialer)) {
-            throw new ClaimAbandonedError("too few of the others are reached");
+            throw new ClaimAbandonedError("too few of the other VMs are reachable");
         }
         if ((this.options.view.ownerVersion ?? absentVersion) !== expected) {
-            throw new ClaimAbandonedError("another VM was faster");
+            throw new ClaimAbandonedError("another VM has claimed the cell first");
         }
         return expected;
     }
 
-    /** Claims the owner's key; rejects when another VM has it. */
+    /** Claims the owner's key; rejects when another VM has claimed it first. */
     async #claim(key: OwnerKey, expected: KeyVersion): Promise<void> {
         if (!await key.claim(expected)) {
-            throw new ClaimAbandonedError("another VM was faster");
+            throw new ClaimAbandonedError("another VM has claimed the cell first");
         }
     }
 
-    /** Whether the other VMs do not hear the owner either. */
+    /** Whether a majority of the other VMs does not hear the owner either. */
     async #othersAgree(dialer: VmDialer): Promise<boolean> {
         const { view, clock, logger } = this.options;
         const agrees = await dialer.untilSilenceAgreed(view.owner?.name ?? "", agreedSilence, reachLimit);
@@ -232,7 +237,10 @@
         return agrees;
     }
 
-    /** Whether this VM reaches others, or nobody has claimed the cell for so long that it does not matter. */
+    /**
+     * Whether this VM reaches enough others, or has been isolated for so long without another claim that it must claim
+     * anyway.
+     */
     async #reachesOthers(dialer: VmDialer): Promise<boolean> {
         const { clock, logger } = this.options;
         await dialer.untilReached(reachLimit);
@@ -250,15 +258,15 @@
         return false;
     }
 
-    /** Serves once the cell is claimed; the journal is read meanwhile and sealed only then. */
+    /** Runs the owner's session once the cell is claimed. The journal is read during the claim and sealed after it. */
     async #serve({ dialer, key, claimed }: Claim, stop: AbortSignal): Promise<void> {
         const { store, clock, random, logger, self, directory } = this.options;
         const lost = createAbortController();
-        const onStop = () => void this.#handOver(lost, "the process stops", stop);
+        const onStop = () => void this.#handOver(lost, "the process is stopping", stop);
         stop.addEventListener("abort", onStop);
         claimed.catch((cause: unknown) => lost.abort(cause));
         if (stop.aborted) {
-            lost.abort(new ClaimAbandonedError("the process stops"));
+            lost.abort(new ClaimAbandonedError("the process is stopping"));
         }
         try {
             const opened = openJournal({
@@ -278,7 +286,7 @@
                     largestBytes: journalLargestBytes,
                 },
             }, claimed);
-            // A silent store would keep a process that stops for as long as its calls take.
+            // A store that does not answer must not delay the end of the process until its calls time out.
             await unlessAborted(opened, lost.signal);
             lost.signal.throwIfAborted();
             const { journal, contents } = await opened;
@@ -326,7 +334,7 @@
         }
     }
 
-    /** Gives the cell to another VM, and goes on until that VM has it or the wait is over. */
+    /** Hands the cell over, and serves on until the next owner appears or the wait times out. */
     async #handOver(lost: AbortController, reason: string, stop: AbortSignal): Promise<void> {
         const { clock, logger } = this.options;
         const outcome = await this.#session?.handOver() ?? HandOverOutcome.NoSuccessor;
--- a/packages/entry/src/ownership/constants.ts
+++ b/packages/entry/src/ownership/constants.ts
@@ -1,50 +1,55 @@
-/** Times of campaigning for the cell, in milliseconds. */
+/** Timeouts and intervals of campaigning for the cell, in milliseconds. */
 import type { Milliseconds } from "@pebbledale/core";
 
-/** Time between two looks at whether this VM is to claim the cell. */
+/** Interval at which a VM checks whether to claim the cell. */
 export const campaignInterval: Milliseconds = 50;
-/**
- * The same while there is an owner and nothing speaks against it: what could is told at once. A VM without work
- * wakes seldom.
- */
+/** The same while ownership is stable: events that could change it wake the candidate, and an idle VM wakes seldom. */
 export const calmCampaignInterval: Milliseconds = 1_000;
-/** Each larger VM makes a candidate wait this long more: a larger one serves the cell better. */
+/** Additional delay of a candidate's claim for each larger VM, which would serve the cell better. */
 export const largerCandidateDelay: Milliseconds = 120;
 /**
- * Each VM of the same size that goes first by its name makes a candidate wait this long more, in which a claim is seen by
- * the others: it takes 30 to 50 ms.
+ * Additional delay of a candidate's claim for each VM of the same size with a lower name. A claim is visible to the
+ * others within 30 to 50 ms.
  */
 export const equalCandidateDelay: Milliseconds = 50;
-/** While an owner was heard this lately, a missing key is its own to renew. */
+/** While the owner was heard this recently, a missing key is left to it to restore. */
 export const ownerHeardLately: Milliseconds = 600;
-/** An owner that was not heard for this long is suspected. Too short for beats of 250 ms: it wants them at 125 ms. */
+/** An owner that was not heard for this long is suspected. Too short for heartbeats every 250 ms: requires 125 ms. */
 export const ownerSuspectedAfter: Milliseconds = 400;
-/** An owner that claimed the cell and has not spoken to a VM by then is suspected too: it takes 0.2 to 0.5 s to begin. */
+/**
+ * An owner that has not sent its first message to a VM within this time of its claim is suspected; starting takes 0.2
+ * to 0.5 s.
+ */
 export const firstWordLimit: Milliseconds = 1_000;
-/** Other VMs agree that the owner is silent once they have not heard it for this long. Wants beats of 125 ms. */
+/** Other VMs confirm a suspicion when they have not heard the owner for this long. Requires heartbeats every 125 ms. */
 export const agreedSilence: Milliseconds = 300;
-/** A VM whose suspicion the others did not share asks them again no sooner than this. */
+/** Minimum time before a VM whose suspicion was not shared suspects the owner again. */
 export const suspicionPause: Milliseconds = 1_000;
-/** Wait after a failed claim. */
+/** Delay after a failed claim. */
 export const claimRetryDelay: Milliseconds = 300;
-/** How long the owner's key outlives its last renewal: bounds how late a silent owner is replaced. */
+/** Lifetime of the owner's key after its last renewal; bounds how late a silent owner is replaced. */
 export const ownerLease: Milliseconds = 1_000;
-/** How long the key of an entry VM outlives its last renewal. */
+/** Lifetime of an entry VM's key after its last renewal. */
 export const vmLease: Milliseconds = 4_000;
-/** How long a stopping owner waits for the next one to speak. */
+/** How long a stopping owner waits for the next one to appear. */
 export const handOverWait: Milliseconds = 1_500;
-/** The owner's lease is renewed this many times in its length. */
+/** Number of renewals of the owner's lease within its length. */
 export const renewalsPerLease = 3;
-/** How long a candidate waits for its dials before it takes itself for cut off. */
+/** How long a candidate waits for its dials before it considers itself isolated. */
 export const reachLimit: Milliseconds = 300;
-/** A candidate that is cut off claims all the same once nobody else has for this long. */
+/** An isolated candidate claims the cell all the same when no other VM has done so for this long. */
 export const isolationLimit: Milliseconds = 5_000;
-/** An owner that is heard and has not put its missing key back by then cannot do its work: it does so in 0.4 s. */
+/**
+ * An owner that is heard but has not restored its missing key by then is considered defective; a restore takes 0.4 s.
+ */
 export const ownerKeyBack: Milliseconds = 1_500;
 /**
- * Candidates wait until no VM has shown up for the first time for this long: in a start of all, larger ones follow. VMs that
- * start together show up within 20 to 50 ms of each other.
+ * Candidates wait until no new VM has joined for this long, so that larger ones are seen in a start of the whole cell.
+ * VMs that start together join within 20 to 50 ms of each other.
  */
 export const gatheringPause: Milliseconds = 60;
-/** A new owner's first messages to the VMs leave before it takes its own VM's requests in: these keep it busy for 0.1 s. */
+/**
+ * Delay before a new owner connects its own VM, whose requests would otherwise hold up the first messages to the others
+ * by 0.1 s.
+ */
 export const firstMessagesTime: Milliseconds = 4;
--- a/packages/entry/src/ownership/errors.ts
+++ b/packages/entry/src/ownership/errors.ts
@@ -1,6 +1,6 @@
 /** Errors of campaigning for the cell. */
 
-/** Thrown when a claim is given up: another VM was faster, or this one reaches too few of the others. */
+/** Thrown when a claim is abandoned because another VM was first, this one is isolated, or the process is stopping. */
 export class ClaimAbandonedError extends Error {
     override readonly name = "ClaimAbandonedError";
 }
--- a/packages/entry/src/ownership/index.ts
+++ b/packages/entry/src/ownership/index.ts
@@ -1,4 +1,4 @@
-/** Campaigning for the cell and owning it. */
+/** Election of a cell's owner. */
 export * from "./campaign.js";
 export * from "./candidate.js";
 export * from "./constants.js";
--- a/packages/entry/src/ownership/owner-key.ts
+++ b/packages/entry/src/ownership/owner-key.ts
@@ -1,4 +1,4 @@
-/** The owner's leased key: claimed under a condition, then kept alive, and put back when it was lost to no one. */
+/** The owner's leased key in the store. */
 import {
     absentVersion,
     type Clock,
@@ -13,30 +13,33 @@
 import { DependencyWatch } from "../observation/index.js";
 import { renewalsPerLease } from "./constants.js";
 
-/** What an owner's key needs. */
+/** Dependencies and parameters of the owner's key. */
 export interface OwnerKeyOptions {
     readonly logger: EventLogger;
     readonly store: PlatformStore;
     readonly clock: Clock;
-    /** Names this process; no other has the same value. */
+    /** Value unique to this process. */
     readonly value: string;
     readonly leaseLength: Milliseconds;
 }
 
-/** A lease that was asked for. It runs from when the call arrived, which is not before it was sent. */
+/** A requested lease. It starts when the store receives the request, which is not before it was sent. */
 interface PreparedLease {
     readonly sentAt: Milliseconds;
     readonly granted: Promise<PlatformLeaseId>;
 }
 
-/** See the module's comment. */
+/**
+ * Claims the owner's key by compare-and-swap and keeps its lease alive. A key whose lease has expired is claimed again
+ * unless another process has it.
+ */
 export class OwnerKey {
     readonly #watch: DependencyWatch;
     #lease: PlatformLeaseId | undefined;
     #confirmedAt = -Infinity;
-    /** A lease that was asked for ahead of a claim. */
+    /** A lease requested ahead of a claim. */
     #prepared: PreparedLease | undefined;
-    /** The claim of a key whose lease has ended, while it is on its way. */
+    /** Pending reclaim of a key whose lease has expired. */
     #claiming: Promise<unknown> | undefined;
 
     constructor(private readonly options: OwnerKeyOptions) {
@@ -46,28 +49,28 @@
     }
 
     /**
-     * When the store last confirmed the key, by the monotonic clock: when the call that did was sent, and for a claim when its lease was
-     * asked for. Nobody else can claim for the length of the lease from then on.
+     * Time at which the last successful renewal was sent, on the monotonic clock; for a claim, the time of its lease
+     * request. No other process can claim the key within the lease's length from then on.
      */
     get confirmedAt(): Milliseconds {
         return this.#confirmedAt;
     }
 
-    /** Asks for the lease of a claim that may follow: a slow store answers meanwhile. */
+    /** Requests the lease for a possible claim, so that a slow store answers in the meantime. */
     prepare(): void {
         this.#prepared = this.#askForLease();
-        // A failure counts once the lease is used.
+        // A failure is handled when the lease is used.
         this.#prepared.granted.catch(() => undefined);
     }
 
-    /** Claims the key if its version is still `expected`; false when another process was faster. */
+    /** Claims the key if its version is still `expected`; resolves to false when another process was first. */
     async claim(expected: KeyVersion): Promise<boolean> {
         const { store, value } = this.options;
         const { sentAt, granted } = this.#prepared ?? this.#askForLease();
         this.#prepared = undefined;
         const lease = await granted;
         const outcome = await store.compareAndSwap(ownerKey, expected, value, lease);
-        // A conflict with our own value: the first answer was lost.
+        // A conflict with this process's own value means that the first answer was lost.
         const isOwn = outcome.kind === "swapped" || outcome.current?.value === value;
         this.#lease = isOwn ? lease : undefined;
         if (outcome.kind === "swapped") {
@@ -76,17 +79,17 @@
         return isOwn;
     }
 
-    /** Keeps the key until `signal` fires, then gives it up. */
+    /** Keeps the key alive until `signal` fires, then releases it. */
     async keep(signal: AbortSignal): Promise<void> {
         const { clock, leaseLength } = this.options;
         while (!signal.aborted) {
             await clock.sleep(leaseLength / renewalsPerLease, signal);
             if (!signal.aborted) {
-                // Not waited for: a renewal without an answer would use up the lease. One that fell silent is followed on time.
+                // Not awaited: a renewal without an answer must not delay the next one.
                 this.confirm(signal);
             }
         }
-        // Without an answer the lease runs out by itself.
+        // If the store does not answer, the lease expires by itself.
         await Promise.race([this.#giveUp(), clock.sleep(revokeLimit)]);
     }
 
@@ -98,7 +101,7 @@
         }
     }
 
-    /** Has the store asked at once. */
+    /** Renews the lease immediately, without waiting for the result. */
     confirm(signal: AbortSignal): void {
         void this.#renew(signal).then(() => this.#watch.noteAnswer(), cause => this.#watch.noteFailure(cause));
     }
@@ -108,7 +111,10 @@
         return { sentAt: clock.monotonic(), granted: store.grantLease(leaseLength) };
     }
 
-    /** Renews the lease. One that ended is replaced, unless another process has the key: the journal then decides. */
+    /**
+     * Renews the lease. An expired one is replaced unless another process has the key, in which case the journal is
+     * fenced.
+     */
     async #renew(signal: AbortSignal): Promise<void> {
         const sentAt = this.options.clock.monotonic();
         const lease = this.#lease;
--- a/packages/entry/test/ownership/campaign.test.ts
+++ b/packages/entry/test/ownership/campaign.test.ts
@@ -43,41 +43,41 @@
         expect(reasonToClaim(input({}))).toEqual("there is no owner");
     });
 
-    it("not while an owner speaks whose key is missing: it will put it back", () => {
+    it("not while the owner is heard although its key is missing, as it will restore the key", () => {
         expect(reasonToClaim(input({ ownerSilence: 100 }))).toEqual(undefined);
     });
 
-    it("when an owner that is heard does not put its missing key back", () => {
+    it("when an owner that is heard does not restore its missing key", () => {
         const found = reasonToClaim(input({ ownerSilence: 100, now: 2_000 }));
-        expect(found).toEqual("the owner does not put its key back");
+        expect(found).toEqual("the owner has not restored its key");
     });
 
-    it("not before it has read who there is", () => {
+    it("not before it has read the membership from the store", () => {
         expect(reasonToClaim(input({ view: new CellView(new ManualClock()) }))).toEqual(undefined);
     });
 
-    it("not while VMs have just begun to show up: larger ones may follow", () => {
+    it("not while VMs are still joining, as larger ones may follow", () => {
         expect(isGathering(input({ now: 50 }))).toEqual(true);
         expect(isGathering(input({ now: 500 }))).toEqual(false);
     });
 
-    it("not while another has it that was never heard", () => {
+    it("not while another VM owns it that was never heard", () => {
         expect(reasonToClaim(input({ view: viewOf(owner, "a", "b") }))).toEqual(undefined);
     });
 
-    it("by the passing of time alone only without an owner, or with one that may be silent", () => {
+    it("by the passing of time alone only when there is no owner or it may be silent", () => {
         const view = viewOf(owner, "a", "b");
         expect([isCalm(input({ view })), isCalm(input({})), isCalm(input({ view, heardSilence: 200 }))])
             .toEqual([true, false, false]);
     });
 
-    it("when another that was heard is silent, and then only if the other VMs do not hear it either", () => {
+    it("when an owner that was heard falls silent, if the other VMs do not hear it either", () => {
         const view = viewOf(owner, "a", "b");
         expect(reasonToClaim(input({ view, heardSilence: 200 }))).toEqual(undefined);
         expect(reasonToClaim(input({ view, heardSilence: 500 }))).toEqual(ownerIsSilent);
     });
 
-    it("not because an earlier owner was silent: one that has just claimed the cell is given time to speak", () => {
+    it("not because of an earlier owner's silence: a new owner is given time for its first message", () => {
         const view = viewOf(owner, "a", "b");
         view.ownerSince = 1_000;
         expect(reasonToClaim(input({ view, now: 1_300, heardSilence: 900 }))).toEqual(undefined);
@@ -89,14 +89,14 @@
         expect(found).toEqual("the owner's process is gone");
     });
 
-    it("when its own earlier life, or an unanswered claim of this one, has the key", () => {
+    it("when the key belongs to its earlier process or to an unanswered claim of this one", () => {
         const earlier = reasonToClaim(input({ view: viewOf({ ...owner, name: "b", process: "old" }, "b") }));
         const lost = reasonToClaim(input({ view: viewOf({ ...owner, name: "b", process: self.process }, "b") }));
-        expect(earlier).toEqual("an earlier life of this VM is the owner");
+        expect(earlier).toEqual("an earlier process of this VM is the owner");
         expect(lost).toEqual("an earlier claim of this process had no answer");
     });
 
-    it("when the owner asks it to, without delay", () => {
+    it("without delay when the owner asks it to", () => {
         const asked = input({ view: viewOf(owner, "a", "b"), isAsked: true });
         expect(reasonToClaim(asked)).toEqual("the owner hands over");
         expect(claimDelay(asked)).toEqual(0);
@@ -104,7 +104,7 @@
 });
 
 describe("candidates", () => {
-    it("leave the claim to larger VMs, then by name", () => {
+    it("let larger VMs claim first, then those with a lower name", () => {
         const view = viewOf(undefined, "a", "b", "c");
         expect(claimDelay(input({ view })) > 0).toEqual(true);
         expect(claimDelay(input({ view, self: makeVm("a") }))).toEqual(0);
