--- a/packages/entry/src/links/constants.ts
+++ b/packages/entry/src/links/constants.ts
@@ -1,63 +1,63 @@
-/** Times of the links to workers, in milliseconds. */
+/** Timeouts, intervals and limits of worker links; times are in milliseconds. */
 import type { Milliseconds } from "@pebbledale/core";
 
 /**
- * A start or stop without an answer by then is settled by a look, whatever earlier answers took. A worker answers in a few
- * milliseconds.
+ * Maximum timeout of a start or stop, whatever earlier answer times were; an unanswered one is then resolved by a poll.
+ * Workers usually answer within a few milliseconds.
  */
 export const longestAnswerTime: Milliseconds = 400;
-/** No answer is taken for lost before this: a pause of this VM's process takes up to a tenth of a second. */
+/** Minimum timeout of an answer, as this VM's process may pause for up to 0.1 s. */
 export const shortestAnswerTime: Milliseconds = 120;
-/** A look that does not wait has failed without an answer by then. */
+/** Timeout of a poll that does not wait for a run to end. */
 export const lookLimit: Milliseconds = 500;
-/** How long a look waits for an end. The workers' protocol allows two seconds at most. */
+/** How long a poll waits at the worker for a run to end. The worker protocol allows at most two seconds. */
 export const lookWait: Milliseconds = 600;
+/** The same at an idle worker, where no run can end. */
+export const idleLookWait: Milliseconds = 2_000;
 /**
- * The same at a worker where nothing is at work: no end is to be seen there.
+ * A worker without activity for this long is idle: starts are settled and its runs visible by then. Five usual polls.
  */
-export const idleLookWait: Milliseconds = 2_000;
-/** A worker counts as idle after this: a start is settled by then, and what it runs is seen. Five usual looks. */
 export const idleAfter: Milliseconds = 3_000;
-/** The same while answers are being lost: for so long no end is seen at a worker whose answer was lost. */
+/** The same while answers are being lost: the end of a run is not seen until a lost answer has timed out. */
 export const lookWaitInDoubt: Milliseconds = 200;
-/** Answers are taken to be lost now and then for this long after the last one that was. */
+/** Answers are considered lossy for this long after the last loss. */
 export const lossMemory: Milliseconds = 5_000;
-/** Least time between two looks: a worker that does not wait as it was asked to is not asked without pause. */
+/** Minimum time between two polls, in case a worker answers without the requested wait. */
 export const lookGap: Milliseconds = 4;
-/** Wait before a worker that did not answer is asked again. */
+/** Delay before an unanswered call is repeated. */
 export const retryDelay: Milliseconds = 120;
 /**
- * The same while an order of the link that got no answer may still be carried out. Should the worker have crashed, its next life takes that
- * order unless it has heard of a higher token first: it hears of one 20 ms after its start, 120 ms with the longer wait (tests' time).
+ * The same while an unanswered order may still be carried out. A worker that has crashed and restarted accepts such an
+ * order until it has seen a higher token, so it must be polled soon after its start.
  */
 export const doubtfulRetryDelay: Milliseconds = 20;
-/** An order that got no answer may be carried out for so long. */
+/** How long an unanswered order may still be carried out after it was sent. */
 export const lateOrderTime: Milliseconds = 12_000;
-/** The owner is told how far the runs are at most this often. */
+/** Minimum time between two full poll results sent to the owner. */
 export const progressInterval: Milliseconds = 500;
-/** After ends were reported, the next look waits this long at most for the owner's word that they are kept. */
+/** Maximum wait for the owner's acknowledgement of reported run ends before the next poll. */
 export const acknowledgeWait: Milliseconds = 150;
 /**
- * A worker that answered this long ago is taken for the same life still: the wait for the owner's word and two retries of a call. A process
- * takes longer to end, to start and to run something to its end.
+ * A worker that answered this recently still has the same incarnation: a restart that also completes a run takes
+ * longer. Covers the wait for an acknowledgement and two retries of a call.
  */
 export const sureLifeTime: Milliseconds = 200;
 /**
- * Links give no further leases this long after they last heard that the owner owns the cell. Four beats: a take-over
- * takes about as long, and what runs has most of its lease left.
+ * Links stop granting leases when they have not heard for this long that the owner owns the cell. Four heartbeats: a
+ * takeover takes about as long, and running work has most of its lease left.
  */
 export const ownerHorizon: Milliseconds = 1_000;
 /**
- * After this process may have been suspended, messages of the owner that are read within this time may have been sent before. More
- * than its beats are apart, so that at the latest the second one counts.
+ * Messages of the owner that are read within this time of a possible suspension may have been sent before it. Longer
+ * than the heartbeat interval, so that the second heartbeat counts at the latest.
  */
 export const oldMessagesTime: Milliseconds = 300;
 /**
- * Leases at a worker that leaves are at most this long. Nothing but the end of its leases proves that what was on it when it left
- * is over. Three times the longest time for which renewals stay out while an owner is replaced.
+ * Maximum length of leases at a worker that is leaving: only their expiry proves that its runs are over. Three times
+ * the longest gap in renewals when an owner is replaced.
  */
 export const leavingLease: Milliseconds = 3_000;
-/** A worker's clock may run this much slower than ours (the workers' protocol says 2%). */
+/** Maximum relative slowness of a worker's clock, which the worker protocol limits to 2%. */
 export const clockDrift = 0.02;
-/** An order to pace a run is given at most this often. */
+/** Maximum number of attempts to send a pace order. */
 export const paceAttempts = 4;
--- a/packages/entry/src/links/end-numbers.ts
+++ b/packages/entry/src/links/end-numbers.ts
@@ -1,53 +1,56 @@
-/** The numbers of one life's ends: which were reported to the owner, and which the worker may forget. */
+/** Acknowledgement state of a worker's ended runs. */
 import type { EndedRun } from "@pebbledale/cell";
 import type { Clock, Milliseconds } from "@pebbledale/core";
 import { sureLifeTime } from "./constants.js";
 
-/** See the module's comment. */
+/**
+ * Tracks, by number, which ended runs of one incarnation of a worker were reported to the owner and which the worker
+ * may forget because their records are committed.
+ */
 export class EndNumbers {
     #forgetThrough = 0;
     #reportedThrough = 0;
     /**
-     * When the life last answered, while each call since then has been answered. What tells a worker to forget its ends is sent only soon
-     * after: a worker that was started again meanwhile takes the numbers for its own, and the ends that it forgets are seen by nobody.
+     * Time of the last answer, reset by each unanswered call. The worker is only told to forget ended runs soon after
+     * an answer: a new incarnation would apply the numbers to its own runs, whose ends would then never be seen.
      */
     #answeredAt: Milliseconds = -Infinity;
 
     constructor(private readonly clock: Clock) {}
 
-    /** Ends up to this one are kept. */
+    /** Number up to which ended runs are committed. */
     get keptThrough(): number {
         return this.#forgetThrough;
     }
 
-    /** Whether ends were reported that are not known to be kept. */
     get areSomeUnkept(): boolean {
         return this.#reportedThrough > this.#forgetThrough;
     }
 
-    /** Ends up to `through` are kept. */
+    /** Marks ended runs up to `through` as committed. */
     keep(through: number): void {
         this.#forgetThrough = Math.max(this.#forgetThrough, through);
     }
 
-    /** What a look that is sent now lets the worker forget; its life is not sure again before the answer. */
+    /**
+     * The number up to which a poll sent now may let the worker forget ended runs; 0 unless its incarnation is certain.
+     */
     takeForLook(): number {
         const isSure = this.clock.monotonic() - this.#answeredAt <= sureLifeTime;
         this.#answeredAt = -Infinity;
         return isSure ? this.#forgetThrough : 0;
     }
 
-    /** The life has answered. */
     noteAnswer(): void {
         this.#answeredAt = this.clock.monotonic();
     }
 
-    /** A call had no answer: the life may be over. */
+    /** Records an unanswered call, after which the worker may have another incarnation. */
     noteLost(): void {
         this.#answeredAt = -Infinity;
     }
 
-    /** Those of some ends that were not reported yet; from now on they are. */
+    /** Returns the runs that were not reported yet and marks them as reported. */
     report(ended: readonly EndedRun[]): EndedRun[] {
         const fresh = ended.filter(({ number }) => number > this.#reportedThrough);
         this.#reportedThrough = Math.max(this.#reportedThrough, ...fresh.map(({ number }) => number));
--- a/packages/entry/src/links/index.ts
+++ b/packages/entry/src/links/index.ts
@@ -1,4 +1,4 @@
-/** Links of this VM to workers. */
+/** Sessions of entry VMs with the owner, and their links to workers. */
 export * from "./constants.js";
 export * from "./links.js";
 export * from "./loss-watch.js";
--- a/packages/entry/src/links/links.ts
+++ b/packages/entry/src/links/links.ts
@@ -1,4 +1,4 @@
-/** All links of this VM to workers, for the owner that speaks at the moment. */
+/** The worker links of this VM. */
 import type { TaskWorkerClient, TaskWorkerClients } from "@pebbledale/cell";
 import type { GapClock, Milliseconds, WorkerId, WorkerLife } from "@pebbledale/core";
 import type { EventLogger } from "@pebbledale/runtime";
@@ -7,7 +7,7 @@
 import { LossWatch } from "./loss-watch.js";
 import { WorkerLink } from "./worker-link.js";
 
-/** What links need. */
+/** Dependencies of the worker links. */
 export interface LinksOptions {
     readonly clients: TaskWorkerClients;
     readonly clock: GapClock;
@@ -16,14 +16,14 @@
     readonly send: (message: WorkerMessage) => void;
 }
 
-/** Connections to one life of a worker. */
+/** A client connected to one incarnation of a worker. */
 interface LifeClient {
     readonly client: TaskWorkerClient;
     readonly address: string;
     readonly life: WorkerLife | undefined;
 }
 
-/** See the module's comment. */
+/** Holds the links to workers that the current owner has assigned to this VM, and passes its messages to them. */
 export class Links {
     readonly #links = new Map<WorkerId, WorkerLink>();
     readonly #clients = new Map<WorkerId, LifeClient>();
@@ -34,20 +34,20 @@
         this.#losses = new LossWatch(options.clock, options.logger);
     }
 
-    /** The owner, which owns the cell as far as it knows, was heard. */
+    /** Records a message of an owner that the store has recently confirmed. */
     noteOwner(): void {
         this.#heardAt = this.options.clock.monotonic();
     }
 
     /**
-     * Whether the owner was heard since this process may last have been suspended. What it said before may be long out of date, and
-     * so may messages that lay in the socket meanwhile: they are read within the first moments.
+     * Whether the owner was heard since this process may last have been suspended. Earlier messages may be out of date,
+     * as may those that were buffered in the socket and are read shortly afterwards.
      */
     get #mayOrder(): boolean {
         return this.#heardAt >= this.options.clock.countedSince() + oldMessagesTime;
     }
 
-    /** Takes a link over. */
+    /** Creates the link to a worker, replacing a former one. */
     assign(assignment: AssignMessage): void {
         const { worker } = assignment;
         this.#links.get(worker)?.end();
@@ -69,12 +69,12 @@
         }
     }
 
-    /** A worker says that it leaves. */
+    /** Shortens the leases of a worker that is leaving. */
     noteLeaving(worker: WorkerId): void {
         this.#links.get(worker)?.noteLeaving();
     }
 
-    /** Gives a link up. */
+    /** Closes the link to a worker and its connections. */
     unassign(worker: WorkerId): void {
         this.#links.get(worker)?.end();
         this.#links.delete(worker);
@@ -83,7 +83,10 @@
         void known?.client.close();
     }
 
-    /** Connections are those of one life at one address: those to a life that is over may stay silent without an end. */
+    /**
+     * Reuses the client for the same incarnation and address only: connections to an earlier incarnation may hang
+     * without an error.
+     */
     #clientOf({ worker, address, life }: AssignMessage): TaskWorkerClient {
         const known = this.#clients.get(worker);
         if (known?.address === address && known.life === life) {
@@ -95,22 +98,21 @@
         return client;
     }
 
-    /** Passes an order on. */
     command({ command }: CommandMessage): void {
         this.#links.get(command.worker)?.order(command);
     }
 
-    /** The owner knows that a worker answers again. */
+    /** Allows leases again at a worker that has answered after a silence. */
     resume(worker: WorkerId): void {
         this.#links.get(worker)?.resume();
     }
 
-    /** Ends up to `through` are kept. */
+    /** Marks ended runs of a worker up to `through` as committed. */
     acknowledge(worker: WorkerId, through: number): void {
         this.#links.get(worker)?.acknowledge(through);
     }
 
-    /** Ends all links: another owner speaks. Connections stay for the links it assigns. */
+    /** Closes all links because another owner has appeared; keeps the clients for the links that it assigns. */
     endAll(): void {
         this.#links.forEach(link => link.end());
         this.#links.clear();
--- a/packages/entry/src/links/loss-watch.ts
+++ b/packages/entry/src/links/loss-watch.ts
@@ -1,20 +1,18 @@
-/**
- * Whether answers of workers have been lost lately, by all links of this VM.
- *
- * The answer to a look that waits for an end may be lost like any other, and until that is found out no end of its worker
- * is seen. While answers are being lost, looks wait for a shorter time.
- */
+/** Detection of lost answers. */
 import { type Clock, logEvents, type Milliseconds } from "@pebbledale/core";
 import type { EventLogger } from "@pebbledale/runtime";
 import { lossMemory } from "./constants.js";
 
-/** See the module's comment. */
+/**
+ * Tracks for all links of this VM whether answers of workers have recently been lost. The end of a run is not seen
+ * while a poll whose answer was lost has not timed out, so polls wait for a shorter time while answers are being lost.
+ */
 export class LossWatch {
     #lastLost: Milliseconds = -Infinity;
 
     constructor(private readonly clock: Clock, private readonly logger: EventLogger) {}
 
-    /** An answer was lost. */
+    /** Records the loss of an answer. */
     note(): void {
         if (!this.isRecent) {
             this.logger.log(logEvents.answersLost, { remembered: lossMemory });
@@ -22,7 +20,6 @@
         this.#lastLost = this.clock.monotonic();
     }
 
-    /** Whether an answer was lost lately. */
     get isRecent(): boolean {
         return this.clock.monotonic() - this.#lastLost < lossMemory;
     }
--- a/packages/entry/src/links/side-orders.ts
+++ b/packages/entry/src/links/side-orders.ts
@@ -1,27 +1,27 @@
-/** Stops and paces: orders whose loss costs no more than that they are given again. */
+/** Orders to stop and to pace runs. */
 import type { PaceCommand, StopCommand, TaskWorkerClient, WorkerCommand } from "@pebbledale/cell";
 import { type Clock, type FencingToken, logEvents } from "@pebbledale/core";
 import type { EventLogger } from "@pebbledale/runtime";
 import { longestAnswerTime, paceAttempts, retryDelay } from "./constants.js";
 
-/** What these orders need. */
+/** Dependencies of stop and pace orders. */
 export interface SideOrdersOptions {
     readonly client: TaskWorkerClient;
     readonly clock: Clock;
     readonly logger: EventLogger;
-    /** Fires when the link ends. */
+    /** Aborted when the link is closed. */
     readonly signal: AbortSignal;
-    /** The link's token at the moment. */
+    /** The current fencing token of the link. */
     readonly token: () => FencingToken;
-    /** Told of a stop without an answer. */
+    /** Called when a stop order was not answered. */
     readonly onStopLost: () => void;
 }
 
-/** See the module's comment. */
+/** Sends stop and pace orders, which can be repeated safely, so that a lost one needs no resolution. */
 export class SideOrders {
     constructor(private readonly options: SideOrdersOptions) {}
 
-    /** Passes an order to stop on. One that is lost is given again as long as a look shows the run. */
+    /** Sends a stop order once. The owner repeats it while polls show the run. */
     async stop(command: StopCommand): Promise<void> {
         const { client, signal, token, onStopLost } = this.options;
         try {
@@ -33,7 +33,7 @@
         }
     }
 
-    /** Passes a pace on. It is given again, a few times: the full pace is not told a second time. */
+    /** Sends a pace order, with retries, as the owner does not repeat the order to return to full pace. */
     async pace(command: PaceCommand): Promise<void> {
         const { client, clock, signal, token } = this.options;
         const { task, run, percent } = command;
@@ -49,7 +49,7 @@
         }
     }
 
-    /** An order had no answer; one that was given up with the link is settled by the next link. */
+    /** Logs an unanswered order, unless the link is closed and its successor resolves the order. */
     noteUnanswered({ kind, worker, task, run }: WorkerCommand, cause: unknown): void {
         const { logger, signal } = this.options;
         if (!signal.aborted) {
--- a/packages/entry/src/links/vm-session.ts
+++ b/packages/entry/src/links/vm-session.ts
@@ -1,4 +1,4 @@
-/** What this VM does for the owner: links to workers, questions to the advice service, replies to callers. */
+/** Session of an entry VM with the owner. */
 import type { AdviceClient, CellConfiguration, TaskWorkerClients } from "@pebbledale/cell";
 import {
     type ChangeFeed,
@@ -14,35 +14,35 @@
 import { performOperation, type StoreOperation } from "../store-relay/index.js";
 import { Links } from "./links.js";
 
-/** Added to what a question takes at the service before it has failed, in milliseconds. */
+/** Added to the expected duration of an advice request to give its timeout, in milliseconds. */
 const adviceSlack: Milliseconds = 1_500;
-/** Time between two beats to the owner when nothing else is sent, in milliseconds. */
+/** Maximum time between two messages to the owner, in milliseconds; a heartbeat fills longer gaps. */
 const beatInterval: Milliseconds = 250;
 
 /**
- * An owner that was not heard for this long is taken for lost, and its connection is ended: six beats. Callers are then told that
- * there is no owner; over a connection that fell silent they heard nothing until their deadline.
+ * An owner that was not heard for this long is considered lost and its connection is closed, so that callers are told
+ * at once instead of at their deadline. Six heartbeats; in milliseconds.
  */
 const ownerLostAfter: Milliseconds = 1_500;
 
-/** A longer silence of the owner, also one since ever, is told as this, in milliseconds. */
+/** Maximum reported silence of the owner, also when none was ever heard, in milliseconds. */
 const longestTold: Milliseconds = 60_000;
 
-/** What a session needs. */
+/** Dependencies and callbacks of a VM's session. */
 export interface VmSessionOptions {
     readonly clients: TaskWorkerClients;
     readonly advice: AdviceClient | undefined;
     readonly clock: GapClock;
     readonly logger: EventLogger;
     readonly leaseLength: Milliseconds;
-    /** The store as this VM reaches it by itself. */
+    /** The store as reached directly by this VM. */
     readonly store: PlatformStore & ChangeFeed;
-    /** The owner stops and asks this VM to take over. */
+    /** Called when the owner asks this VM to take over. */
     readonly onHandOver: () => void;
-    /** The newest configuration that this VM knows. */
+    /** The newest configuration known to this VM; undefined while there is none. */
     readonly configuration: () => CellConfiguration | undefined;
     readonly onConfiguration: (configuration: CellConfiguration) => void;
-    /** Told when there is a new owner, or none. */
+    /** Called when an owner connects or is lost. */
     readonly onOwner: (hasOwner: boolean) => void;
 }
 
@@ -50,7 +50,10 @@
     readonly resolve: (reply: OwnerReply | undefined) => void;
 }
 
-/** See the module's comment. */
+/**
+ * Serves the current owner at this VM: holds worker links, asks the advice service, makes store calls for the owner and
+ * passes on callers' requests.
+ */
 export class VmSession {
     readonly #links: Links;
     readonly #requests = new Map<number, WaitingRequest>();
@@ -58,7 +61,7 @@
     #epoch = 0;
     #nextRequest = 1;
     #lastHeard = -Infinity;
-    /** When the owner was last sent a beat or word of a worker, which says as much. */
+    /** When the owner was last sent a heartbeat or a worker's message, which serves as one. */
     #sentAt = -Infinity;
     #isLeaving = false;
 
@@ -72,22 +75,21 @@
         });
     }
 
-    /** The highest epoch that spoke here. */
+    /** The highest epoch of any owner that has connected; 0 when none has. */
     get epoch(): number {
         return this.#epoch;
     }
 
-    /** Whether an owner is connected. */
     get hasOwner(): boolean {
         return this.#channel !== undefined;
     }
 
-    /** How long ago the owner was last heard. */
+    /** Time since the owner's last message; infinite when none was heard. */
     get ownerSilence(): Milliseconds {
         return this.options.clock.monotonic() - this.#lastHeard;
     }
 
-    /** Takes a connection on which an owner may speak; the one with the highest epoch counts. */
+    /** Adds a connection from a potential owner; the owner with the highest epoch prevails. */
     attach(channel: Channel<VmMessage, OwnerMessage>): void {
         channel.onMessage = message => {
             if (message.kind === "welcome") {
@@ -102,7 +104,7 @@
         channel.send({ kind: "owner-heard", epoch: this.#epoch, silence });
     }
 
-    /** Asks the owner; resolves to undefined when the connection ends before there is an answer. */
+    /** Sends a request to the owner; resolves to undefined when the connection ends before the reply. */
     ask(body: OwnerRequest): Promise<OwnerReply | undefined> {
         const channel = this.#channel;
         if (channel === undefined) {
@@ -115,18 +117,17 @@
         });
     }
 
-    /** Tells the owner that this VM knows a configuration of this version. */
     tellConfiguration(version: number): void {
         this.#channel?.send({ kind: "configuration-version", version });
     }
 
-    /** Tells the owner, and each that follows, that this VM is about to stop. */
+    /** Announces to this owner and its successors that this VM is about to stop. */
     leave(): void {
         this.#isLeaving = true;
         this.#channel?.send({ kind: "leaving" });
     }
 
-    /** Sends beats until `signal` fires. */
+    /** Sends heartbeats and monitors the owner until `signal` fires. */
     async run(signal: AbortSignal): Promise<void> {
         const { clock } = this.options;
         while (!signal.aborted) {
@@ -139,7 +140,7 @@
             if (clock.monotonic() - this.#sentAt >= beatInterval) {
                 this.#send({ kind: "beat" });
             }
-            // Where this process stood still, the owner's beats may be waiting to be read.
+            // After a pause of this process, the owner's heartbeats may still be waiting to be read.
             if (clock.monotonic() - sleptAt < 2 * beatInterval) {
                 this.#dropSilentOwner();
             }
@@ -161,7 +162,8 @@
             return;
         }
         const former = this.#channel;
-        // An owner that speaks anew, also the same one, gives out all links anew; former ones would ask workers that refuse them.
+        // An owner that connects assigns all links anew, even if it is the same one; workers would refuse the former
+        // links.
         this.#links.endAll();
         this.#epoch = epoch;
         this.#channel = channel;
@@ -239,7 +241,7 @@
         this.#lastHeard = this.options.clock.monotonic();
     }
 
-    /** The owner knows a newer configuration: it is asked for it, unless the store shows it meanwhile. */
+    /** Requests the owner's newer configuration unless the store delivers it within the grace period. */
     async #wantConfiguration(version: number): Promise<void> {
         await this.options.clock.sleep(configurationGrace);
         if (version > (this.options.configuration()?.version ?? 0)) {
@@ -286,7 +288,7 @@
         this.options.onOwner(false);
     }
 
-    /** What was asked of an owner that is gone has no answer; whether it was done is not known. */
+    /** Resolves open requests without a reply, as it is not known whether the lost owner has carried them out. */
     #dropRequests(): void {
         const dropped = [...this.#requests.values()];
         this.#requests.clear();
--- a/packages/entry/src/links/worker-lease.ts
+++ b/packages/entry/src/links/worker-lease.ts
@@ -1,44 +1,47 @@
-/** The lease of all that runs at one life of a worker, on that life's own clock, which may run slower than ours. */
+/** Leases of a worker's runs. */
 import type { WorkerTime } from "@pebbledale/cell";
 import type { Clock, Milliseconds } from "@pebbledale/core";
 import { clockDrift } from "./constants.js";
 
-/** The worker's clock as an answer showed it. */
+/** A reading of the worker's clock. */
 export interface ClockReading {
     readonly clock: WorkerTime;
-    /** When the call was sent, and when its answer came, by our monotonic clock. */
+    /** Times on the local monotonic clock at which the call was sent and answered. */
     readonly sentAt: Milliseconds;
     readonly receivedAt: Milliseconds;
 }
 
-/** See the module's comment. */
+/**
+ * Computes the leases of all runs at one incarnation of a worker, in time of its own clock, which may be slower than
+ * the local one.
+ */
 export class WorkerLease {
     #reading: ClockReading | undefined;
-    /** The latest moment until which anything was allowed to run, on the worker's clock. */
+    /** The latest granted end of a lease, on the worker's clock. */
     #until: WorkerTime = 0;
 
-    /** How long leases given from now on run. */
+    /** Length of leases granted from now on. */
     #length: Milliseconds;
 
-    /** `longest`: how long a lease runs at most. */
+    /** `longest`: maximum length of a lease. */
     constructor(private readonly clock: Clock, private readonly longest: Milliseconds) {
         this.#length = longest;
     }
 
-    /** Gives no longer leases than this from now on; those that run are not cut. */
+    /** Limits the length of leases granted from now on; those in force are not shortened. */
     shorten(longest: Milliseconds): void {
         this.#length = Math.min(this.#length, longest);
     }
 
-    /** Whether the worker's clock was read. */
+    /** Whether the worker's clock has been read. */
     get hasClock(): boolean {
         return this.#reading !== undefined;
     }
 
-    /** Takes a reading in; one of an older call undoes no newer one. */
+    /** Adds a reading of the worker's clock; the one whose call was sent last is used. */
     readClock(reading: ClockReading): void {
         if (this.#reading === undefined) {
-            // An earlier link may have given as much, and the worker may have carried an order out that was meant for its former life.
+            // An earlier link may have granted a full lease, also by an order for an earlier incarnation.
             this.#until = reading.clock + this.longest;
         }
         if (this.#reading === undefined || reading.sentAt >= this.#reading.sentAt) {
@@ -46,12 +49,12 @@
         }
     }
 
-    /** Whether a reading is of another life: within one the clock is steady, and never behind what it showed before. */
+    /** Whether a reading is of another incarnation: the clock of one incarnation never goes back. */
     isOfOtherLife({ clock, sentAt }: ClockReading): boolean {
         return this.#reading !== undefined && sentAt >= this.#reading.receivedAt && clock < this.#reading.clock;
     }
 
-    /** The end of a lease given now, on the worker's clock; undefined before that clock was read. */
+    /** Grants a lease and returns its end on the worker's clock; undefined before the clock has been read. */
     next(): WorkerTime | undefined {
         const reading = this.#reading;
         if (reading === undefined) {
@@ -63,7 +66,7 @@
         return until;
     }
 
-    /** Time until everything that was allowed to run is over. */
+    /** Time until all granted leases have expired. */
     lapsesIn(): Milliseconds {
         const reading = this.#reading;
         if (reading === undefined) {
--- a/packages/entry/src/links/worker-link.ts
+++ b/packages/entry/src/links/worker-link.ts
@@ -1,11 +1,4 @@
-/**
- * The link to one life of a worker for one owner: orders, and looks one after the other that renew its lease.
- *
- * The numbers of ends, the clock and the leases are those of the life. When another one answers, the link tells the owner and ends.
- *
- * A start without an answer may still be carried out later. The link then raises the fencing token and looks: what that
- * look shows is final, as the worker refuses whatever still carries a lower token.
- */
+/** Link between an entry VM and a worker. */
 import {
     type Look,
     type LookRequest,
@@ -47,34 +40,42 @@
 import { SideOrders } from "./side-orders.js";
 import { type ClockReading, WorkerLease } from "./worker-lease.js";
 
-/** What a link needs. */
+/** Dependencies and parameters of a worker link. */
 export interface WorkerLinkOptions {
     readonly assignment: AssignMessage;
     readonly client: TaskWorkerClient;
     readonly clock: Clock;
     readonly logger: EventLogger;
-    /** How long a lease runs. */
     readonly leaseLength: Milliseconds;
-    /** Whether the owner was heard lately enough to give leases in its name. */
+    /** Whether the owner was heard recently enough to poll and grant leases on its behalf. */
     readonly mayRenew: () => boolean;
-    /** Whether orders may be passed on in the owner's name: not before it is heard anew after a suspension. */
+    /**
+     * Whether orders may be forwarded for the owner, which must have been heard since any suspension of this process.
+     */
     readonly mayOrder?: () => boolean;
-    /** Shared by all links of the VM. */
+    /** Shared by all links of this VM. */
     readonly losses: LossWatch;
     readonly send: (report: WorkerReport) => void;
 }
 
-/** How one look is made. */
+/** Parameters of one poll. */
 interface LookTerms {
-    /** How long it waits for an end. */
+    /** How long the worker waits for a run to end before it answers. */
     readonly wait: Milliseconds;
-    /** It has failed without an answer by then. */
+    /** Timeout of the poll. */
     readonly limit: Milliseconds;
-    /** Whether the owner is told all that it shows. */
+    /** Whether the full result is sent to the owner. */
     readonly isWhole?: boolean;
 }
 
-/** See the module's comment. */
+/**
+ * A link to one incarnation of a worker on behalf of one owner: forwards orders, and polls the worker in sequence,
+ * which renews its lease. When another incarnation answers, the link reports it to the owner and closes, as numbers of
+ * ended runs, the clock and leases belong to one incarnation.
+ *
+ * An unanswered start may still be carried out later. The link then raises its fencing token and polls the worker: the
+ * result is final, as the worker refuses orders with a lower token.
+ */
 export class WorkerLink {
     readonly worker: WorkerId;
     readonly #ended = createAbortController();
@@ -84,20 +85,20 @@
     readonly #sideOrders: SideOrders;
     #progressAt = -Infinity;
     #isSilent = false;
-    /** When a look last showed something, or something was started. */
+    /** When a poll last showed a run or a start was sent. */
     #activeAt: Milliseconds;
-    /** The life that the link is for; undefined until it is known, and where lives have no names. */
+    /** The incarnation that the link is for; undefined until it is known, and where workers do not report any. */
     #life: WorkerLife | undefined;
-    /** When the worker last answered anything. */
+    /** Time of the worker's last answer. */
     #heardAt: Milliseconds | undefined;
-    /** Until then an order that got no answer may still be carried out. */
+    /** Until then an unanswered order may still be carried out. */
     #doubtfulUntil: Milliseconds;
-    /** After a silence the owner may take the leases for over: none is given until it says so. */
+    /** False after a silence until the owner resumes the link, as it may have considered the leases expired. */
     #mayLease = true;
     #acknowledged: (() => void) | undefined;
     #waitingStarts: StartCommand[] = [];
     #settling: Promise<void> | undefined;
-    /** Starts without an answer. */
+    /** Unanswered starts that are not being resolved yet. */
     #uncertain: StartCommand[] = [];
     readonly #answerTimes = new AnswerTimes({ shortest: shortestAnswerTime, longest: longestAnswerTime });
 
@@ -121,23 +122,23 @@
         void this.#run();
     }
 
-    /** Ends the link: nothing more is sent. */
+    /** Closes the link; nothing more is sent. */
     end(): void {
         this.#ended.abort();
         this.#acknowledged?.();
     }
 
-    /** The owner knows that the worker answers again: leases may be given. */
+    /** Allows leases again after a silence of the worker. */
     resume(): void {
         this.#mayLease = true;
     }
 
-    /** The worker says that it leaves. */
+    /** Shortens leases because the worker is leaving. */
     noteLeaving(): void {
         this.#lease.shorten(leavingLease);
     }
 
-    /** Passes an order on. */
+    /** Sends an order to the worker. A start is delayed until the worker's clock has been read. */
     order(command: WorkerCommand): void {
         if (command.kind === "stop") {
             void this.#sideOrders.stop(command);
@@ -153,7 +154,7 @@
         }
     }
 
-    /** Ends up to `through` are kept. */
+    /** Marks ended runs up to `through` as committed. */
     acknowledge(through: number): void {
         this.#ends.keep(through);
         this.#acknowledged?.();
@@ -185,19 +186,19 @@
         }
     }
 
-    /** Whether nothing was at work for a while, and nothing can be. */
+    /** Whether the worker has had no activity for a while, and no late order can cause any. */
     get #isIdle(): boolean {
         return !this.#isDoubtful && this.options.clock.monotonic() - this.#activeAt > idleAfter;
     }
 
-    /** Whether an order that got no answer may still be carried out. */
+    /** Whether an unanswered order may still be carried out. */
     get #isDoubtful(): boolean {
         return this.options.clock.monotonic() < this.#doubtfulUntil;
     }
 
     /**
-     * A look that waits for an end. When its answer is lost it is repeated at once without a wait: only a worker that does
-     * not answer that one either is silent. Where answers are lost now and then, ends are seen all the same.
+     * Polls the worker, waiting for a run to end. If the answer is lost, the poll is repeated at once without a wait,
+     * so that the worker is only considered silent if it does not answer that one either.
      */
     async #lookForEnds(): Promise<boolean> {
         if (!this.#isSilent && this.#lease.hasClock) {
@@ -212,7 +213,7 @@
         return this.#lookOnce();
     }
 
-    /** One look that does not wait; false when it had no answer. */
+    /** Polls without a wait; resolves to false when there was no answer. */
     async #lookOnce(isWhole = false): Promise<boolean> {
         const limit = this.#isDoubtful && this.#isSilent ? this.#answerTimes.limit : lookLimit;
         const isAnswered = await this.#tryLook({ wait: 0, limit, isWhole });
@@ -223,7 +224,7 @@
         return false;
     }
 
-    /** One look; the cause when it had no answer. */
+    /** Polls once; resolves to the cause when there was no answer. */
     async #tryLook({ wait, limit, isWhole = false }: LookTerms): Promise<boolean | { readonly cause: string; }> {
         const { client, clock } = this.options;
         const sentAt = clock.monotonic();
@@ -248,7 +249,7 @@
         }
     }
 
-    /** An answer came; a look that found an end before its wait was over tells nothing of the time that answers take. */
+    /** Records the time of an answer. A poll that ended before its wait was over says nothing about answer times. */
     #noteAnswerTime(took: Milliseconds): void {
         if (took >= 0) {
             this.#answerTimes.note(took);
@@ -261,7 +262,7 @@
     }
 
     #lookRequest(wait: Milliseconds): LookRequest {
-        // What has no answer may still arrive later, so a silent worker is given no lease either.
+        // A poll without an answer may arrive later, so one to a silent worker must not carry a lease either.
         const leaseUntil = this.#mayLease ? this.#lease.next() : undefined;
         return {
             token: this.#token,
@@ -302,7 +303,10 @@
         starts.forEach(start => void this.#start(start));
     }
 
-    /** Whether another life answered than the one that the link is for. An answer without a name tells it by a clock that went back. */
+    /**
+     * Whether another incarnation has answered: told by its name or, where workers do not report any, by a clock that
+     * went back.
+     */
     #isOtherLife({ life }: Look, reading: ClockReading): boolean {
         const isNamed = life !== undefined && this.#life !== undefined;
         return isNamed && life !== this.#life || this.#lease.isOfOtherLife(reading);
@@ -407,7 +411,7 @@
         }
     }
 
-    /** Finds out what became of starts without an answer. */
+    /** Resolves unanswered starts by polls with a higher token. */
     #settle(): void {
         this.#settling ??= this.#settleAll().finally(() => {
             this.#settling = undefined;
@@ -430,7 +434,7 @@
         if (this.#ended.signal.aborted) {
             return;
         }
-        // The look was sent first on the same channel, so the owner has seen which of these run or ended.
+        // The poll result was sent on the same channel before, so the owner knows which of these have run.
         doubtful.forEach(({ worker, task, run }) =>
             this.options.send({ kind: "started", worker, task, run, refusal: "not-delivered" })
         );
--- a/packages/entry/src/peers/index.ts
+++ b/packages/entry/src/peers/index.ts
@@ -1,3 +1,3 @@
-/** Connections among entry VMs. */
+/** Connections between entry VMs. */
 export * from "./server.js";
 export * from "./vm-dialer.js";
--- a/packages/entry/src/peers/server.ts
+++ b/packages/entry/src/peers/server.ts
@@ -1,14 +1,14 @@
-/** Takes connections of owners, and dials VMs as an owner. */
+/** WebSocket connections between owners and entry VMs. */
 import type { Milliseconds } from "@pebbledale/core";
 import { once } from "node:events";
 import { connect as connectTcp } from "node:net";
 import { WebSocket, WebSocketServer } from "ws";
 import { type Channel, type OwnerMessage, SocketChannel, type VmMessage } from "../protocol/index.js";
 
-/** Largest bundle that is taken, in bytes. */
+/** Maximum size of a batch of messages, in bytes. */
 const largestBundle = 16 * 1_048_576;
 
-/** Options of both ends: bundles are small and frequent, so compressing them costs more than it saves. */
+/** Options of both ends. Compression is off: batches are small and frequent, so it would cost more than it saves. */
 const common = { perMessageDeflate: false, maxPayload: largestBundle };
 
 const split = (address: string): { host: string; port: number; } => {
@@ -16,7 +16,7 @@
     return { host, port: Number(port) };
 };
 
-/** Listens for owners until `signal` fires; resolves once it listens. */
+/** Listens for connections of owners until `signal` fires; resolves once the server is listening. */
 export const listenForOwners = async (
     address: string,
     attach: (channel: Channel<VmMessage, OwnerMessage>) => void,
@@ -31,18 +31,18 @@
     });
 };
 
-/** What came of dialling a VM. */
+/** Outcome of dialling a VM. */
 export type DialOutcome =
     | { readonly kind: "open"; readonly channel: Channel<OwnerMessage, VmMessage>; }
-    /** The VM lives and nothing listens there: its process is gone, the way to it is not. */
+    /** The VM is up and reachable, but nothing listens at the address: its process is gone. */
     | { readonly kind: "refused"; }
-    /** No answer in time: the VM has no power, or the way to it is cut. */
+    /** No answer within the timeout: the VM is down or unreachable. */
     | { readonly kind: "silent"; };
 
-/** Dials a VM. */
+/** Opens a connection to a VM's address, waiting at most `limit`. */
 export const dialVm = async (address: string, limit: Milliseconds): Promise<DialOutcome> => {
     const socket = new WebSocket(`ws://${address}`, { ...common, handshakeTimeout: limit });
-    // Made before it opens: a first message may come with the answer to the handshake.
+    // Created before the socket opens: the first message may arrive with the handshake's response.
     const channel = new SocketChannel<OwnerMessage, VmMessage>(socket);
     try {
         await once(socket, "open");
@@ -60,7 +60,10 @@
     return code === "ECONNREFUSED" || code === "ECONNRESET";
 };
 
-/** Whether nothing listens at an address: its VM lives and refuses. Silence is no such sign. */
+/**
+ * Whether the host actively refuses connections at an address, which shows that the process is gone; a timeout does
+ * not.
+ */
 export const isRefused = (address: string, limit: Milliseconds): Promise<boolean> =>
     new Promise(resolve => {
         const socket = connectTcp(split(address));
--- a/packages/entry/src/peers/vm-dialer.ts
+++ b/packages/entry/src/peers/vm-dialer.ts
@@ -1,21 +1,16 @@
-/**
- * Keeps an owner connected to all entry VMs that the store shows, or showed lately.
- *
- * It begins to dial as soon as the cell is claimed: opening the connections takes about as long as reading the journal.
- */
+/** Connections of an owner to entry VMs. */
 import type { Clock, Milliseconds } from "@pebbledale/core";
 import type { CellView, EntryVm } from "../membership/index.js";
 import { dialDelay, dialLimit, rememberVm } from "../owner/constants.js";
 import type { Channel, OwnerMessage, VmMessage } from "../protocol/index.js";
 import { dialVm } from "./server.js";
 
-/** Takes the connections into use. */
+/** Receiver of the connections that are opened. */
 export interface VmConnections {
-    /** Whether a VM is connected. */
     isConnected(name: string): boolean;
-    /** How long a connected VM has not been heard. */
+    /** Time since the last message of a connected VM. */
     silenceOf(name: string): Milliseconds;
-    /** Takes a connection to a VM into use. */
+    /** Attaches a connection to a VM. */
     connect(vm: EntryVm, channel: Channel<OwnerMessage, VmMessage>): void;
 }
 
@@ -23,33 +18,38 @@
     vm: EntryVm;
     seenAt: Milliseconds;
     triedAt: Milliseconds;
-    /** Whether the way to it is open: it answered, or refused. Undefined before the first dial ended. */
+    /** Whether the last dial was answered or refused; undefined before the first dial has ended. */
     isReachable: boolean | undefined;
-    /** How long it had not heard the owner when it was dialled; undefined before it said so. */
+    /** How long the VM had not heard the owner when dialled; undefined before it has reported it. */
     ownerSilence: Milliseconds | undefined;
 }
 
-/** Time between two looks at which VMs are to be dialled, in milliseconds. */
+/** Interval of checks for VMs to be dialled, in milliseconds. */
 const lookInterval: Milliseconds = 50;
-/** Time between two looks at whether enough VMs were reached, in milliseconds. */
+/** Interval of checks for enough VMs being reached or in agreement, in milliseconds. */
 const reachInterval: Milliseconds = 10;
 /**
- * A connected VM that was not heard for this long, two beats and some, is dialled again: its connection may have fallen silent while
- * new ones work. With the limit of that dial it is known before the connection is dropped whether the VM is reached. An owner all of
- * whose connections fell silent has its VMs again 0.75 s later (its log); it gave the cell up after 1.25 s before.
+ * A connected VM that was not heard for this long, a little over two heartbeats, is dialled again, as a connection can
+ * hang while new ones work. The dial ends before the silent connection is dropped, so that it is known by then whether
+ * the VM is reachable. In milliseconds.
  */
 const redialAfter: Milliseconds = 600;
-/** Limit of that dial. */
+/** Timeout of that dial, in milliseconds. */
 const redialLimit: Milliseconds = 350;
-/** A VM that was only slow is heard on its former connection within this time of the dial's success. */
+/**
+ * Grace period after that dial, in milliseconds, in which a VM that was only slow is heard on its former connection.
+ */
 const redialGrace: Milliseconds = 30;
-/** A VM that reaches fewer of the others than this share is cut off: others serve better as owner. */
+/** A VM that reaches a smaller share of the others than this is isolated and should not own the cell. */
 const leastReachable = 0.25;
 
-/** See the module's comment. */
+/**
+ * Keeps a candidate or owner connected to all entry VMs that the store lists or has listed recently. Dialling begins
+ * with the claim, as opening the connections takes about as long as reading the journal.
+ */
 export class VmDialer {
     readonly #known = new Map<string, KnownVm>();
-    /** Connections that opened before there was anyone to use them. */
+    /** Connections opened before there is a session to use them. */
     readonly #open = new Map<string, { readonly vm: EntryVm; readonly channel: Channel<OwnerMessage, VmMessage>; }>();
     #connections: VmConnections | undefined;
     #hasReached = false;
@@ -60,21 +60,25 @@
         private readonly clock: Clock,
     ) {}
 
-    /** Hands the connections that are open, and those that will be, to the owner's work. */
+    /** Passes open and future connections to the owner's session. */
     use(connections: VmConnections): void {
         this.#connections = connections;
         this.#open.forEach(({ vm, channel }) => connections.connect(vm, channel));
         this.#open.clear();
     }
 
-    /** Whether this VM reaches so few of the VMs that the store shows that it is the one cut off. */
+    /** Whether this VM currently reaches too few of the listed VMs. */
     get isIsolated(): boolean {
         return !this.#reachesEnoughOf(this.#others());
     }
 
-    /** Whether this VM reached others and no longer does. One that never did may own the cell for want of another. */
+    /**
+     * Whether this VM has reached enough of the others and no longer does. One that never did may own the cell for lack
+     * of another.
+     */
     get hasBeenCutOff(): boolean {
-        // VMs that have just shown up and were not dialled yet say nothing: in a start of all they are most of them.
+        // VMs that have just joined and were not dialled yet are left out: in a start of the whole cell they are the
+        // majority.
         const dialled = this.#others().filter(vm => this.#known.get(vm.name)?.isReachable !== undefined);
         const reachesEnough = this.#reachesEnoughOf(dialled);
         this.#hasReached ||= reachesEnough;
@@ -82,8 +86,8 @@
     }
 
     /**
-     * A connection ended for want of a sign of life. Silence says nothing of the way to the VM: connections may fall silent
-     * while new ones work. Only a dial without an answer does.
+     * Records that a connection was dropped because of silence. The connection may hang while new ones work, so the VM
+     * only counts as unreachable once a dial has failed.
      */
     noteSilence(name: string): void {
         const known = this.#known.get(name);
@@ -92,7 +96,7 @@
         }
     }
 
-    /** Resolves once enough VMs were reached for this one not to be cut off, or after `limit`. */
+    /** Resolves once this VM is no longer isolated, or after `limit`. */
     async untilReached(limit: Milliseconds): Promise<void> {
         const until = this.clock.monotonic() + limit;
         while (this.isIsolated && this.clock.monotonic() < until) {
@@ -101,8 +105,8 @@
     }
 
     /**
-     * Resolves to whether more than half of the VMs besides the owner, this one among them, have not heard the owner for
-     * `silence`: at once when they say so, or after `limit`.
+     * Resolves to whether a majority of the VMs other than the owner, including this one, has not heard the owner for
+     * `silence`: as soon as they agree, or after `limit`.
      */
     async untilSilenceAgreed(owner: string, silence: Milliseconds, limit: Milliseconds): Promise<boolean> {
         const until = this.clock.monotonic() + limit;
@@ -118,7 +122,7 @@
         return (agreeing.length + 1) * 2 > others.length + 1;
     }
 
-    /** Dials until `signal` fires. */
+    /** Dials VMs until `signal` fires. */
     async run(signal: AbortSignal): Promise<void> {
         while (!signal.aborted) {
             this.#dialDue(signal);
@@ -156,7 +160,7 @@
         return vm.name !== this.self.name && now - triedAt >= dialDelay && isWanted;
     }
 
-    /** Whether a VM is connected and was not heard for a while. */
+    /** Whether a VM is connected but has not been heard for a while. */
     #isSilent(name: string): boolean {
         return this.#connections?.isConnected(name) === true && this.#connections.silenceOf(name) >= redialAfter;
     }
--- a/packages/entry/src/protocol/channel.ts
+++ b/packages/entry/src/protocol/channel.ts
@@ -1,19 +1,18 @@
-/** A two-way channel of messages: over a WebSocket between VMs, in memory within one. */
+/** Bidirectional message channels between an owner and an entry VM, and one within a process. */
 
-/** One end of a channel. */
+/** One end of a bidirectional message channel. */
 export interface Channel<Sent, Received> {
-    /** Sends a message, bundled with others of the same moment. A channel that is closed drops it. */
+    /** Sends a message, batched with others sent about the same time; drops it if the channel is closed. */
     send(message: Sent): void;
-    /** Takes what arrives. Set once, before the first message. */
+    /** Handler of received messages; must be set once, before the first message is handled. */
     onMessage: (message: Received) => void;
-    /** Called once when the channel has ended; `isRefused` when its peer's process is gone. */
+    /** Called once when the channel is closed by either end. */
     onClose: () => void;
-    /** Ends the channel. */
     close(): void;
     readonly isOpen: boolean;
 }
 
-/** One end of a channel within a process. */
+/** One end of a channel within a process. Messages are delivered asynchronously, in order. */
 class MemoryChannel<Sent, Received> implements Channel<Sent, Received> {
     onMessage: (message: Received) => void = () => undefined;
     onClose: () => void = () => undefined;
@@ -21,7 +20,6 @@
     other: MemoryChannel<Received, Sent> | undefined;
     #bundle: Sent[] = [];
 
-    /** See {@link Channel.send}. */
     send(message: Sent): void {
         this.#bundle.push(message);
         if (this.#bundle.length === 1) {
@@ -29,7 +27,6 @@
         }
     }
 
-    /** See {@link Channel.close}. */
     close(): void {
         if (!this.isOpen) {
             return;
@@ -49,7 +46,7 @@
     }
 }
 
-/** Makes both ends of a channel within this process. */
+/** Creates both ends of a channel within this process. */
 export const createMemoryChannel = <Left, Right>(): [Channel<Left, Right>, Channel<Right, Left>] => {
     const left = new MemoryChannel<Left, Right>();
     const right = new MemoryChannel<Right, Left>();
--- a/packages/entry/src/protocol/index.ts
+++ b/packages/entry/src/protocol/index.ts
@@ -1,4 +1,4 @@
-/** The protocol among entry VMs. */
+/** Protocol between the owner and the entry VMs. */
 export * from "./channel.js";
 export * from "./messages.js";
 export * from "./socket-channel.js";
--- a/packages/entry/src/protocol/messages.ts
+++ b/packages/entry/src/protocol/messages.ts
@@ -1,4 +1,4 @@
-/** Messages between the owner and the entry VMs. Both sides send them in bundles over one connection. */
+/** Messages between the owner and the entry VMs. Both sides send them in batches over one connection. */
 import type {
     AdviceAnswer,
     CellConfiguration,
@@ -23,120 +23,120 @@
 import type { Milliseconds } from "@pebbledale/core";
 import type { StoreOperation } from "../store-relay/index.js";
 
-/** Begins a connection: which owner speaks. */
+/** First message of an owner on a connection. */
 export interface WelcomeMessage {
     readonly kind: "welcome";
     readonly epoch: Epoch;
     readonly owner: string;
 }
 
-/** Gives the VM the link to a worker. */
+/** Assigns the link to a worker to the VM. */
 export interface AssignMessage {
     readonly kind: "assign";
     readonly worker: WorkerId;
     readonly address: string;
-    /** The life that the link is for; left out while it is not known, which is then the first that answers. */
+    /** The incarnation that the link is for; if omitted, the first one that answers. */
     readonly life?: WorkerLife;
-    /** Orders of this link carry this token or one a little higher, as it settles what got no answer. */
+    /** Initial fencing token of the link's orders. The link raises it by small steps to resolve unanswered orders. */
     readonly token: FencingToken;
-    /** Whether the worker has said that it leaves. */
+    /** Whether the worker has announced that it is leaving. */
     readonly isLeaving: boolean;
-    /** For so long an order to a former life may still be carried out by whoever answers; left out when none may. */
+    /** How long orders to an earlier incarnation may still be carried out; omitted when none may. */
     readonly doubtfulFor?: Milliseconds;
-    /** The first look waits for so long: the worker was started again many times of late. Left out when it waits for nothing. */
+    /** Delay of the first poll, after repeated restarts of the worker; omitted when there is none. */
     readonly pause?: Milliseconds;
 }
 
-/** A worker says that it leaves: its leases are short from now on. */
+/** The worker has announced that it is leaving: its leases are shortened. */
 export interface WorkerLeavesMessage {
     readonly kind: "worker-leaves";
     readonly worker: WorkerId;
 }
 
-/** Takes the link to a worker away. */
+/** Removes the link to a worker from the VM. */
 export interface UnassignMessage {
     readonly kind: "unassign";
     readonly worker: WorkerId;
 }
 
-/** An order to pass on to a worker. */
+/** An order to be forwarded to a worker. */
 export interface CommandMessage {
     readonly kind: "command";
     readonly command: WorkerCommand;
 }
 
-/** Ends up to `through` are kept: the worker may forget them. */
+/** Ended runs up to number `through` are committed, and the worker may forget them. */
 export interface AcknowledgeMessage {
     readonly kind: "acknowledge";
     readonly worker: WorkerId;
     readonly through: number;
 }
 
-/** A question to put to the advice service. */
+/** A request to be sent to the advice service. */
 export interface AskMessage {
     readonly kind: "ask";
     readonly question: number;
     readonly step: string;
     readonly workers: readonly WorkerId[];
-    /** What the call takes at the service. */
+    /** Expected duration of the call at the service. */
     readonly duration: Milliseconds;
 }
 
-/** Answer to a caller's request. */
+/** Reply to a caller's request. */
 export interface ReplyMessage {
     readonly kind: "reply";
     readonly request: number;
     readonly reply: OwnerReply;
 }
 
-/** Tells that there is a configuration of this version. */
+/** Announces the version of the sender's configuration. */
 export interface ConfigurationVersionMessage {
     readonly kind: "configuration-version";
     readonly version: number;
 }
 
-/** Asks for the newest configuration. */
+/** Requests the receiver's configuration. */
 export interface WantConfigurationMessage {
     readonly kind: "want-configuration";
 }
 
-/** The newest configuration. */
+/** The sender's current configuration. */
 export interface ConfigurationMessage {
     readonly kind: "configuration";
     readonly configuration: CellConfiguration;
 }
 
-/** Asks the VM to make a call of the store for the owner, which cannot reach it. */
+/** Asks the VM to call the store for the owner, which cannot reach it. */
 export interface StoreCallMessage {
     readonly kind: "store-call";
     readonly call: number;
     readonly operation: StoreOperation;
 }
 
-/** The owner stops: this VM is to take the cell over at once. */
+/** Asks the VM to take over the cell at once. */
 export interface HandOverMessage {
     readonly kind: "hand-over";
 }
 
-/** A worker that was silent answers again, and the owner knows: leases may be given there. */
+/** Allows leases again at a worker that answered after a silence. */
 export interface ResumeMessage {
     readonly kind: "resume";
     readonly worker: WorkerId;
 }
 
-/** Says that the owner lives. */
+/** Heartbeat of the owner. */
 export interface OwnerBeatMessage {
     readonly kind: "beat";
-    /** Whether leases may be given in its name: the store confirmed lately that it owns the cell. */
+    /** Whether leases may be granted: the store has recently confirmed the sender as owner of the cell. */
     readonly mayLease: boolean;
 }
 
-/** Says that the VM lives. */
+/** Heartbeat of a VM. */
 export interface BeatMessage {
     readonly kind: "beat";
 }
 
-/** What the owner says. */
+/** Any message from an owner to a VM. */
 export type OwnerMessage =
     | WelcomeMessage
     | AssignMessage
@@ -154,106 +154,109 @@
     | ResumeMessage
     | OwnerBeatMessage;
 
-/** First message to whoever dials the VM: what it knows of the owner. Candidates dial all VMs before they claim. */
+/**
+ * First message of a VM on a connection: when it last heard an owner. Candidates dial all VMs before they claim the
+ * cell.
+ */
 export interface OwnerHeardMessage {
     readonly kind: "owner-heard";
-    /** The highest epoch that spoke to the VM; 0 when none did. */
+    /** The highest epoch of any owner that has connected to the VM; 0 when none has. */
     readonly epoch: number;
-    /** How long ago an owner was heard. */
+    /** Time since an owner was last heard. */
     readonly silence: Milliseconds;
 }
 
-/** A whole look at a worker. */
+/** Full result of polling a worker. */
 export interface LookedMessage {
     readonly kind: "looked";
     readonly worker: WorkerId;
     readonly look: Look;
-    /** How long ago the look was sent. */
+    /** Time since the poll was sent. */
     readonly age: Milliseconds;
 }
 
-/** Ends that a worker lists and that were not reported on this link yet. */
+/** Ended runs of a worker that were not reported on this link before. */
 export interface EndsMessage {
     readonly kind: "ends";
     readonly worker: WorkerId;
     readonly ended: readonly EndedRun[];
 }
 
-/** What became of a start. */
+/** Result of a start order. */
 export interface StartedMessage {
     readonly kind: "started";
     readonly worker: WorkerId;
     readonly task: TaskAddress;
     readonly run: RunNumber;
-    /** Left out when the worker took it; "not-delivered" when it never reached the worker and never will. */
+    /** Omitted when the worker has accepted the start; "not-delivered" when it has not arrived and never will. */
     readonly refusal?: OrderRefusal | "not-delivered";
 }
 
-/** A worker does not answer. */
+/** The worker has stopped answering. */
 export interface SilentMessage {
     readonly kind: "silent";
     readonly worker: WorkerId;
-    /** Time until every lease given on this link is over. */
+    /** Time until all leases granted on this link have expired. */
     readonly lapsesIn: Milliseconds;
     readonly cause: string;
-    /** How long ago this link last had an answer of it; left out when it had none. */
+    /** Time since the worker's last answer on this link; omitted when there was none. */
     readonly heardAgo?: Milliseconds;
 }
 
-/** The worker was started again under its id: another life of it has answered, and the link has ended. */
+/** Another incarnation of the worker has answered, and the link is closed. */
 export interface RestartedMessage {
     readonly kind: "restarted";
     readonly worker: WorkerId;
-    /** Left out where lives have no names. */
+    /** Omitted where workers do not report their incarnation. */
     readonly life?: WorkerLife;
-    /** See {@link AssignMessage}; for the next link. */
+    /** How long orders sent on the closed link may still be carried out; to be passed to the next link. */
     readonly doubtfulFor?: Milliseconds;
 }
 
-/** A worker of another id answers at its address. */
+/** A worker with another id answers at the address. */
 export interface OtherLifeMessage {
     readonly kind: "other-life";
     readonly worker: WorkerId;
 }
 
-/** A worker has seen a higher fencing token than this owner's. */
+/** The worker has seen a higher fencing token than this owner's. */
 export interface FencedMessage {
     readonly kind: "fenced";
     readonly worker: WorkerId;
 }
 
-/** Answer of the advice service; left out when there was none. */
+/** Answer of the advice service; without `answer` when there was none. */
 export interface AdvisedMessage {
     readonly kind: "advised";
     readonly question: number;
     readonly answer?: AdviceAnswer;
-    /** Why there was none. */
+    /** Reason for the missing answer. */
     readonly cause?: string;
 }
 
-/** Answer to a call of the store; `isAnswered` is false when the store gave none. */
+/** Answer to a store call; `isAnswered` is false when the call failed. */
 export interface StoreAnswerMessage {
     readonly kind: "store-answer";
     readonly call: number;
     readonly isAnswered: boolean;
     readonly answer?: unknown;
-    /** Why there was none. */
+    /** Reason for the failure. */
     readonly cause?: string;
 }
 
-/** The VM is about to stop: its links and questions go to others. */
+/** The VM is about to stop, and its links and questions should be reassigned. */
 export interface LeavingMessage {
     readonly kind: "leaving";
 }
 
-/** A caller's request. */
+/** A caller's request to the owner. */
 export interface RequestMessage {
     readonly kind: "request";
     readonly request: number;
     readonly body: OwnerRequest;
 }
 
-/** What a link to a worker reports. */
+/** Any report of a worker link. */
 export type WorkerReport =
     | LookedMessage
     | EndsMessage
@@ -263,10 +266,12 @@
     | OtherLifeMessage
     | FencedMessage;
 
-/** A report, and under which assignment of the link it was made: the token that came with it. */
+/**
+ * A report together with the initial token of the link's assignment, so that reports of replaced links can be ignored.
+ */
 export type WorkerMessage = WorkerReport & { readonly assignment: FencingToken; };
 
-/** What an entry VM says. */
+/** Any message from a VM to an owner. */
 export type VmMessage =
     | WorkerMessage
     | AdvisedMessage
@@ -279,39 +284,39 @@
     | OwnerHeardMessage
     | BeatMessage;
 
-/** What a front asks of the owner for a caller. */
+/** A request that a front passes to the owner for a caller. */
 export type OwnerRequest =
     | { readonly kind: "submit"; readonly definition: JobDefinition; }
     | { readonly kind: "state"; readonly job: JobId; readonly organisation?: OrganisationName | undefined; }
     | { readonly kind: "cancel"; readonly job: JobId; readonly organisation?: OrganisationName | undefined; }
     | { readonly kind: "pending"; readonly queue: QueueName; };
 
-/** Why an owner does nothing for a request now. */
+/** Why the owner cannot serve a request yet. */
 export enum NotNowReason {
     /** The store has not confirmed the journal's last write for too long. */
     JournalStalled = "journal-stalled",
-    /** The front knows a newer configuration than the owner. */
+    /** The front has a newer configuration than the owner. */
     QueueUnknown = "queue-unknown",
-    /** The job was handed in and its record is on its way. */
+    /** The job was submitted, and its record is not committed yet. */
     NotKeptYet = "not-kept-yet",
-    /** The owner does not know the job, and the store has not confirmed lately that it owns the cell. */
+    /** The owner does not know the job, and the store has not recently confirmed its ownership. */
     OwnerUnconfirmed = "owner-unconfirmed",
 }
 
-/** What the owner answers to a front. */
+/** Reply of the owner to a front's request. */
 export type OwnerReply =
     | { readonly kind: "accepted"; }
     | { readonly kind: "cancelled"; }
     | { readonly kind: "state"; readonly state: CellJobState; }
     | { readonly kind: "pending"; readonly count: number; }
     | { readonly kind: "unknown-job"; }
-    /** Another organisation has a job of this id. */
+    /** Another organisation has a job with this id. */
     | { readonly kind: "id-taken"; }
-    /** Its organisation's limit can never hold one of its steps; nothing was taken. */
+    /** A step of the job exceeds the organisation's limit; the job was not accepted. */
     | { readonly kind: "beyond-limit"; }
-    /** Nothing was done; come back after a while. */
+    /** Nothing was done; the request may be repeated after a delay. */
     | { readonly kind: "not-now"; readonly retryAfter: Milliseconds; readonly reason: NotNowReason; }
-    /** Nothing was done: the cell is handed over, and the next owner is to be asked. */
+    /** Nothing was done: the cell is being handed over, and the next owner should be asked. */
     | { readonly kind: "handing-over"; }
-    /** Whether it was done is not known. */
+    /** It is not known whether the request was carried out. */
     | { readonly kind: "uncertain"; };
--- a/packages/entry/src/protocol/socket-channel.ts
+++ b/packages/entry/src/protocol/socket-channel.ts
@@ -1,18 +1,18 @@
-/** A channel over a WebSocket: bundles of messages as JSON arrays. */
+/** Message channel over a WebSocket. */
 import type { Milliseconds } from "@pebbledale/core";
 import { WebSocket } from "ws";
 import type { Channel } from "./channel.js";
 
-/** Messages of this long are gathered into one bundle, in milliseconds: a wake-up costs more than a message. */
+/** How long messages are collected into one batch, in milliseconds: a wake-up costs more than a message. */
 const bundleDelay: Milliseconds = 2;
 
-/** See the module's comment. */
+/** Sends and receives batches of messages as JSON arrays over a WebSocket. */
 export class SocketChannel<Sent, Received> implements Channel<Sent, Received> {
     onClose: () => void = () => undefined;
     #bundle: Sent[] = [];
     #isClosed = false;
     #take: ((message: Received) => void) | undefined;
-    /** What arrived before there was anyone to take it: a first bundle may come with the answer to the handshake. */
+    /** Messages received before a handler was set: the first batch may arrive with the handshake's response. */
     #early: Received[] = [];
 
     constructor(private readonly socket: WebSocket) {
@@ -21,12 +21,10 @@
         socket.on("error", () => this.close());
     }
 
-    /** See {@link Channel.onMessage}. */
     get onMessage(): (message: Received) => void {
         return message => this.#take?.(message);
     }
 
-    /** */
     set onMessage(take: (message: Received) => void) {
         this.#take = take;
         const early = this.#early;
@@ -34,12 +32,10 @@
         early.forEach(message => take(message));
     }
 
-    /** See {@link Channel.isOpen}. */
     get isOpen(): boolean {
         return !this.#isClosed;
     }
 
-    /** See {@link Channel.send}. */
     send(message: Sent): void {
         this.#bundle.push(message);
         if (this.#bundle.length === 1) {
@@ -47,7 +43,6 @@
         }
     }
 
-    /** See {@link Channel.close}. */
     close(): void {
         this.socket.terminate();
         this.#ended();
