--- a/packages/entry/test/links/vm-session.test.ts
+++ b/packages/entry/test/links/vm-session.test.ts
@@ -1,8 +1,4 @@
-/*
- * The owner's connection fell silent and the VM went on asking over it: it had not ended, so there was an owner, and callers were
- * told after their whole deadline that it is not known what became of their jobs (504, 650 of 1,419). The lines of the fronts (4802)
- * carried how long the owner had not been heard: it grew to the length of the silence, and nobody acted on it.
- */
+/* Guards against a VM sending requests over a hanging connection to the owner until its callers' deadlines pass. */
 import { type Epoch, fencingToken, ManualClock, runNumber, taskAddress, workerId } from "@pebbledale/core";
 import { expect } from "earl";
 import { describe, it } from "node:test";
@@ -35,8 +31,8 @@
     await settle();
 };
 
-describe("a VM whose owner is not heard", () => {
-    it("takes the connection for lost within a second and a half, and what was asked for unanswered", async () => {
+describe("a VM session", () => {
+    it("drops a silent owner after a second and a half and resolves open requests without a reply", async () => {
         const { clock, stop, session } = begin();
         const [owner, vm] = createMemoryChannel<OwnerMessage, VmMessage>();
         session.attach(vm);
@@ -51,11 +47,8 @@
         stop.abort();
     });
 
-    /*
-     * An owner that comes back over a new connection gives out all links anew, also to other VMs. The links that a VM still had from
-     * before, at the same epoch, went on asking their workers eight times a second with tokens that these refuse.
-     */
-    it("ends its links when the same owner speaks again, as that one gives them out anew", async () => {
+    /* Guards against links of a former connection polling workers with tokens that these refuse. */
+    it("closes its links when the same owner connects again", async () => {
         let looks = 0;
         const client = {
             look: () => {
@@ -82,10 +75,10 @@
     });
 
     /*
-     * A VM that was suspended takes the owner's last word for fresh, as its steady clock did not count the time. Another owner may
-     * have the cell by then, which reckons with no lease that is given later than four seconds after the last word of this one.
+     * Guards against a suspended VM, whose monotonic clock did not advance, granting leases for an owner that has been
+     * replaced.
      */
-    it("gives no lease and no order after it may have been suspended, before the owner is heard anew", async () => {
+    it("grants no leases and forwards no orders after a possible suspension until the owner is heard again", async () => {
         const leases: unknown[] = [];
         const starts: unknown[] = [];
         const client = {
@@ -114,19 +107,19 @@
         const task = taskAddress("j/0/0/0");
         const order = { kind: "start", worker, task, run: runNumber(1), payload: "", checkpoint: "" } as const;
         owner.send({ kind: "command", command: order });
-        // Beats that were sent before and lay in the socket say nothing of the owner that there is now.
+        // Heartbeats that were buffered in the socket may come from before the suspension.
         owner.send({ kind: "beat", mayLease: true });
         await pass(clock, 200);
         expect([leases, starts]).toEqual([[], []]);
         await pass(clock, 300);
         owner.send({ kind: "beat", mayLease: true });
-        // A link that may not lease looks again after 120 ms.
+        // A link that may not grant leases polls again after 120 ms.
         await pass(clock, 150);
         expect(leases.some(lease => lease !== undefined)).toEqual(true);
         stop.abort();
     });
 
-    it("keeps the connection of an owner that sends beats", async () => {
+    it("keeps the connection of an owner that sends heartbeats", async () => {
         const { clock, stop, session } = begin();
         const [owner, vm] = createMemoryChannel<OwnerMessage, VmMessage>();
         session.attach(vm);
--- a/packages/entry/test/links/worker-link.test.ts
+++ b/packages/entry/test/links/worker-link.test.ts
@@ -28,7 +28,7 @@
     checkpoint: "",
 };
 
-/** A worker whose answers the test gives. */
+/** A worker client whose answers are set by the test. */
 class FakeClient implements TaskWorkerClient {
     readonly looks: LookRequest[] = [];
     readonly starts: StartOrder[] = [];
@@ -79,17 +79,17 @@
     return { clock, sent, link };
 };
 
-/** The first look is answered at once, later ones wait. */
+/** A client that answers the first poll at once and leaves later ones waiting. */
 const firstThenWaiting = (): FakeClient => {
     const client = new FakeClient();
     client.answerLook = () => client.looks.length === 1 ? seen(emptyLook) : untilEnded();
     return client;
 };
 
-describe("a link to a worker", () => {
+describe("a worker link", () => {
     afterEach(() => links.splice(0).forEach(link => link.end()));
 
-    it("looks before it starts anything, and then leases by the worker's clock", async () => {
+    it("polls before the first start and computes leases from the worker's clock", async () => {
         const client = firstThenWaiting();
         const { link, sent } = make(client);
         link.order(command);
@@ -100,12 +100,10 @@
     });
 
     /*
-     * A worker said at 18.08 s that it would leave, and left at 27.01 s with a task that lasts still on it, as none of the workers that
-     * may run the task had room. Its port refused connections and its entry was gone at 27.02 s (4305, 4302), but neither proves that
-     * nothing runs there, and the leases that had been given up to then ran for 10 s: the task was given up at 37.50 s (4307, 4205) and
-     * started again at 38.24 s. From 6 s after the end of its last run the users count it as lost.
+     * Guards against a run that went down with a leaving worker being replaced late, as only the expiry of its lease
+     * proves that it is over.
      */
-    it("gives short leases to a worker that leaves, so that what goes with it is soon known to be over", async () => {
+    it("grants short leases at a worker that is leaving", async () => {
         const client = firstThenWaiting();
         const { link, clock } = make(client);
         await settle();
@@ -116,7 +114,7 @@
         expect(client.starts.map(start => start.leaseUntil)).toEqual([1_000 + 3_000]);
     });
 
-    it("raises its token and looks when a start has no answer; what that look shows is final", async () => {
+    it("resolves an unanswered start by a poll with a higher token", async () => {
         const client = firstThenWaiting();
         client.answerStart = noAnswer;
         const { link, sent } = make(client);
@@ -136,7 +134,7 @@
         });
     });
 
-    it("tells nothing of a start without an answer while the worker is silent", async () => {
+    it("does not report the result of an unanswered start while the worker is silent", async () => {
         const client = firstThenWaiting();
         client.answerStart = noAnswer;
         const { clock, link, sent } = make(client);
@@ -148,7 +146,7 @@
         expect(sent.some(message => message.kind === "silent")).toEqual(true);
     });
 
-    it("gives no lease once the owner has not been heard for long", async () => {
+    it("stops polling when the owner has not been heard for too long", async () => {
         const client = new FakeClient();
         let isHeard = true;
         const { clock } = make(client, () => isHeard);
@@ -161,7 +159,7 @@
         expect(client.looks.length <= looks + 1).toEqual(true);
     });
 
-    it("reports an end once, and lets the worker forget it only when it is kept", async () => {
+    it("reports an ended run once and lets the worker forget it only when it is committed", async () => {
         const client = new FakeClient();
         const end = { number: 1, task: command.task, run: command.run, end: RunEnd.Done, checkpoint: "" };
         client.answerLook = request => request.forgetThrough >= 1 ? untilEnded() : seen({ ...emptyLook, ended: [end] });
@@ -177,7 +175,7 @@
         expect(client.looks.at(-1)?.forgetThrough).toEqual(1);
     });
 
-    it("learns of an end whose answer was lost within a second, and does not take its worker for silent", async () => {
+    it("sees an ended run within a second of a lost answer and does not report the worker as silent", async () => {
         const client = new FakeClient();
         const { clock, sent } = make(client);
         const end = { number: 1, task: command.task, run: command.run, end: RunEnd.Done, checkpoint: "" };
@@ -193,7 +191,7 @@
         expect(sent.some(message => message.kind === "silent")).toEqual(false);
     });
 
-    it("asks a worker where nothing is at work less often, and as often as ever once something is started", async () => {
+    it("polls an idle worker with a longer wait until the next start", async () => {
         const client = new FakeClient();
         const { clock, link } = make(client);
         client.answerLook = ({ wait = 0 }) => clock.sleep(wait).then(() => seen(emptyLook));
@@ -204,7 +202,7 @@
         expect(client.looks.at(-1)?.wait).toEqual(600);
     });
 
-    it("waits for a shorter time in each look while answers are being lost", async () => {
+    it("polls with a shorter wait while answers are being lost", async () => {
         const client = new FakeClient();
         const { clock } = make(client);
         let isLossy = true;
@@ -219,7 +217,7 @@
         expect(client.looks.at(-1)?.wait ?? 0).toBeGreaterThan(300);
     });
 
-    it("ends when another life of the worker answers", async () => {
+    it("closes when another worker answers at the address", async () => {
         const client = new FakeClient();
         client.answerLook = () => Promise.resolve({ kind: "refused", refusal: OrderRefusal.OtherLife });
         const { clock, sent } = make(client);
@@ -227,7 +225,7 @@
         expect(sent.map(message => message.kind)).toEqual(["other-life"]);
     });
 
-    it("gives a silent worker no lease, not even in looks that may arrive late, until the owner says so", async () => {
+    it("grants a silent worker no lease, not even by polls that may arrive late, until the owner resumes the link", async () => {
         const client = new FakeClient();
         const { clock, link } = make(client);
         await settle();
@@ -245,7 +243,7 @@
         expect(client.looks.at(-1)?.leaseUntil === undefined).toEqual(false);
     });
 
-    it("does not send a start to a silent worker: it was surely not carried out", async () => {
+    it("reports a start for a silent worker as not delivered without sending it", async () => {
         const client = new FakeClient();
         const { clock, link, sent } = make(client);
         await settle();
@@ -258,7 +256,7 @@
         expect(last?.kind === "started" && last.refusal).toEqual("not-delivered");
     });
 
-    it("says of a silent worker how long ago it answered last", async () => {
+    it("reports how long ago a silent worker last answered", async () => {
         const client = firstThenWaiting();
         const { clock, sent, link } = make(client);
         await settle();
@@ -275,7 +273,7 @@
         expect(silent?.heardAgo).toEqual(clock.monotonic() - answeredAt);
     });
 
-    it("says until when a silent worker's leases run", async () => {
+    it("reports when the leases of a silent worker expire", async () => {
         const client = new FakeClient();
         const { clock, sent } = make(client);
         await settle();
--- a/packages/entry/test/owner/assignments.test.ts
+++ b/packages/entry/test/owner/assignments.test.ts
@@ -41,22 +41,22 @@
     return { link: new VmLink(makeVm(name, { dataHall }), ownerEnd, 0), assigned };
 };
 
-describe("links to workers", () => {
-    it("go to VMs of the worker's data hall, evenly", () => {
+describe("worker links", () => {
+    it("are distributed evenly among VMs of the worker's data hall", () => {
         const [a, b, far] = [makeLink("a", "hall-a"), makeLink("b", "hall-a"), makeLink("far", "hall-b")];
         const assignments = new Assignments(epoch(1), "nobody", () => 0);
         assignments.balance(makeWorkers("hall-a", 6).values(), [a.link, b.link, far.link]);
         expect([a.link.workers.size, b.link.workers.size, far.link.workers.size]).toEqual([3, 3, 0]);
     });
 
-    it("go elsewhere when there is no VM in the worker's data hall", () => {
+    it("are assigned to other VMs when there is none in the worker's data hall", () => {
         const far = makeLink("far", "hall-b");
         const assignments = new Assignments(epoch(1), "nobody", () => 0);
         assignments.balance(makeWorkers("hall-a", 2).values(), [far.link]);
         expect(far.link.workers.size).toEqual(2);
     });
 
-    it("are moved to a VM that joins while others have many more", () => {
+    it("are moved to a VM that joins until the loads are close", () => {
         const a = makeLink("a", "hall-a");
         const workers = makeWorkers("hall-a", 8);
         const assignments = new Assignments(epoch(1), "nobody", () => 0);
@@ -67,7 +67,7 @@
         expect(a.link.workers.size + b.link.workers.size).toEqual(8);
     });
 
-    it("carry a higher token with each assignment, and with each owner", async () => {
+    it("get a higher token with each assignment and with each owner", async () => {
         const a = makeLink("a", "hall-a");
         const workers = makeWorkers("hall-a", 1);
         const first = new Assignments(epoch(1), "nobody", () => 0);
--- a/packages/entry/test/owner/hand-over.test.ts
+++ b/packages/entry/test/owner/hand-over.test.ts
@@ -1,8 +1,6 @@
 /*
- * A job was handed in at 74.477 s to an owner that had been suspended (4514 at 74.314 s) and waited for the store's word that it still owns the
- * cell. At 74.509 s its process was told to stop, and the cell was handed over (4506). The turn that was to record the job came to an end
- * without a record, as nothing is written any more by then, and the caller was told that its job is accepted. The next owners had never heard
- * of it (4803, 500 times).
+ * Guards against a job being reported as accepted without a committed record, when a handover begins while the owner
+ * waits for the store to confirm its ownership after a suspension.
  */
 import type { AdviceDispatcher, CellRecord, JobDefinition } from "@pebbledale/cell";
 import { CellScheduler } from "@pebbledale/cell";
@@ -55,8 +53,8 @@
     return { clock, desk, turns, records, confirm: () => confirmedAt = clock.monotonic() };
 };
 
-describe("a job that is handed in while the owner waits for the store's word and is then told to stop", () => {
-    it("is not said to be accepted, as no record of it is written", async () => {
+describe("a job submitted while the owner, about to stop, waits for the store to confirm its ownership", () => {
+    it("is answered as uncertain, as its record is not written", async () => {
         const { clock, desk, turns, records, confirm } = begin();
         clock.advance(1_000);
         clock.suspend(4_000);
@@ -69,7 +67,7 @@
         expect((await reply).kind).toEqual("uncertain");
     });
 
-    it("is said to be accepted once its record is kept", async () => {
+    it("is accepted once its record is committed", async () => {
         const { clock, desk, records, confirm } = begin();
         clock.advance(1_000);
         clock.suspend(4_000);
--- a/packages/entry/test/owner/organisations.test.ts
+++ b/packages/entry/test/owner/organisations.test.ts
@@ -1,4 +1,4 @@
-/** Whose jobs an owner shows, cancels and takes over. */
+/** Visibility and cancellation of jobs across organisations. */
 import { CellJobState, CellScheduler, type JobDefinition } from "@pebbledale/cell";
 import { jobId, type Journal, ManualClock, organisationName } from "@pebbledale/core";
 import { expect } from "earl";
@@ -28,7 +28,7 @@
 };
 
 describe("a job of an organisation", () => {
-    it("is shown to its callers, whatever key they have, and is not there for others", async () => {
+    it("is visible to callers of the organisation only", async () => {
         const { desk } = begin();
         expect(await desk.reply({ kind: "submit", definition })).toEqual({ kind: "accepted" });
         expect(await desk.reply({ kind: "state", job, organisation: north }))
@@ -37,7 +37,7 @@
         expect(await desk.reply({ kind: "state", job })).toEqual({ kind: "unknown-job" });
     });
 
-    it("is cancelled by its callers alone", async () => {
+    it("can be cancelled by callers of the organisation only", async () => {
         const { cell, desk } = begin();
         await desk.reply({ kind: "submit", definition });
         expect(await desk.reply({ kind: "cancel", job, organisation: south })).toEqual({ kind: "unknown-job" });
@@ -45,7 +45,7 @@
         expect(await desk.reply({ kind: "cancel", job, organisation: north })).toEqual({ kind: "cancelled" });
     });
 
-    it("is not taken over by another organisation that hands in the same id, and stays the first one's", async () => {
+    it("stays with it when another organisation submits a job with the same id", async () => {
         const { cell, desk } = begin();
         await desk.reply({ kind: "submit", definition });
         expect(await desk.reply({ kind: "submit", definition: { ...definition, organisation: south } }))
@@ -54,13 +54,13 @@
         expect(cell.jobs.get(job)?.organisation).toEqual(north);
     });
 
-    it("that the owner's configuration does not name yet is not taken now", async () => {
+    it("that is missing in the owner's configuration is to be submitted again later", async () => {
         const { desk } = begin();
         const unknown = { ...definition, organisation: organisationName("east") };
         expect((await desk.reply({ kind: "submit", definition: unknown })).kind).toEqual("not-now");
     });
 
-    it("that its limit can never hold is refused at once, and nothing of it is kept", async () => {
+    it("that exceeds the organisation's limit is refused and not recorded", async () => {
         const { cell, desk } = begin();
         const size = { processorThousandths: 1_000, memoryMebibytes: 0, accelerators: 0 };
         const limits = { processorThousandths: 3_000, memoryMebibytes: 0, accelerators: 0 };
@@ -78,7 +78,7 @@
             .toEqual({ kind: "accepted" });
     });
 
-    it("that came without a key is everyone's", async () => {
+    it("is visible to everyone if it was submitted without a key", async () => {
         const { desk } = begin();
         const { organisation, ...open } = definition;
         expect(organisation).toEqual(north);
--- a/packages/entry/test/owner/outage-log.test.ts
+++ b/packages/entry/test/owner/outage-log.test.ts
@@ -4,8 +4,8 @@
 import { OutageLog } from "../../src/owner/outage-log.js";
 import { KeptLog } from "../support/index.js";
 
-describe("the log of an owner whose journal stops", () => {
-    it("has one line when it stops and one when it goes on, with how callers were answered meanwhile", () => {
+describe("the log of journal outages", () => {
+    it("has one event when the journal stalls and one with the outcome of requests when it resumes", () => {
         const clock = new ManualClock();
         const logger = new KeptLog();
         let silentFor = 0;
--- a/packages/entry/test/owner/pass-pacer.test.ts
+++ b/packages/entry/test/owner/pass-pacer.test.ts
@@ -3,8 +3,8 @@
 import { describe, it } from "node:test";
 import { longestPassPause, PassPacer, passShare } from "../../src/index.js";
 
-describe("passes over what waits", () => {
-    it("take no more than their share of the time, however long each is", () => {
+describe("scheduling cycles", () => {
+    it("take no more than their share of the time", () => {
         const clock = new ManualClock();
         const pacer = new PassPacer(clock);
         let spent = 0;
@@ -20,7 +20,7 @@
         expect(spent / clock.monotonic() <= passShare + 0.01).toEqual(true);
     });
 
-    it("take no more than their share when all of them are long, as in a large cell with a long backlog", () => {
+    it("take no more than their share when all of them are long, as with a large backlog", () => {
         const clock = new ManualClock();
         const pacer = new PassPacer(clock);
         let spent = 0;
@@ -36,7 +36,7 @@
         expect(spent / clock.monotonic() <= passShare + 0.02).toEqual(true);
     });
 
-    it("are not held back by one during which the process was paused, when the others are short", () => {
+    it("are not delayed by a single one that a process pause prolonged", () => {
         const clock = new ManualClock();
         const pacer = new PassPacer(clock);
         for (const duration of [8, 8, 8, 8, 4_000]) {
@@ -45,14 +45,14 @@
         expect(pacer.wait).toEqual(longestPassPause);
     });
 
-    it("go on soon after one during which the process was paused", () => {
+    it("resume soon when the first one is prolonged by a process pause", () => {
         const clock = new ManualClock();
         const pacer = new PassPacer(clock);
         pacer.run(() => clock.advance(4_000));
         expect(pacer.wait).toEqual(longestPassPause);
     });
 
-    it("that cost nothing are not held back", () => {
+    it("are not delayed when they take no time", () => {
         const pacer = new PassPacer(new ManualClock());
         pacer.run(() => undefined);
         expect(pacer.wait).toEqual(0);
--- a/packages/entry/test/owner/relay-order.test.ts
+++ b/packages/entry/test/owner/relay-order.test.ts
@@ -1,4 +1,4 @@
-/** Which VMs are asked to make calls of the store for an owner that cannot reach it. */
+/** Selection of VMs that relay store calls. */
 import { expect } from "earl";
 import { describe, it } from "node:test";
 import { relayOrder } from "../../src/owner/relay-order.js";
@@ -14,17 +14,17 @@
 describe("an owner that cannot reach the store", () => {
     const links = [link("small-1", 0.3), link("large-1", 1.4), link("small-2", 0.3), link("large-2", 1.4)];
 
-    it("asks larger VMs first, and equals in turn", () => {
+    it("asks larger VMs first and rotates among equal ones", () => {
         expect(namesOf(links, 0)).toEqual(["large-1", "large-2", "small-1", "small-2"]);
         expect(namesOf(links, 3)).toEqual(["large-2", "large-1", "small-1", "small-2"]);
     });
 
-    it("asks those last whose own last call was not answered, however large", () => {
+    it("asks VMs last whose last call failed", () => {
         const some = [...links.slice(0, 3), link("large-2", 1.4, true)];
         expect(namesOf(some, 0)).toEqual(["large-1", "small-1", "small-2", "large-2"]);
     });
 
-    it("asks nobody where there is nobody", () => {
+    it("asks nobody when no VM is connected", () => {
         expect(namesOf([], 5)).toEqual([]);
     });
 });
--- a/packages/entry/test/owner/request-desk.test.ts
+++ b/packages/entry/test/owner/request-desk.test.ts
@@ -1,8 +1,4 @@
-/*
- * An owner was suspended for three seconds and replaced meanwhile. When it went on it told callers of five accepted jobs that there
- * is no such job: the next owner had taken them. The log of its VM shows 4514 (time was missed), then 4503 "another owner speaks"; in
- * between it answered from what it knew before.
- */
+/* Guards against an owner that was suspended and replaced denying jobs that its successor has accepted. */
 import type { CellScheduler } from "@pebbledale/cell";
 import { jobId, type Journal, ManualClock } from "@pebbledale/core";
 import { expect } from "earl";
@@ -10,7 +6,7 @@
 import { NotNowReason } from "../../src/index.js";
 import { RequestDesk } from "../../src/owner/request-desk.js";
 
-/** A cell that knows no job. */
+/** A cell without jobs. */
 const emptyCell = {
     stateOf: () => undefined,
     cancel: () => false,
@@ -29,8 +25,8 @@
 
 const notNow = { kind: "not-now", retryAfter: 1_000, reason: NotNowReason.OwnerUnconfirmed };
 
-describe("an owner that is asked for a job which it does not know", () => {
-    it("says so only while it is confirmed to own the cell", async () => {
+describe("an owner that is asked for an unknown job", () => {
+    it("reports it as unknown only while it is confirmed to own the cell", async () => {
         let isConfirmed = false;
         const desk = begin(() => isConfirmed);
         const job = jobId("0123456789abcdef");
--- a/packages/entry/test/owner/stop-without-store.test.ts
+++ b/packages/entry/test/owner/stop-without-store.test.ts
@@ -1,13 +1,13 @@
 /*
- * While the store is silent no other VM can claim the cell. An owner that was told to stop then waited for its last records to be kept, without
- * end and without answering anybody, until its process was killed: callers were told after their whole deadline that nothing is known.
+ * Guards against a stopping owner waiting for its last records, without answering callers, while the store does not
+ * answer and no other VM can claim the cell.
  */
 import { expect } from "earl";
 import { describe, it } from "node:test";
 import { HandOverOutcome, stopTimesOf } from "../../src/index.js";
 import { LivesWorld } from "../support/lives/index.js";
 
-describe("an owner that is told to stop while the store is silent", () => {
+describe("an owner that is stopped while the store does not answer", () => {
     const begin = async ({ silentFor = 1_000 } = {}) => {
         const world = await LivesWorld.begin({ workers: 2 });
         await world.submit("a", "1000");
@@ -19,7 +19,7 @@
         return { world, heard, outcome: () => outcome };
     };
 
-    it("tells callers how their jobs stand, and refuses new ones, for as long as it serves", async () => {
+    it("keeps reporting job states and refuses new jobs", async () => {
         const { world, outcome } = await begin();
         expect(await world.askState("a")).toEqual("state");
         const reply = world.handIn("b", "1000");
@@ -29,14 +29,14 @@
         world.end();
     });
 
-    it("does so also when the store has only just fallen silent", async () => {
+    it("keeps reporting job states when the store has only just stopped answering", async () => {
         const { world, outcome } = await begin({ silentFor: 10 });
         expect(await world.askState("a")).toEqual("state");
         expect(outcome()).toEqual(undefined);
         world.end();
     });
 
-    it("hands the cell over as soon as the store is back", async () => {
+    it("hands the cell over as soon as the store answers again", async () => {
         const { world, heard, outcome } = await begin();
         world.storeSilentSince = undefined;
         await world.pass(200);
@@ -45,7 +45,7 @@
         world.end();
     });
 
-    it("gives it up to nobody, in time for its process to end by itself, when the store stays silent", async () => {
+    it("ends without a handover before its process is killed when the store stays silent", async () => {
         const { world, heard, outcome } = await begin();
         await world.pass(stopTimesOf(6_000).answersWithin - 500);
         expect(outcome()).toEqual(HandOverOutcome.StoreSilent);
@@ -54,14 +54,14 @@
     });
 });
 
-describe("the times of a VM that stops", () => {
-    it("leave two questions of the platform before its door closes, and end before it is killed, in this order", () => {
+describe("the stop times of a VM", () => {
+    it("allow two readiness checks before new connections are refused, and end before the process is killed", () => {
         const { closesAfter, answersWithin, endsWithin } = stopTimesOf(6_000);
         expect(closesAfter > 2_000 && closesAfter < answersWithin).toEqual(true);
         expect(answersWithin < endsWithin && endsWithin < 6_000).toEqual(true);
     });
 
-    it("are in this order also where little time is given", () => {
+    it("keep their order when little time is given", () => {
         const { closesAfter, answersWithin, endsWithin } = stopTimesOf(2_000);
         expect(closesAfter < answersWithin && answersWithin < endsWithin).toEqual(true);
     });
--- a/packages/entry/test/owner/turn-runner.test.ts
+++ b/packages/entry/test/owner/turn-runner.test.ts
@@ -13,7 +13,7 @@
     changedJobs: new Set(),
 };
 
-/** A cell with work that waits whatever is done. */
+/** A cell that always requests another scheduling cycle. */
 const waitingCell = () => {
     const counts = { turns: 0, passes: 0 };
     const cell = {
@@ -49,8 +49,8 @@
         onNewWorkers: () => undefined,
     });
 
-describe("turns of an owner that hands the cell over", () => {
-    it("make no passes, and do not follow each other without pause while work waits", async () => {
+describe("turns during a handover", () => {
+    it("run no scheduling cycles and do not repeat while work is waiting", async () => {
         const { counts, cell } = waitingCell();
         const runner = makeRunner(cell);
         runner.freeze();
@@ -59,7 +59,7 @@
         expect(counts).toEqual({ turns: 1, passes: 0 });
     });
 
-    it("write nothing more, so that the next owner finds the journal as it read it", async () => {
+    it("write no more records, so that the journal stays as the next owner has read it", async () => {
         const { cell } = waitingCell();
         const turn: Turn = { ...emptyTurn, records: [{ kind: "forgotten", job: jobId("late") }] };
         const runner = makeRunner({ ...cell, drain: () => turn } as unknown as CellScheduler);
@@ -70,7 +70,7 @@
 });
 
 describe("turns of an owner that may have been suspended", () => {
-    it("decide and send nothing before the store has confirmed that it owns the cell", async () => {
+    it("neither decide nor send anything before the store has confirmed its ownership", async () => {
         const { counts, cell } = waitingCell();
         const clock = new ManualClock();
         let confirmedAt = 0;
--- a/packages/entry/test/owner/unknown-jobs.test.ts
+++ b/packages/entry/test/owner/unknown-jobs.test.ts
@@ -1,14 +1,13 @@
 /*
- * An owner's way to the store fell silent at 74.9 s. Its key ran out, another VM claimed the cell at 75.81 s (4501) and accepted a job at
- * 75.889 s (4001). At 75.904 s the former owner told a caller that there is no such job (4803): a write of its journal had been kept less than a
- * second before. Such a write proves that nobody else had the cell by then, and keeps nobody from claiming it a moment later.
+ * Guards against an owner whose key has expired denying a job that its successor has accepted. A committed journal
+ * write proves past ownership but, unlike the key, does not prevent another claim.
  */
 import { expect } from "earl";
 import { describe, it } from "node:test";
 import { LivesWorld } from "../support/lives/index.js";
 
-describe("that there is no such job", () => {
-    it("is said only while the owner's key surely stands, whatever else the store has confirmed", async () => {
+describe("a job unknown to the owner", () => {
+    it("is only reported as unknown while the owner's key is certainly valid", async () => {
         const world = await LivesWorld.begin({ workers: 1 });
         expect(await world.askState("nobody-knows")).toEqual("unknown-job");
         const renewedAt = world.clock.monotonic();
--- a/packages/entry/test/owner/worker-inbox.test.ts
+++ b/packages/entry/test/owner/worker-inbox.test.ts
@@ -1,8 +1,6 @@
 /*
- * A gang was started again 50 ms after its run had ended done. That day was not seen again in eleven plays, so the cause is not proved;
- * this is what the reading of it found. A link's first look settles what it does not show: its token is higher than all before, so
- * what has not reached the worker by then is refused there. A look of the former link at the same VM carries no such promise, and an
- * owner that had just given the link anew took it for the first look of the new one.
+ * Guards against a poll of a replaced link settling orders of the new one, by which a gang could be started again after
+ * it had ended. Only polls of the new link carry a token high enough for the worker to refuse earlier orders.
  */
 import { type CellScheduler, WorkerState } from "@pebbledale/cell";
 import { epoch, ManualClock, workerId } from "@pebbledale/core";
@@ -52,8 +50,8 @@
     return { inbox, link, looks, assign, lookOf };
 };
 
-describe("what a VM says of a worker", () => {
-    it("counts for the assignment that it was said under, and settles nothing of a later one", async () => {
+describe("a report of a VM on a worker", () => {
+    it("applies to the assignment that it was made under and not to a later one", async () => {
         const { inbox, link, looks, assign, lookOf } = begin();
         const former = await assign();
         const present = await assign();
--- a/packages/entry/test/peers/vm-dialer.test.ts
+++ b/packages/entry/test/peers/vm-dialer.test.ts
@@ -22,15 +22,15 @@
     view.change({ changed: entries, removed: [], cursor: "" });
 };
 
-/** A loopback address that no other test process uses at the same time: two runs of all tests met on the ports of one. */
+/** A loopback address derived from the process id, so that concurrent test processes do not share ports. */
 const host = `127.${(process.pid >> 8) & 0xff}.${process.pid & 0xff}.1`;
 
-describe("an owner that reached others", () => {
+describe("an owner that has reached other VMs", () => {
     const stop = new AbortController();
 
     after(() => stop.abort());
 
-    it("does not take itself for cut off because many VMs have just shown up", async () => {
+    it("does not become isolated because many VMs have just joined", async () => {
         const clock = new ManualClock();
         const address = `${host}:26720`;
         await listenForOwners(address, () => undefined, stop.signal);
@@ -48,12 +48,12 @@
     });
 });
 
-describe("a VM that does not hear the owner", () => {
+describe("a candidate that does not hear the owner", () => {
     const stop = new AbortController();
 
     after(() => stop.abort());
 
-    /** Listens as VMs that have not heard the owner for these times. */
+    /** Listens as a VM that has not heard the owner for `silence`. */
     const listenAs = async (port: number, silence: number): Promise<string> => {
         const address = `${host}:${port}`;
         const attach = (channel: Channel<VmMessage, OwnerMessage>) =>
@@ -74,24 +74,23 @@
         return dialer.untilSilenceAgreed("owner", 300, limit);
     };
 
-    it("has the word of more than half of the VMs, itself among them, before it takes the owner for gone", async () => {
-        // Agreement is told as soon as there is one; only its absence takes the whole limit.
+    it("needs the agreement of a majority of the VMs, including itself", async () => {
+        // Agreement resolves at once; only its absence takes the whole limit.
         expect(await askOf(26_740, [500, 500, 20], 10_000)).toEqual(true);
         expect(await askOf(26_744, [500, 20, 20], 300)).toEqual(false);
     });
 });
 
 /*
- * All connections among the VMs fell silent while new ones worked. After a second the owner took every VM for unreachable because
- * it had not heard them, and gave the cell up 50 ms later, before it had dialled one of them: 4503 "this VM is cut off from most of
- * the others" at 12.75 s. No other VM claimed the cell before 29.86 s.
+ * Guards against an owner whose connections all hang giving up the cell before a new dial has shown whether the VMs are
+ * reachable.
  */
-describe("an owner that does not hear a VM any more", () => {
+describe("an owner that no longer hears a VM", () => {
     const stop = new AbortController();
 
     after(() => stop.abort());
 
-    /** Connections that a test declares silent. */
+    /** Connections whose silence is set by the test. */
     class Connections {
         readonly channels: Channel<OwnerMessage, VmMessage>[] = [];
         silence = 0;
@@ -129,14 +128,14 @@
         return { dialer, connections };
     };
 
-    it("goes on over a new connection to it", async () => {
+    it("replaces the connection", async () => {
         const { dialer, connections } = await begin(26_750);
         connections.silence = 700;
         await until(() => connections.channels.length === 2);
         expect([connections.channels.length, dialer.hasBeenCutOff]).toEqual([2, false]);
     });
 
-    it("does not take itself for cut off before a dial has shown that the VM is not reached", async () => {
+    it("does not become isolated before a dial has failed", async () => {
         const { dialer, connections } = await begin(26_751);
         expect(dialer.hasBeenCutOff).toEqual(false);
         dialer.noteSilence("b");
--- a/packages/entry/test/support/configuration.ts
+++ b/packages/entry/test/support/configuration.ts
@@ -1,13 +1,13 @@
-/** A cell of one queue and one service. */
+/** Configuration of a cell with one queue and one service. */
 import type { CellConfiguration } from "@pebbledale/cell";
 import { queueName, serviceName } from "@pebbledale/core";
 
-/** The one service. */
+/** Name of the service. */
 export const service = serviceName("pool");
-/** The one queue. */
+/** Name of the queue. */
 export const queue = queueName("work");
 
-/** See the module's comment. */
+/** A configuration without organisations, in its first version. */
 export const configuration: CellConfiguration = {
     version: 1,
     queues: [{
--- a/packages/entry/test/support/index.ts
+++ b/packages/entry/test/support/index.ts
@@ -1,15 +1,15 @@
-/** Support of the entry VM's tests. */
+/** Helpers for the entry VM's tests. */
 import { ManualClock } from "@pebbledale/core";
 import type { EntryVm } from "../../src/index.js";
 
-/** Lets all that is ready run: promises and what they set off. */
+/** Waits until promises and callbacks that are ready have run. */
 export const settle = async (): Promise<void> => {
     for (let round = 0; round < 20; round++) {
         await new Promise(resolve => setImmediate(resolve));
     }
 };
 
-/** Moves time on in small steps and lets what is due run in each. */
+/** Advances the clock in steps of 10 ms and settles after each. */
 export const pass = async (clock: ManualClock, milliseconds: number): Promise<void> => {
     const step = 10;
     for (let elapsed = 0; elapsed < milliseconds; elapsed += step) {
@@ -18,7 +18,7 @@
     }
 };
 
-/** An entry VM. */
+/** Creates an entry VM; `changes` overrides its properties. */
 export const makeVm = (name: string, changes: Partial<EntryVm> = {}): EntryVm => ({
     name,
     address: "127.0.0.1:1",
--- a/packages/entry/test/support/observation.ts
+++ b/packages/entry/test/support/observation.ts
@@ -1,25 +1,24 @@
-/** Observers for tests: they keep what they are told. */
+/** Recording loggers for tests. */
 import type { Clock, LogEvent } from "@pebbledale/core";
 import type { EventLogger } from "@pebbledale/runtime";
 import { EntryMetrics, RequestLog } from "../../src/index.js";
 
-/** One event as it was logged. */
+/** A logged event with its fields. */
 export interface LoggedEvent {
     readonly event: LogEvent;
     readonly fields: Readonly<Record<string, unknown>>;
 }
 
-/** Keeps what is logged. */
+/** Logger that records events for later checks. */
 export class KeptLog implements EventLogger {
     readonly logged: LoggedEvent[] = [];
 
-    /** See {@link EventLogger.log}. */
     log(event: LogEvent, fields: Readonly<Record<string, unknown>> = {}): void {
         this.logged.push({ event, fields });
     }
 }
 
-/** A request log with what it tells. */
+/** Creates a request log with the logger and metrics that it writes to. */
 export const makeRequestLog = (clock: Clock): { log: RequestLog; kept: KeptLog; metrics: EntryMetrics; } => {
     const kept = new KeptLog();
     const metrics = new EntryMetrics();
--- a/packages/entry/test/support/steps.ts
+++ b/packages/entry/test/support/steps.ts
@@ -1,10 +1,10 @@
-/** Steps of the entry VM's tests. */
+/** Step definitions for the entry VM's tests. */
 import type { StepDefinition } from "@pebbledale/cell";
 
-/** A task of one core and one gigabyte. */
+/** Size of a task with one core and one gibibyte of memory. */
 export const smallTask = { processorThousandths: 1_000, memoryMebibytes: 1_024, accelerators: 0 };
 
-/** A step of one small task; `changes` replaces parts. */
+/** Creates a step with one small task; `changes` overrides its properties. */
 export const makeStep = (changes: Partial<StepDefinition> = {}): StepDefinition => ({
     taskCount: 1,
     size: smallTask,
