--- a/packages/entry/src/links/end-numbers.ts
+++ b/packages/entry/src/links/end-numbers.ts
@@ -1,14 +1,14 @@
 /** Acknowledgement state of a worker's ended runs. */
 import type { EndedRun } from "@pebbledale/cell";
 import type { Clock, Milliseconds } from "@pebbledale/core";
-import { sureLifeTime } from "./constants.js";
+import { sameIncarnationWindow } from "./constants.js";
 
 /**
  * Tracks, by number, which ended runs of one incarnation of a worker were reported to the owner and which the worker
  * may forget because their records are committed.
  */
-export class EndNumbers {
-    #forgetThrough = 0;
+export class EndedRunTracker {
+    #committedThrough = 0;
     #reportedThrough = 0;
     /**
      * Time of the last answer, reset by each unanswered call. The worker is only told to forget ended runs soon after
@@ -19,26 +19,26 @@
     constructor(private readonly clock: Clock) {}
 
     /** Number up to which ended runs are committed. */
-    get keptThrough(): number {
-        return this.#forgetThrough;
+    get committedThrough(): number {
+        return this.#committedThrough;
     }
 
-    get areSomeUnkept(): boolean {
-        return this.#reportedThrough > this.#forgetThrough;
+    get hasUncommitted(): boolean {
+        return this.#reportedThrough > this.#committedThrough;
     }
 
     /** Marks ended runs up to `through` as committed. */
-    keep(through: number): void {
-        this.#forgetThrough = Math.max(this.#forgetThrough, through);
+    commitThrough(through: number): void {
+        this.#committedThrough = Math.max(this.#committedThrough, through);
     }
 
     /**
      * The number up to which a poll sent now may let the worker forget ended runs; 0 unless its incarnation is certain.
      */
-    takeForLook(): number {
-        const isSure = this.clock.monotonic() - this.#answeredAt <= sureLifeTime;
+    takeForPoll(): number {
+        const isSure = this.clock.monotonic() - this.#answeredAt <= sameIncarnationWindow;
         this.#answeredAt = -Infinity;
-        return isSure ? this.#forgetThrough : 0;
+        return isSure ? this.#committedThrough : 0;
     }
 
     noteAnswer(): void {
@@ -51,7 +51,7 @@
     }
 
     /** Returns the runs that were not reported yet and marks them as reported. */
-    report(ended: readonly EndedRun[]): EndedRun[] {
+    takeUnreported(ended: readonly EndedRun[]): EndedRun[] {
         const fresh = ended.filter(({ number }) => number > this.#reportedThrough);
         this.#reportedThrough = Math.max(this.#reportedThrough, ...fresh.map(({ number }) => number));
         return fresh;
--- a/packages/entry/src/links/links.ts
+++ b/packages/entry/src/links/links.ts
@@ -1,41 +1,41 @@
 /** The worker links of this VM. */
 import type { TaskWorkerClient, TaskWorkerClients } from "@pebbledale/cell";
-import type { GapClock, Milliseconds, WorkerId, WorkerLife } from "@pebbledale/core";
+import type { Milliseconds, SuspensionAwareClock, WorkerId, WorkerIncarnation } from "@pebbledale/core";
 import type { EventLogger } from "@pebbledale/runtime";
 import type { AssignMessage, CommandMessage, WorkerMessage } from "../protocol/index.js";
-import { oldMessagesTime, ownerHorizon } from "./constants.js";
-import { LossWatch } from "./loss-watch.js";
+import { ownerSilenceLimit, staleMessageWindow } from "./constants.js";
+import { LossMonitor } from "./loss-watch.js";
 import { WorkerLink } from "./worker-link.js";
 
 /** Dependencies of the worker links. */
-export interface LinksOptions {
+export interface WorkerLinksOptions {
     readonly clients: TaskWorkerClients;
-    readonly clock: GapClock;
+    readonly clock: SuspensionAwareClock;
     readonly logger: EventLogger;
     readonly leaseLength: Milliseconds;
     readonly send: (message: WorkerMessage) => void;
 }
 
 /** A client connected to one incarnation of a worker. */
-interface LifeClient {
+interface IncarnationClient {
     readonly client: TaskWorkerClient;
     readonly address: string;
-    readonly life: WorkerLife | undefined;
+    readonly incarnation: WorkerIncarnation | undefined;
 }
 
 /** Holds the links to workers that the current owner has assigned to this VM, and passes its messages to them. */
-export class Links {
+export class WorkerLinks {
     readonly #links = new Map<WorkerId, WorkerLink>();
-    readonly #clients = new Map<WorkerId, LifeClient>();
-    readonly #losses: LossWatch;
+    readonly #clients = new Map<WorkerId, IncarnationClient>();
+    readonly #losses: LossMonitor;
     #heardAt = -Infinity;
 
-    constructor(private readonly options: LinksOptions) {
-        this.#losses = new LossWatch(options.clock, options.logger);
+    constructor(private readonly options: WorkerLinksOptions) {
+        this.#losses = new LossMonitor(options.clock, options.logger);
     }
 
     /** Records a message of an owner that the store has recently confirmed. */
-    noteOwner(): void {
+    noteOwnerHeard(): void {
         this.#heardAt = this.options.clock.monotonic();
     }
 
@@ -43,14 +43,14 @@
      * Whether the owner was heard since this process may last have been suspended. Earlier messages may be out of date,
      * as may those that were buffered in the socket and are read shortly afterwards.
      */
-    get #mayOrder(): boolean {
-        return this.#heardAt >= this.options.clock.countedSince() + oldMessagesTime;
+    get #mayForwardOrders(): boolean {
+        return this.#heardAt >= this.options.clock.uninterruptedSince() + staleMessageWindow;
     }
 
     /** Creates the link to a worker, replacing a former one. */
     assign(assignment: AssignMessage): void {
         const { worker } = assignment;
-        this.#links.get(worker)?.end();
+        this.#links.get(worker)?.close();
         const client = this.#clientOf(assignment);
         const link = new WorkerLink({
             assignment,
@@ -58,9 +58,9 @@
             clock: this.options.clock,
             logger: this.options.logger,
             leaseLength: this.options.leaseLength,
-            mayRenew: () => this.#mayOrder && this.options.clock.monotonic() - this.#heardAt < ownerHorizon,
-            mayOrder: () => this.#mayOrder,
-            losses: this.#losses,
+            mayPoll: () => this.#mayForwardOrders && this.options.clock.monotonic() - this.#heardAt < ownerSilenceLimit,
+            mayForwardOrders: () => this.#mayForwardOrders,
+            lossMonitor: this.#losses,
             send: report => this.options.send({ ...report, assignment: assignment.token }),
         });
         this.#links.set(worker, link);
@@ -76,7 +76,7 @@
 
     /** Closes the link to a worker and its connections. */
     unassign(worker: WorkerId): void {
-        this.#links.get(worker)?.end();
+        this.#links.get(worker)?.close();
         this.#links.delete(worker);
         const known = this.#clients.get(worker);
         this.#clients.delete(worker);
@@ -89,12 +89,12 @@
      */
     #clientOf({ worker, address, life }: AssignMessage): TaskWorkerClient {
         const known = this.#clients.get(worker);
-        if (known?.address === address && known.life === life) {
+        if (known?.address === address && known.incarnation === life) {
             return known.client;
         }
         void known?.client.close();
         const client = this.options.clients.clientOf(worker, address);
-        this.#clients.set(worker, { client, address, life });
+        this.#clients.set(worker, { client, address, incarnation: life });
         return client;
     }
 
@@ -104,7 +104,7 @@
 
     /** Allows leases again at a worker that has answered after a silence. */
     resume(worker: WorkerId): void {
-        this.#links.get(worker)?.resume();
+        this.#links.get(worker)?.resumeLeases();
     }
 
     /** Marks ended runs of a worker up to `through` as committed. */
@@ -113,8 +113,8 @@
     }
 
     /** Closes all links because another owner has appeared; keeps the clients for the links that it assigns. */
-    endAll(): void {
-        this.#links.forEach(link => link.end());
+    closeAll(): void {
+        this.#links.forEach(link => link.close());
         this.#links.clear();
     }
 }
--- a/packages/entry/src/links/vm-session.ts
+++ b/packages/entry/src/links/vm-session.ts
@@ -3,36 +3,43 @@
 import {
     type ChangeFeed,
     type Epoch,
-    type GapClock,
     logEvents,
     type Milliseconds,
     type PlatformStore,
+    type SuspensionAwareClock,
 } from "@pebbledale/core";
 import { createAbortController, type EventLogger } from "@pebbledale/runtime";
-import { configurationGrace } from "../configuration/index.js";
-import type { AskMessage, Channel, OwnerMessage, OwnerReply, OwnerRequest, VmMessage } from "../protocol/index.js";
+import { configurationFetchDelay } from "../configuration/index.js";
+import type {
+    AdviceQuestionMessage,
+    Channel,
+    OwnerMessage,
+    OwnerReply,
+    OwnerRequest,
+    VmMessage,
+} from "../protocol/index.js";
 import { performOperation, type StoreOperation } from "../store-relay/index.js";
-import { Links } from "./links.js";
+import { WorkerLinks } from "./links.js";
 
 /** Added to the expected duration of an advice request to give its timeout, in milliseconds. */
-const adviceSlack: Milliseconds = 1_500;
+const adviceTimeoutSlack: Milliseconds = 1_500;
 /** Maximum time between two messages to the owner, in milliseconds; a heartbeat fills longer gaps. */
-const beatInterval: Milliseconds = 250;
+const heartbeatInterval: Milliseconds = 250;
 
 /**
  * An owner that was not heard for this long is considered lost and its connection is closed, so that callers are told
  * at once instead of at their deadline. Six heartbeats; in milliseconds.
  */
-const ownerLostAfter: Milliseconds = 1_500;
+const ownerSilenceTimeout: Milliseconds = 1_500;
 
 /** Maximum reported silence of the owner, also when none was ever heard, in milliseconds. */
-const longestTold: Milliseconds = 60_000;
+const maxReportedSilence: Milliseconds = 60_000;
 
 /** Dependencies and callbacks of a VM's session. */
 export interface VmSessionOptions {
     readonly clients: TaskWorkerClients;
     readonly advice: AdviceClient | undefined;
-    readonly clock: GapClock;
+    readonly clock: SuspensionAwareClock;
     readonly logger: EventLogger;
     readonly leaseLength: Milliseconds;
     /** The store as reached directly by this VM. */
@@ -43,10 +50,10 @@
     readonly configuration: () => CellConfiguration | undefined;
     readonly onConfiguration: (configuration: CellConfiguration) => void;
     /** Called when an owner connects or is lost. */
-    readonly onOwner: (hasOwner: boolean) => void;
+    readonly onOwnerChange: (hasOwner: boolean) => void;
 }
 
-interface WaitingRequest {
+interface PendingRequest {
     readonly resolve: (reply: OwnerReply | undefined) => void;
 }
 
@@ -55,18 +62,18 @@
  * passes on callers' requests.
  */
 export class VmSession {
-    readonly #links: Links;
-    readonly #requests = new Map<number, WaitingRequest>();
+    readonly #links: WorkerLinks;
+    readonly #pendingRequests = new Map<number, PendingRequest>();
     #channel: Channel<VmMessage, OwnerMessage> | undefined;
     #epoch = 0;
     #nextRequest = 1;
-    #lastHeard = -Infinity;
+    #lastHeardAt = -Infinity;
     /** When the owner was last sent a heartbeat or a worker's message, which serves as one. */
-    #sentAt = -Infinity;
+    #lastSentAt = -Infinity;
     #isLeaving = false;
 
     constructor(private readonly options: VmSessionOptions) {
-        this.#links = new Links({
+        this.#links = new WorkerLinks({
             clients: options.clients,
             clock: options.clock,
             logger: options.logger,
@@ -86,21 +93,21 @@
 
     /** Time since the owner's last message; infinite when none was heard. */
     get ownerSilence(): Milliseconds {
-        return this.options.clock.monotonic() - this.#lastHeard;
+        return this.options.clock.monotonic() - this.#lastHeardAt;
     }
 
     /** Adds a connection from a potential owner; the owner with the highest epoch prevails. */
     attach(channel: Channel<VmMessage, OwnerMessage>): void {
         channel.onMessage = message => {
             if (message.kind === "welcome") {
-                this.#welcome(channel, message.epoch);
+                this.#acceptOwner(channel, message.epoch);
             }
             else if (channel === this.#channel) {
-                this.#take(message);
+                this.#handle(message);
             }
         };
-        channel.onClose = () => this.#lose(channel);
-        const silence = Math.min(this.ownerSilence, longestTold);
+        channel.onClose = () => this.#dropOwner(channel);
+        const silence = Math.min(this.ownerSilence, maxReportedSilence);
         channel.send({ kind: "owner-heard", epoch: this.#epoch, silence });
     }
 
@@ -112,17 +119,17 @@
         }
         const request = this.#nextRequest++;
         return new Promise(resolve => {
-            this.#requests.set(request, { resolve });
+            this.#pendingRequests.set(request, { resolve });
             channel.send({ kind: "request", request, body });
         });
     }
 
-    tellConfiguration(version: number): void {
+    announceConfiguration(version: number): void {
         this.#channel?.send({ kind: "configuration-version", version });
     }
 
     /** Announces to this owner and its successors that this VM is about to stop. */
-    leave(): void {
+    announceLeaving(): void {
         this.#isLeaving = true;
         this.#channel?.send({ kind: "leaving" });
     }
@@ -132,31 +139,31 @@
         const { clock } = this.options;
         while (!signal.aborted) {
             const sleptAt = clock.monotonic();
-            const countedSince = clock.countedSince();
-            await clock.sleep(beatInterval, signal);
-            if (clock.countedSince() !== countedSince) {
+            const countedSince = clock.uninterruptedSince();
+            await clock.sleep(heartbeatInterval, signal);
+            if (clock.uninterruptedSince() !== countedSince) {
                 this.options.logger.log(logEvents.timeMissed, { epoch: this.#epoch });
             }
-            if (clock.monotonic() - this.#sentAt >= beatInterval) {
+            if (clock.monotonic() - this.#lastSentAt >= heartbeatInterval) {
                 this.#send({ kind: "beat" });
             }
             // After a pause of this process, the owner's heartbeats may still be waiting to be read.
-            if (clock.monotonic() - sleptAt < 2 * beatInterval) {
+            if (clock.monotonic() - sleptAt < 2 * heartbeatInterval) {
                 this.#dropSilentOwner();
             }
         }
-        this.#links.endAll();
+        this.#links.closeAll();
     }
 
     #dropSilentOwner(): void {
         const channel = this.#channel;
-        if (channel !== undefined && this.ownerSilence > ownerLostAfter) {
-            this.#lose(channel);
+        if (channel !== undefined && this.ownerSilence > ownerSilenceTimeout) {
+            this.#dropOwner(channel);
             channel.close();
         }
     }
 
-    #welcome(channel: Channel<VmMessage, OwnerMessage>, epoch: Epoch): void {
+    #acceptOwner(channel: Channel<VmMessage, OwnerMessage>, epoch: Epoch): void {
         if (epoch < this.#epoch) {
             channel.close();
             return;
@@ -164,11 +171,11 @@
         const former = this.#channel;
         // An owner that connects assigns all links anew, even if it is the same one; workers would refuse the former
         // links.
-        this.#links.endAll();
+        this.#links.closeAll();
         this.#epoch = epoch;
         this.#channel = channel;
         this.#noteHeard();
-        this.#links.noteOwner();
+        this.#links.noteOwnerHeard();
         if (former !== undefined && former !== channel) {
             former.close();
         }
@@ -176,10 +183,10 @@
         if (this.#isLeaving) {
             channel.send({ kind: "leaving" });
         }
-        this.options.onOwner(true);
+        this.options.onOwnerChange(true);
     }
 
-    #take(message: OwnerMessage): void {
+    #handle(message: OwnerMessage): void {
         this.#noteHeard();
         switch (message.kind) {
             case "assign":
@@ -204,14 +211,14 @@
                 void this.#ask(message);
                 break;
             case "reply":
-                this.#requests.get(message.request)?.resolve(message.reply);
-                this.#requests.delete(message.request);
+                this.#pendingRequests.get(message.request)?.resolve(message.reply);
+                this.#pendingRequests.delete(message.request);
                 break;
             case "configuration":
                 this.options.onConfiguration(message.configuration);
                 break;
             case "configuration-version":
-                void this.#wantConfiguration(message.version);
+                void this.#requestNewerConfiguration(message.version);
                 break;
             case "want-configuration":
                 this.#sendConfiguration();
@@ -224,7 +231,7 @@
                 break;
             case "beat":
                 if (message.mayLease) {
-                    this.#links.noteOwner();
+                    this.#links.noteOwnerHeard();
                 }
                 break;
             case "welcome":
@@ -233,17 +240,17 @@
     }
 
     #send(message: VmMessage): void {
-        this.#sentAt = this.options.clock.monotonic();
+        this.#lastSentAt = this.options.clock.monotonic();
         this.#channel?.send(message);
     }
 
     #noteHeard(): void {
-        this.#lastHeard = this.options.clock.monotonic();
+        this.#lastHeardAt = this.options.clock.monotonic();
     }
 
     /** Requests the owner's newer configuration unless the store delivers it within the grace period. */
-    async #wantConfiguration(version: number): Promise<void> {
-        await this.options.clock.sleep(configurationGrace);
+    async #requestNewerConfiguration(version: number): Promise<void> {
+        await this.options.clock.sleep(configurationFetchDelay);
         if (version > (this.options.configuration()?.version ?? 0)) {
             this.#channel?.send({ kind: "want-configuration" });
         }
@@ -267,11 +274,11 @@
         }
     }
 
-    async #ask({ question, step, workers, duration }: AskMessage): Promise<void> {
+    async #ask({ question, step, workers, duration }: AdviceQuestionMessage): Promise<void> {
         const channel = this.#channel;
         const { signal } = createAbortController();
         try {
-            const answer = await this.options.advice?.ask({ step, workers }, duration + adviceSlack, signal);
+            const answer = await this.options.advice?.ask({ step, workers }, duration + adviceTimeoutSlack, signal);
             channel?.send({ kind: "advised", question, answer });
         }
         catch (cause) {
@@ -279,19 +286,19 @@
         }
     }
 
-    #lose(channel: Channel<VmMessage, OwnerMessage>): void {
+    #dropOwner(channel: Channel<VmMessage, OwnerMessage>): void {
         if (channel !== this.#channel) {
             return;
         }
         this.#channel = undefined;
         this.#dropRequests();
-        this.options.onOwner(false);
+        this.options.onOwnerChange(false);
     }
 
     /** Resolves open requests without a reply, as it is not known whether the lost owner has carried them out. */
     #dropRequests(): void {
-        const dropped = [...this.#requests.values()];
-        this.#requests.clear();
+        const dropped = [...this.#pendingRequests.values()];
+        this.#pendingRequests.clear();
         dropped.forEach(request => request.resolve(undefined));
     }
 }
--- a/packages/entry/src/links/worker-lease.ts
+++ b/packages/entry/src/links/worker-lease.ts
@@ -1,7 +1,7 @@
 /** Leases of a worker's runs. */
 import type { WorkerTime } from "@pebbledale/cell";
 import type { Clock, Milliseconds } from "@pebbledale/core";
-import { clockDrift } from "./constants.js";
+import { maxClockDrift } from "./constants.js";
 
 /** A reading of the worker's clock. */
 export interface ClockReading {
@@ -18,31 +18,31 @@
 export class WorkerLease {
     #reading: ClockReading | undefined;
     /** The latest granted end of a lease, on the worker's clock. */
-    #until: WorkerTime = 0;
+    #latestEnd: WorkerTime = 0;
 
     /** Length of leases granted from now on. */
     #length: Milliseconds;
 
     /** `longest`: maximum length of a lease. */
-    constructor(private readonly clock: Clock, private readonly longest: Milliseconds) {
-        this.#length = longest;
+    constructor(private readonly clock: Clock, private readonly maxLength: Milliseconds) {
+        this.#length = maxLength;
     }
 
     /** Limits the length of leases granted from now on; those in force are not shortened. */
-    shorten(longest: Milliseconds): void {
-        this.#length = Math.min(this.#length, longest);
+    limitLength(limit: Milliseconds): void {
+        this.#length = Math.min(this.#length, limit);
     }
 
     /** Whether the worker's clock has been read. */
-    get hasClock(): boolean {
+    get hasReading(): boolean {
         return this.#reading !== undefined;
     }
 
     /** Adds a reading of the worker's clock; the one whose call was sent last is used. */
-    readClock(reading: ClockReading): void {
+    noteReading(reading: ClockReading): void {
         if (this.#reading === undefined) {
             // An earlier link may have granted a full lease, also by an order for an earlier incarnation.
-            this.#until = reading.clock + this.longest;
+            this.#latestEnd = reading.clock + this.maxLength;
         }
         if (this.#reading === undefined || reading.sentAt >= this.#reading.sentAt) {
             this.#reading = reading;
@@ -50,29 +50,29 @@
     }
 
     /** Whether a reading is of another incarnation: the clock of one incarnation never goes back. */
-    isOfOtherLife({ clock, sentAt }: ClockReading): boolean {
+    isOtherIncarnation({ clock, sentAt }: ClockReading): boolean {
         return this.#reading !== undefined && sentAt >= this.#reading.receivedAt && clock < this.#reading.clock;
     }
 
     /** Grants a lease and returns its end on the worker's clock; undefined before the clock has been read. */
-    next(): WorkerTime | undefined {
+    grant(): WorkerTime | undefined {
         const reading = this.#reading;
         if (reading === undefined) {
             return undefined;
         }
         const elapsed = this.clock.monotonic() - reading.receivedAt;
-        const until = Math.floor(reading.clock + elapsed * (1 - clockDrift) + this.#length);
-        this.#until = Math.max(this.#until, until);
+        const until = Math.floor(reading.clock + elapsed * (1 - maxClockDrift) + this.#length);
+        this.#latestEnd = Math.max(this.#latestEnd, until);
         return until;
     }
 
     /** Time until all granted leases have expired. */
-    lapsesIn(): Milliseconds {
+    expiresIn(): Milliseconds {
         const reading = this.#reading;
         if (reading === undefined) {
-            return this.longest;
+            return this.maxLength;
         }
-        const left = (this.#until - reading.clock) / (1 - clockDrift);
+        const left = (this.#latestEnd - reading.clock) / (1 - maxClockDrift);
         return Math.max(0, reading.receivedAt + left - this.clock.monotonic());
     }
 }
--- a/packages/entry/src/owner/assignments.ts
+++ b/packages/entry/src/owner/assignments.ts
@@ -3,7 +3,7 @@
 import { type Epoch, type FencingToken, fencingToken, type Milliseconds, type WorkerId } from "@pebbledale/core";
 import type { AssignMessage } from "../protocol/index.js";
 import { assignmentsPerEpoch, tokensPerAssignment } from "./constants.js";
-import { RestartPauses } from "./restart-pauses.js";
+import { RestartBackoff } from "./restart-pauses.js";
 import type { VmLink } from "./vm-link.js";
 
 /** The link to one worker as it is assigned to a VM. */
@@ -14,80 +14,80 @@
     /** Initial fencing token of the link; identifies the assignment in the VM's reports. */
     readonly token: FencingToken;
     /** Assignment time on the owner's monotonic clock. The first poll of the link settles all orders sent before it. */
-    readonly since: Milliseconds;
+    readonly assignedAt: Milliseconds;
     /** Whether the first poll of the link has been applied. */
-    hasLooked: boolean;
+    hasPolled: boolean;
 }
 
 /** Links are moved when one VM has this many more than another, per core. */
-const imbalance = 2;
+const allowedImbalance = 2;
 /** Number of links added to the load of the owner's VM to account for its scheduling work. */
-const ownerLoad = 4;
+const ownerLoadOffset = 4;
 
 /**
  * Keeps track of which VM holds the link to which worker, assigns links and balances them by processor share,
  * preferring VMs in the worker's data hall.
  */
 export class Assignments {
-    readonly #assigned = new Map<WorkerId, Assignment>();
-    readonly #counts = new Map<WorkerId, number>();
-    readonly #pauses: RestartPauses;
+    readonly #assignments = new Map<WorkerId, Assignment>();
+    readonly #assignmentCounts = new Map<WorkerId, number>();
+    readonly #restartBackoff: RestartBackoff;
     /** Per worker, the time until which orders to earlier incarnations may still be carried out. */
-    readonly #doubtfulUntil = new Map<WorkerId, Milliseconds>();
+    readonly #lateOrdersUntil = new Map<WorkerId, Milliseconds>();
 
     constructor(
         private readonly epoch: Epoch,
         private readonly ownVm: string,
         private readonly now: () => Milliseconds,
     ) {
-        this.#pauses = new RestartPauses(now);
+        this.#restartBackoff = new RestartBackoff(now);
     }
 
     vmOf(worker: WorkerId): VmLink | undefined {
-        return this.#assigned.get(worker)?.vm;
+        return this.#assignments.get(worker)?.vm;
     }
 
     /** Records a restart of the worker; its next link may be delayed by a backoff. */
     noteRestart(worker: WorkerId): void {
-        this.#pauses.note(worker);
+        this.#restartBackoff.noteRestart(worker);
     }
 
     /** Unanswered orders to the worker may still be carried out, by any of its incarnations, for this long. */
-    noteDoubt(worker: WorkerId, duration: Milliseconds): void {
+    extendLateOrderWindow(worker: WorkerId, duration: Milliseconds): void {
         const until = this.now() + duration;
-        if (duration > 0 && until > (this.#doubtfulUntil.get(worker) ?? 0)) {
-            this.#doubtfulUntil.set(worker, until);
+        if (duration > 0 && until > (this.#lateOrdersUntil.get(worker) ?? 0)) {
+            this.#lateOrdersUntil.set(worker, until);
         }
     }
 
     /** Whether the worker's link uses an address other than `address`. */
-    isElsewhere(worker: WorkerId, address: string): boolean {
-        const assignment = this.#assigned.get(worker);
+    hasOtherAddress(worker: WorkerId, address: string): boolean {
+        const assignment = this.#assignments.get(worker);
         return assignment !== undefined && assignment.address !== address;
     }
 
     /** The current assignment with this token; undefined when the worker has been assigned anew since. */
-    under(token: FencingToken, worker: WorkerId, vm: VmLink): Assignment | undefined {
-        const assignment = this.#assigned.get(worker);
+    find(token: FencingToken, worker: WorkerId, vm: VmLink): Assignment | undefined {
+        const assignment = this.#assignments.get(worker);
         return assignment?.vm === vm && assignment.token === token ? assignment : undefined;
     }
 
     /**
      * Assigns each worker that has no link to the least loaded VM of its data hall, or of all VMs if the hall has none.
      */
-    balance(workers: Iterable<WorkerState>, vms: readonly VmLink[]): void {
+    assignUnlinked(workers: Iterable<WorkerState>, vms: readonly VmLink[]): void {
         if (vms.length === 0) {
             return;
         }
         for (const worker of workers) {
-            if (!this.#assigned.has(worker.id)) {
+            if (!this.#assignments.has(worker.id)) {
                 this.#assign(worker, this.#leastLoaded(vms, worker));
             }
         }
     }
 
     /** Moves links from other VMs of the same data hall to a VM that has just joined until their loads are close. */
-    even(workers: ReadonlyMap<WorkerId, WorkerState>, joined: VmLink, vms: readonly VmLink[]): void {
+    rebalanceTo(workers: ReadonlyMap<WorkerId, WorkerState>, joined: VmLink, vms: readonly VmLink[]): void {
         const near = vms.filter(vm => vm.vm.dataHall === joined.vm.dataHall && vm !== joined);
         for (;;) {
             const fullest = near.reduce<VmLink | undefined>(
@@ -98,7 +98,7 @@
             const worker = moved === undefined ? undefined : workers.get(moved);
             if (
                 fullest === undefined || worker === undefined
-                || this.#loadOf(fullest) - this.#loadOf(joined) < imbalance / joined.vm.processorShare
+                || this.#loadOf(fullest) - this.#loadOf(joined) < allowedImbalance / joined.vm.processorShare
             ) {
                 return;
             }
@@ -110,8 +110,8 @@
 
     /** Forgets the worker's link without notifying its VM. */
     remove(worker: WorkerId): void {
-        this.#assigned.get(worker)?.vm.workers.delete(worker);
-        this.#assigned.delete(worker);
+        this.#assignments.get(worker)?.vm.workers.delete(worker);
+        this.#assignments.delete(worker);
     }
 
     /** Forgets all links of a VM without notifying it. */
@@ -128,38 +128,44 @@
     }
 
     #loadOf(vm: VmLink): number {
-        return vm.load + (vm.vm.name === this.ownVm ? ownerLoad / vm.vm.processorShare : 0);
+        return vm.loadWithOneMore + (vm.vm.name === this.ownVm ? ownerLoadOffset / vm.vm.processorShare : 0);
     }
 
     #assign(worker: WorkerState, vm: VmLink): void {
-        const count = (this.#counts.get(worker.id) ?? 0) + 1;
-        this.#counts.set(worker.id, count);
+        const count = (this.#assignmentCounts.get(worker.id) ?? 0) + 1;
+        this.#assignmentCounts.set(worker.id, count);
         vm.workers.add(worker.id);
         const token = this.#tokenOf(count);
-        this.#assigned.set(worker.id, { vm, address: worker.address, token, since: this.now(), hasLooked: false });
+        this.#assignments.set(worker.id, {
+            vm,
+            address: worker.address,
+            token,
+            assignedAt: this.now(),
+            hasPolled: false,
+        });
         vm.channel.send({
             kind: "assign",
             worker: worker.id,
             address: worker.address,
-            ...(worker.life === undefined ? {} : { life: worker.life }),
+            ...(worker.incarnation === undefined ? {} : { life: worker.incarnation }),
             token,
             isLeaving: worker.entry?.isDraining === true,
-            ...this.#doubtOf(worker.id),
-            ...this.#pauseOf(worker.id),
+            ...this.#lateOrderWindowOf(worker.id),
+            ...this.#restartDelayOf(worker.id),
         });
     }
 
-    #pauseOf(worker: WorkerId): Pick<AssignMessage, "pause"> {
-        const pause = this.#pauses.of(worker);
+    #restartDelayOf(worker: WorkerId): Pick<AssignMessage, "pause"> {
+        const pause = this.#restartBackoff.delayOf(worker);
         return pause > 0 ? { pause } : {};
     }
 
-    #doubtOf(worker: WorkerId): Pick<AssignMessage, "doubtfulFor"> {
-        const doubtfulFor = (this.#doubtfulUntil.get(worker) ?? 0) - this.now();
+    #lateOrderWindowOf(worker: WorkerId): Pick<AssignMessage, "doubtfulFor"> {
+        const doubtfulFor = (this.#lateOrdersUntil.get(worker) ?? 0) - this.now();
         if (doubtfulFor > 0) {
             return { doubtfulFor };
         }
-        this.#doubtfulUntil.delete(worker);
+        this.#lateOrdersUntil.delete(worker);
         return {};
     }
 
--- a/packages/entry/src/owner/interval.ts
+++ b/packages/entry/src/owner/interval.ts
@@ -2,17 +2,17 @@
 import type { Clock, Milliseconds } from "@pebbledale/core";
 
 /** Runs an action at most once per interval, when polled by a loop. */
-export class Interval {
+export class IntervalTimer {
     #lastAt: Milliseconds;
 
     /** `length`: minimum time between two runs; the first one is due after it has passed once. */
-    constructor(private readonly clock: Clock, private readonly length: Milliseconds) {
+    constructor(private readonly clock: Clock, private readonly interval: Milliseconds) {
         this.#lastAt = clock.monotonic();
     }
 
     runIfDue(action: () => void): void {
         const now = this.clock.monotonic();
-        if (now - this.#lastAt >= this.length) {
+        if (now - this.#lastAt >= this.interval) {
             this.#lastAt = now;
             action();
         }
--- a/packages/entry/src/owner/relay-order.ts
+++ b/packages/entry/src/owner/relay-order.ts
@@ -2,13 +2,13 @@
 import type { VmLink } from "./vm-link.js";
 
 /** The properties of a VM that determine its position. */
-type Relay = Pick<VmLink, "isStoreDoubtful" | "vm">;
+type RelayCandidate = Pick<VmLink, "isStoreDoubtful" | "vm">;
 
 /**
  * Sorts VMs whose last relayed call succeeded first, then by descending processor share; equal VMs rotate, beginning at
  * `first`. Larger VMs have more bandwidth: a journal segment of 0.5 MB takes 0.04 s at 100 Mbit/s and 0.4 s at 10.
  */
-export const relayOrder = <Link extends Relay>(links: readonly Link[], first: number): Link[] =>
+export const relayOrder = <Link extends RelayCandidate>(links: readonly Link[], first: number): Link[] =>
     links
         .map((_, index) => links[(first + index) % links.length])
         .sort((left, right) =>
--- a/packages/entry/src/owner/request-desk.ts
+++ b/packages/entry/src/owner/request-desk.ts
@@ -1,47 +1,47 @@
 /** Handling of callers' requests by the owner. */
 import type { CellScheduler, JobDefinition } from "@pebbledale/cell";
 import type { Clock, JobId, Journal, OrganisationName } from "@pebbledale/core";
-import { NotNowReason, type OwnerReply, type OwnerRequest } from "../protocol/index.js";
-import { recordLimit, stalledAfter, stalledRetryAfter } from "./constants.js";
-import type { OutageLog } from "./outage-log.js";
+import { type OwnerReply, type OwnerRequest, RetryLaterReason } from "../protocol/index.js";
+import { commitTimeout, journalStallTimeout, retryLaterDelay } from "./constants.js";
+import type { JournalOutageLog } from "./outage-log.js";
 
 /** Dependencies of the request handler. */
-export interface RequestDeskOptions {
+export interface RequestHandlerOptions {
     readonly cell: CellScheduler;
     readonly journal: Journal;
     readonly clock: Clock;
     readonly lost: AbortSignal;
     /** Runs a turn on the inputs received so far; resolves to whether their records are committed. */
-    readonly turn: () => Promise<boolean>;
+    readonly runTurn: () => Promise<boolean>;
     /** Whether the owner's key is still valid, so that no other VM can own the cell. */
     readonly isConfirmed: () => boolean;
     /** Notified of refused and uncertain requests for the log of outages. */
-    readonly outages?: Pick<OutageLog, "noteRefused" | "noteUncertain">;
+    readonly outageLog?: Pick<JournalOutageLog, "noteRefused" | "noteUncertain">;
 }
 
 /**
  * Answers the requests that fronts pass on for their callers. A submission or cancellation is only confirmed once its
  * record is committed, and a job is only reported unknown while no other VM can own the cell.
  */
-export class RequestDesk {
-    constructor(private readonly options: RequestDeskOptions) {}
+export class RequestHandler {
+    constructor(private readonly options: RequestHandlerOptions) {}
 
     async reply(request: OwnerRequest): Promise<OwnerReply> {
         const { cell } = this.options;
         switch (request.kind) {
             case "pending":
-                return { kind: "pending", count: cell.pendingOf(request.queue) };
+                return { kind: "pending", count: cell.countPending(request.queue) };
             case "state": {
-                if (!this.#isOpenTo(request)) {
+                if (!this.#isVisibleTo(request)) {
                     return { kind: "unknown-job" };
                 }
                 const state = cell.stateOf(request.job);
-                return state === undefined ? this.#unknown(request.job) : { kind: "state", state };
+                return state === undefined ? this.#unknownJobReply(request.job) : { kind: "state", state };
             }
             case "submit":
                 return this.#submit(request.definition);
             case "cancel":
-                return this.#isOpenTo(request) ? this.#cancel(request.job) : { kind: "unknown-job" };
+                return this.#isVisibleTo(request) ? this.#cancel(request.job) : { kind: "unknown-job" };
         }
     }
 
@@ -49,7 +49,7 @@
      * Whether a caller of an organisation may see and cancel a job. Jobs of other organisations are reported as
      * unknown, so that their ids are not disclosed. A job submitted without a key is open to everyone.
      */
-    #isOpenTo(
+    #isVisibleTo(
         { job, organisation }: { readonly job: JobId; readonly organisation?: OrganisationName | undefined; },
     ): boolean {
         const owner = this.options.cell.jobs.get(job)?.organisation;
@@ -60,50 +60,50 @@
      * The reply for a job without a committed state. An owner that is not confirmed must not deny a job: it may have
      * been suspended and replaced, and the job accepted by its successor.
      */
-    #unknown(job: JobId): OwnerReply {
+    #unknownJobReply(job: JobId): OwnerReply {
         if (this.options.cell.jobs.has(job)) {
-            return notNow(NotNowReason.NotKeptYet);
+            return retryLater(RetryLaterReason.NotCommittedYet);
         }
-        return this.options.isConfirmed() ? { kind: "unknown-job" } : notNow(NotNowReason.OwnerUnconfirmed);
+        return this.options.isConfirmed() ? { kind: "unknown-job" } : retryLater(RetryLaterReason.OwnerUnconfirmed);
     }
 
     async #submit(definition: JobDefinition): Promise<OwnerReply> {
-        const { cell, journal, outages } = this.options;
-        if (!this.#isOpenTo(definition)) {
+        const { cell, journal, outageLog: outages } = this.options;
+        if (!this.#isVisibleTo(definition)) {
             return { kind: "id-taken" };
         }
         const known = cell.jobs.get(definition.job);
-        if (known?.isKept === true) {
+        if (known?.isCommitted === true) {
             cell.submit(definition);
             return { kind: "accepted" };
         }
-        if (known === undefined && journal.silentFor() > stalledAfter) {
+        if (known === undefined && journal.silentFor() > journalStallTimeout) {
             outages?.noteRefused();
-            return notNow(NotNowReason.JournalStalled);
+            return retryLater(RetryLaterReason.JournalStalled);
         }
         if (known === undefined && !cell.knowsTermsOf(definition)) {
             // The VM that asks already has a newer configuration, which this owner is about to receive.
-            return notNow(NotNowReason.QueueUnknown);
+            return retryLater(RetryLaterReason.QueueUnknown);
         }
-        if (known === undefined && cell.isBeyondLimit(definition)) {
+        if (known === undefined && cell.exceedsLimit(definition)) {
             return { kind: "beyond-limit" };
         }
         cell.submit(definition);
-        return await this.#untilKept() ? { kind: "accepted" } : { kind: "uncertain" };
+        return await this.#untilCommitted() ? { kind: "accepted" } : { kind: "uncertain" };
     }
 
     async #cancel(job: JobId): Promise<OwnerReply> {
         if (!this.options.cell.cancel(job)) {
-            return this.#unknown(job);
+            return this.#unknownJobReply(job);
         }
-        return await this.#untilKept() ? { kind: "cancelled" } : { kind: "uncertain" };
+        return await this.#untilCommitted() ? { kind: "cancelled" } : { kind: "uncertain" };
     }
 
     /** Whether all records so far are committed within the timeout. */
-    async #untilKept(): Promise<boolean> {
-        const { clock, lost, turn, outages } = this.options;
+    async #untilCommitted(): Promise<boolean> {
+        const { clock, lost, runTurn: turn, outageLog: outages } = this.options;
         const kept = turn().then(isKept => isKept && !lost.aborted);
-        const isKept = await Promise.race([kept, clock.sleep(recordLimit).then(() => false)]);
+        const isKept = await Promise.race([kept, clock.sleep(commitTimeout).then(() => false)]);
         if (!isKept) {
             outages?.noteUncertain();
         }
@@ -111,4 +111,4 @@
     }
 }
 
-const notNow = (reason: NotNowReason): OwnerReply => ({ kind: "not-now", retryAfter: stalledRetryAfter, reason });
+const retryLater = (reason: RetryLaterReason): OwnerReply => ({ kind: "not-now", retryAfter: retryLaterDelay, reason });
--- a/packages/entry/src/owner/restart-pauses.ts
+++ b/packages/entry/src/owner/restart-pauses.ts
@@ -1,8 +1,8 @@
 /** Backoff for workers that restart repeatedly. */
 import type { Milliseconds, WorkerId } from "@pebbledale/core";
-import { firstRestartPause, freeRestarts, longestRestartPause, restartMemory } from "./constants.js";
+import { maxRestartBackoff, minRestartBackoff, restartsWithoutBackoff, restartWindow } from "./constants.js";
 
-interface Restarts {
+interface RestartHistory {
     count: number;
     lastAt: Milliseconds;
 }
@@ -11,26 +11,26 @@
  * Delays the first poll of a worker's next link with exponential backoff after repeated restarts. Without it, a worker
  * that reports another incarnation in each answer keeps the owner and the VM busy with restarts.
  */
-export class RestartPauses {
-    readonly #restarts = new Map<WorkerId, Restarts>();
+export class RestartBackoff {
+    readonly #restarts = new Map<WorkerId, RestartHistory>();
 
     constructor(private readonly now: () => Milliseconds) {}
 
-    note(worker: WorkerId): void {
+    noteRestart(worker: WorkerId): void {
         const now = this.now();
         const known = this.#restarts.get(worker);
-        const isOfLate = known !== undefined && now - known.lastAt < restartMemory;
+        const isOfLate = known !== undefined && now - known.lastAt < restartWindow;
         this.#restarts.set(worker, { count: isOfLate ? known.count + 1 : 1, lastAt: now });
     }
 
     /** Delay before the first poll of the next link; 0 when there is none. */
-    of(worker: WorkerId): Milliseconds {
+    delayOf(worker: WorkerId): Milliseconds {
         const known = this.#restarts.get(worker);
-        if (known === undefined || this.now() - known.lastAt >= restartMemory) {
+        if (known === undefined || this.now() - known.lastAt >= restartWindow) {
             this.#restarts.delete(worker);
             return 0;
         }
-        const doublings = known.count - freeRestarts - 1;
-        return doublings < 0 ? 0 : Math.min(longestRestartPause, firstRestartPause * 2 ** doublings);
+        const doublings = known.count - restartsWithoutBackoff - 1;
+        return doublings < 0 ? 0 : Math.min(maxRestartBackoff, minRestartBackoff * 2 ** doublings);
     }
 }
--- a/packages/entry/src/owner/types.ts
+++ b/packages/entry/src/owner/types.ts
@@ -1,6 +1,6 @@
 /** Options and results of an owner's session. */
-import type { CellConfiguration, VmService, WaveBoard, WorkerDirectory } from "@pebbledale/cell";
-import type { GapClock, Journal, JournalContents, Milliseconds } from "@pebbledale/core";
+import type { CellConfiguration, VmService, WaveStatusReporter, WorkerDirectory } from "@pebbledale/cell";
+import type { Journal, JournalContents, Milliseconds, SuspensionAwareClock } from "@pebbledale/core";
 import type { EventLogger } from "@pebbledale/runtime";
 import type { FollowLimits } from "../following/index.js";
 import type { EntryMetrics } from "../observation/index.js";
@@ -12,13 +12,13 @@
     readonly directory: WorkerDirectory;
     /** Limits on the age of the workers' entries. */
     readonly followLimits: FollowLimits;
-    readonly clock: GapClock;
+    readonly clock: SuspensionAwareClock;
     readonly logger: EventLogger;
     readonly metrics: EntryMetrics;
     readonly name: string;
     readonly configuration: CellConfiguration | undefined;
     /** How long after a takeover leases granted by earlier owners may be in force at an unreachable worker. */
-    readonly formerLeases: Milliseconds;
+    readonly formerLeaseLength: Milliseconds;
     /** Time of the store's last confirmation that this VM owns the cell, on the monotonic clock. */
     readonly confirmedAt: () => Milliseconds;
     /**
@@ -37,7 +37,7 @@
     /** Called while a considerably larger VM is connected and no handover is in progress. */
     readonly onLargerVm: () => void;
     /** Whether this VM has lost the connection to most of the others. */
-    readonly isCutOff: () => boolean;
+    readonly isIsolated: () => boolean;
     /** Called with a configuration received from a VM. */
     readonly onConfiguration: (configuration: CellConfiguration) => void;
     /** Access to the platform's upkeep service; undefined where there is none. */
@@ -47,7 +47,7 @@
 /** Dependencies for waves of upkeep. */
 export interface OwnerUpkeep {
     readonly vms: VmService;
-    readonly board: WaveBoard;
+    readonly board: WaveStatusReporter;
     readonly upkeepTime: Milliseconds;
     readonly turnLength: Milliseconds;
 }
--- a/packages/entry/src/owner/vm-link.ts
+++ b/packages/entry/src/owner/vm-link.ts
@@ -5,9 +5,9 @@
 import type { StoreOperation } from "../store-relay/index.js";
 
 /** Timeout of store calls through a VM, in milliseconds; for a watch it is added to the duration of the watch. */
-const storeCallLimit: Milliseconds = 1_000;
+const storeCallTimeout: Milliseconds = 1_000;
 
-interface StoreCall {
+interface PendingStoreCall {
     readonly resolve: (answer: unknown) => void;
     readonly reject: (cause: Error) => void;
     readonly timer: NodeJS.Timeout;
@@ -19,12 +19,12 @@
  */
 export class VmLink {
     readonly workers = new Set<WorkerId>();
-    heardAt: Milliseconds;
+    lastHeardAt: Milliseconds;
     /** Whether the VM is about to stop and must not get links or questions. */
     isLeaving = false;
     /** Whether the last store call through this VM failed. */
     isStoreDoubtful = false;
-    readonly #calls = new Map<number, StoreCall>();
+    readonly #pendingCalls = new Map<number, PendingStoreCall>();
     #nextCall = 1;
 
     constructor(
@@ -33,11 +33,11 @@
         /** Connection time on the owner's monotonic clock. */
         readonly connectedAt: Milliseconds,
     ) {
-        this.heardAt = connectedAt;
+        this.lastHeardAt = connectedAt;
     }
 
     /** Number of links per core, counting one more than the VM has. */
-    get load(): number {
+    get loadWithOneMore(): number {
         return (this.workers.size + 1) / this.vm.processorShare;
     }
 
@@ -46,21 +46,21 @@
      */
     callStore(operation: StoreOperation): Promise<unknown> {
         const call = this.#nextCall++;
-        const limit = storeCallLimit + (operation.kind === "changes" ? operation.duration : 0);
+        const limit = storeCallTimeout + (operation.kind === "changes" ? operation.duration : 0);
         return new Promise((resolve, reject) => {
-            const timer = setTimeout(() => this.takeStoreAnswer(call, false, undefined), limit);
-            this.#calls.set(call, { resolve, reject, timer });
+            const timer = setTimeout(() => this.settleStoreCall(call, false, undefined), limit);
+            this.#pendingCalls.set(call, { resolve, reject, timer });
             this.channel.send({ kind: "store-call", call, operation });
         });
     }
 
     /** Settles a store call with its answer or failure; ignores calls that have already been settled. */
-    takeStoreAnswer(number: number, isAnswered: boolean, answer: unknown, cause = "no answer"): void {
-        const call = this.#calls.get(number);
+    settleStoreCall(number: number, isAnswered: boolean, answer: unknown, cause = "no answer"): void {
+        const call = this.#pendingCalls.get(number);
         if (call === undefined) {
             return;
         }
-        this.#calls.delete(number);
+        this.#pendingCalls.delete(number);
         clearTimeout(call.timer);
         this.isStoreDoubtful = !isAnswered;
         if (isAnswered) {
@@ -72,7 +72,7 @@
     }
 
     /** Rejects all store calls in progress because the connection has ended. */
-    dropCalls(): void {
-        [...this.#calls.keys()].forEach(call => this.takeStoreAnswer(call, false, undefined));
+    failPendingCalls(): void {
+        [...this.#pendingCalls.keys()].forEach(call => this.settleStoreCall(call, false, undefined));
     }
 }
--- a/packages/entry/src/owner/worker-inbox.ts
+++ b/packages/entry/src/owner/worker-inbox.ts
@@ -3,27 +3,27 @@
 import type { Clock, Milliseconds, WorkerId } from "@pebbledale/core";
 import type { WorkerMessage } from "../protocol/index.js";
 import type { Assignment, Assignments } from "./assignments.js";
-import { lookAgeMargin } from "./constants.js";
+import { pollAgeMargin } from "./constants.js";
 import type { VmLink } from "./vm-link.js";
 
 /** Dependencies of the report handler. */
-export interface WorkerInboxOptions {
+export interface WorkerReportHandlerOptions {
     readonly cell: CellScheduler;
     readonly assignments: Assignments;
     readonly clock: Clock;
     /** When all leases granted by earlier owners have expired, also at unreachable workers, on the monotonic clock. */
-    readonly formerLeasesOverAt: Milliseconds;
+    readonly formerLeasesExpireAt: Milliseconds;
     /** Called when a worker has seen a higher fencing token than this owner's. */
     readonly onFenced: (worker: WorkerId) => void;
 }
 
 /** Applies the reports of VMs on their links to the scheduler, and ignores reports of links that have been replaced. */
-export class WorkerInbox {
-    constructor(private readonly options: WorkerInboxOptions) {}
+export class WorkerReportHandler {
+    constructor(private readonly options: WorkerReportHandlerOptions) {}
 
-    take(link: VmLink, message: WorkerMessage): void {
+    handle(link: VmLink, message: WorkerMessage): void {
         const { cell, assignments, onFenced } = this.options;
-        const assignment = assignments.under(message.assignment, message.worker, link);
+        const assignment = assignments.find(message.assignment, message.worker, link);
         if (assignment === undefined) {
             // The worker has another link by now, whose first poll reports everything. A poll of the former link would
             // settle orders that may still reach the worker.
@@ -31,28 +31,28 @@
         }
         switch (message.kind) {
             case "looked":
-                this.#takeLook(link, assignment, message);
+                this.#handlePoll(link, assignment, message);
                 break;
             case "ends":
-                cell.takeEnds(message.worker, message.ended);
+                cell.applyEnds(message.worker, message.ended);
                 break;
             case "started":
-                this.#takeStarted(message);
+                this.#handleStartResult(message);
                 break;
             case "silent":
-                cell.takeSilence(message.worker, this.#lapsesAt(message.worker, message.lapsesIn), {
+                cell.applySilence(message.worker, this.#leasesExpireAt(message.worker, message.lapsesIn), {
                     cause: message.cause,
                     heardAgo: message.heardAgo,
                 });
                 break;
             case "restarted":
-                cell.takeRestart(message.worker, message.life);
+                cell.applyRestart(message.worker, message.life);
                 assignments.noteRestart(message.worker);
-                assignments.noteDoubt(message.worker, message.doubtfulFor ?? 0);
+                assignments.extendLateOrderWindow(message.worker, message.doubtfulFor ?? 0);
                 this.#endLink(link, message.worker);
                 break;
             case "other-life":
-                cell.takeOtherLife(message.worker);
+                cell.applyReplacement(message.worker);
                 this.#endLink(link, message.worker);
                 break;
             case "fenced":
@@ -67,12 +67,16 @@
         this.options.assignments.remove(worker);
     }
 
-    #takeLook(link: VmLink, assignment: Assignment, { worker, look, age }: WorkerMessage & { kind: "looked"; }): void {
+    #handlePoll(
+        link: VmLink,
+        assignment: Assignment,
+        { worker, look, age }: WorkerMessage & { kind: "looked"; },
+    ): void {
         const { cell, clock } = this.options;
-        const settledBefore = assignment.hasLooked ? -Infinity : assignment.since;
-        assignment.hasLooked = true;
+        const settledBefore = assignment.hasPolled ? -Infinity : assignment.assignedAt;
+        assignment.hasPolled = true;
         this.#resumeIfSilent(link, worker);
-        cell.takeLook(worker, look, clock.monotonic() - age - lookAgeMargin, settledBefore);
+        cell.applyPoll(worker, look, clock.monotonic() - age - pollAgeMargin, settledBefore);
     }
 
     /** Allows leases again at a worker that answers after a silence, as expired leases have been taken into account. */
@@ -82,18 +86,18 @@
         }
     }
 
-    #takeStarted({ worker, task, run, refusal }: WorkerMessage & { kind: "started"; }): void {
+    #handleStartResult({ worker, task, run, refusal }: WorkerMessage & { kind: "started"; }): void {
         const { cell } = this.options;
         if (refusal === undefined) {
-            cell.startTaken(worker, task, run);
+            cell.startAccepted(worker, task, run);
             return;
         }
         cell.startRefused(worker, task, run, refusal === "not-delivered" ? undefined : refusal);
     }
 
     /** Before this owner's first poll of the worker, leases of an earlier owner may outlast those of the link. */
-    #lapsesAt(worker: WorkerId, lapsesIn: Milliseconds): Milliseconds {
-        const { cell, clock, formerLeasesOverAt } = this.options;
+    #leasesExpireAt(worker: WorkerId, lapsesIn: Milliseconds): Milliseconds {
+        const { cell, clock, formerLeasesExpireAt: formerLeasesOverAt } = this.options;
         const lapsesAt = clock.monotonic() + lapsesIn;
         return cell.workers.get(worker)?.isClaimed === true ? lapsesAt : Math.max(lapsesAt, formerLeasesOverAt);
     }
--- a/packages/entry/src/ownership/campaign.ts
+++ b/packages/entry/src/ownership/campaign.ts
@@ -3,12 +3,12 @@
 import type { CellView, EntryVm } from "../membership/index.js";
 import {
     equalCandidateDelay,
-    firstWordLimit,
-    gatheringPause,
+    firstMessageTimeout,
+    formationQuietTime,
     largerCandidateDelay,
-    ownerHeardLately,
-    ownerKeyBack,
-    ownerSuspectedAfter,
+    ownerKeyRestoreTimeout,
+    ownerRecentlyHeardWindow,
+    ownerSuspicionTimeout,
 } from "./constants.js";
 
 /** What a candidate knows at a point in time. */
@@ -46,7 +46,7 @@
 };
 
 /** Reason of a claim that is only valid if the other VMs do not hear the owner either. */
-export const ownerIsSilent = "the owner is silent";
+export const ownerSilentReason = "the owner is silent";
 
 const reasonToSuspect = ({ view, now, heardSilence }: CampaignInput): string | undefined => {
     if (heardSilence === undefined) {
@@ -54,26 +54,26 @@
     }
     // Messages before this owner's claim came from an earlier one: a new owner reads the journal before it sends any.
     const hasSpoken = now - heardSilence > view.ownerSince;
-    const isSilent = hasSpoken ? heardSilence > ownerSuspectedAfter : now - view.ownerSince > firstWordLimit;
-    return isSilent ? ownerIsSilent : undefined;
+    const isSilent = hasSpoken ? heardSilence > ownerSuspicionTimeout : now - view.ownerSince > firstMessageTimeout;
+    return isSilent ? ownerSilentReason : undefined;
 };
 
 const reasonWithoutOwner = ({ view, ownerSilence, now }: CampaignInput): string | undefined => {
     if (view.ownerMissingSince === undefined) {
         return undefined;
     }
-    if (ownerSilence > ownerHeardLately) {
+    if (ownerSilence > ownerRecentlyHeardWindow) {
         return "there is no owner";
     }
-    return now - view.ownerMissingSince > ownerKeyBack ? "the owner has not restored its key" : undefined;
+    return now - view.ownerMissingSince > ownerKeyRestoreTimeout ? "the owner has not restored its key" : undefined;
 };
 
 /** Whether VMs are still joining, as after a start of the whole cell, so that larger ones may follow. */
-export const isGathering = ({ view, now, isAsked }: CampaignInput): boolean =>
-    !isAsked && now - view.grownAt < gatheringPause;
+export const isCellForming = ({ view, now, isAsked }: CampaignInput): boolean =>
+    !isAsked && now - view.lastVmAddedAt < formationQuietTime;
 
 /** Whether only an event, and not the passing of time, can give a reason to claim. */
-export const isCalm = ({ view, heardSilence }: CampaignInput): boolean =>
+export const isOwnershipStable = ({ view, heardSilence }: CampaignInput): boolean =>
     view.owner !== undefined && heardSilence === undefined;
 
 /** How long this VM waits before it claims, so that larger VMs, and equal ones with a lower name, can go first. */
--- a/packages/entry/src/ownership/constants.ts
+++ b/packages/entry/src/ownership/constants.ts
@@ -4,7 +4,7 @@
 /** Interval at which a VM checks whether to claim the cell. */
 export const campaignInterval: Milliseconds = 50;
 /** The same while ownership is stable: events that could change it wake the candidate, and an idle VM wakes seldom. */
-export const calmCampaignInterval: Milliseconds = 1_000;
+export const stableCampaignInterval: Milliseconds = 1_000;
 /** Additional delay of a candidate's claim for each larger VM, which would serve the cell better. */
 export const largerCandidateDelay: Milliseconds = 120;
 /**
@@ -13,43 +13,43 @@
  */
 export const equalCandidateDelay: Milliseconds = 50;
 /** While the owner was heard this recently, a missing key is left to it to restore. */
-export const ownerHeardLately: Milliseconds = 600;
+export const ownerRecentlyHeardWindow: Milliseconds = 600;
 /** An owner that was not heard for this long is suspected. Too short for heartbeats every 250 ms: requires 125 ms. */
-export const ownerSuspectedAfter: Milliseconds = 400;
+export const ownerSuspicionTimeout: Milliseconds = 400;
 /**
  * An owner that has not sent its first message to a VM within this time of its claim is suspected; starting takes 0.2
  * to 0.5 s.
  */
-export const firstWordLimit: Milliseconds = 1_000;
+export const firstMessageTimeout: Milliseconds = 1_000;
 /** Other VMs confirm a suspicion when they have not heard the owner for this long. Requires heartbeats every 125 ms. */
-export const agreedSilence: Milliseconds = 300;
+export const agreedSilenceThreshold: Milliseconds = 300;
 /** Minimum time before a VM whose suspicion was not shared suspects the owner again. */
-export const suspicionPause: Milliseconds = 1_000;
+export const suspicionCooldown: Milliseconds = 1_000;
 /** Delay after a failed claim. */
 export const claimRetryDelay: Milliseconds = 300;
 /** Lifetime of the owner's key after its last renewal; bounds how late a silent owner is replaced. */
-export const ownerLease: Milliseconds = 1_000;
+export const ownerLeaseLength: Milliseconds = 1_000;
 /** Lifetime of an entry VM's key after its last renewal. */
-export const vmLease: Milliseconds = 4_000;
+export const vmLeaseLength: Milliseconds = 4_000;
 /** How long a stopping owner waits for the next one to appear. */
-export const handOverWait: Milliseconds = 1_500;
+export const handOverTimeout: Milliseconds = 1_500;
 /** Number of renewals of the owner's lease within its length. */
 export const renewalsPerLease = 3;
 /** How long a candidate waits for its dials before it considers itself isolated. */
-export const reachLimit: Milliseconds = 300;
+export const reachTimeout: Milliseconds = 300;
 /** An isolated candidate claims the cell all the same when no other VM has done so for this long. */
-export const isolationLimit: Milliseconds = 5_000;
+export const isolationTimeout: Milliseconds = 5_000;
 /**
  * An owner that is heard but has not restored its missing key by then is considered defective; a restore takes 0.4 s.
  */
-export const ownerKeyBack: Milliseconds = 1_500;
+export const ownerKeyRestoreTimeout: Milliseconds = 1_500;
 /**
  * Candidates wait until no new VM has joined for this long, so that larger ones are seen in a start of the whole cell.
  * VMs that start together join within 20 to 50 ms of each other.
  */
-export const gatheringPause: Milliseconds = 60;
+export const formationQuietTime: Milliseconds = 60;
 /**
  * Delay before a new owner connects its own VM, whose requests would otherwise hold up the first messages to the others
  * by 0.1 s.
  */
-export const firstMessagesTime: Milliseconds = 4;
+export const firstMessagesDelay: Milliseconds = 4;
--- a/packages/entry/src/ownership/owner-key.ts
+++ b/packages/entry/src/ownership/owner-key.ts
@@ -9,8 +9,8 @@
     type PlatformStore,
 } from "@pebbledale/core";
 import type { EventLogger } from "@pebbledale/runtime";
-import { ownerKey, revokeLimit } from "../membership/index.js";
-import { DependencyWatch } from "../observation/index.js";
+import { ownerKey, revokeTimeout } from "../membership/index.js";
+import { DependencyMonitor } from "../observation/index.js";
 import { renewalsPerLease } from "./constants.js";
 
 /** Dependencies and parameters of the owner's key. */
@@ -34,18 +34,18 @@
  * unless another process has it.
  */
 export class OwnerKey {
-    readonly #watch: DependencyWatch;
+    readonly #watch: DependencyMonitor;
     #lease: PlatformLeaseId | undefined;
     #confirmedAt = -Infinity;
     /** A lease requested ahead of a claim. */
     #prepared: PreparedLease | undefined;
     /** Pending reclaim of a key whose lease has expired. */
-    #claiming: Promise<unknown> | undefined;
+    #reclaim: Promise<unknown> | undefined;
 
     constructor(private readonly options: OwnerKeyOptions) {
         const { logger, clock } = options;
         const { ownerKeyFailed: lost, ownerKeyRestored: regained } = logEvents;
-        this.#watch = new DependencyWatch({ logger, clock, lost, regained });
+        this.#watch = new DependencyMonitor({ logger, clock, lostEvent: lost, recoveredEvent: regained });
     }
 
     /**
@@ -58,7 +58,7 @@
 
     /** Requests the lease for a possible claim, so that a slow store answers in the meantime. */
     prepare(): void {
-        this.#prepared = this.#askForLease();
+        this.#prepared = this.#requestLease();
         // A failure is handled when the lease is used.
         this.#prepared.granted.catch(() => undefined);
     }
@@ -66,7 +66,7 @@
     /** Claims the key if its version is still `expected`; resolves to false when another process was first. */
     async claim(expected: KeyVersion): Promise<boolean> {
         const { store, value } = this.options;
-        const { sentAt, granted } = this.#prepared ?? this.#askForLease();
+        const { sentAt, granted } = this.#prepared ?? this.#requestLease();
         this.#prepared = undefined;
         const lease = await granted;
         const outcome = await store.compareAndSwap(ownerKey, expected, value, lease);
@@ -80,7 +80,7 @@
     }
 
     /** Keeps the key alive until `signal` fires, then releases it. */
-    async keep(signal: AbortSignal): Promise<void> {
+    async keepAlive(signal: AbortSignal): Promise<void> {
         const { clock, leaseLength } = this.options;
         while (!signal.aborted) {
             await clock.sleep(leaseLength / renewalsPerLease, signal);
@@ -90,23 +90,23 @@
             }
         }
         // If the store does not answer, the lease expires by itself.
-        await Promise.race([this.#giveUp(), clock.sleep(revokeLimit)]);
+        await Promise.race([this.#release(), clock.sleep(revokeTimeout)]);
     }
 
-    async #giveUp(): Promise<void> {
+    async #release(): Promise<void> {
         const { store } = this.options;
-        await this.#claiming?.catch((cause: unknown) => this.#watch.noteFailure(cause));
+        await this.#reclaim?.catch((cause: unknown) => this.#watch.recordFailure(cause));
         if (this.#lease !== undefined) {
-            await store.revokeLease(this.#lease).catch((cause: unknown) => this.#watch.noteFailure(cause));
+            await store.revokeLease(this.#lease).catch((cause: unknown) => this.#watch.recordFailure(cause));
         }
     }
 
     /** Renews the lease immediately, without waiting for the result. */
     confirm(signal: AbortSignal): void {
-        void this.#renew(signal).then(() => this.#watch.noteAnswer(), cause => this.#watch.noteFailure(cause));
+        void this.#renew(signal).then(() => this.#watch.recordSuccess(), cause => this.#watch.recordFailure(cause));
     }
 
-    #askForLease(): PreparedLease {
+    #requestLease(): PreparedLease {
         const { store, clock, leaseLength } = this.options;
         return { sentAt: clock.monotonic(), granted: store.grantLease(leaseLength) };
     }
@@ -125,8 +125,8 @@
         if (lease === this.#lease && !signal.aborted) {
             this.#lease = undefined;
             this.#confirmedAt = -Infinity;
-            this.#claiming ??= this.claim(absentVersion).finally(() => this.#claiming = undefined);
+            this.#reclaim ??= this.claim(absentVersion).finally(() => this.#reclaim = undefined);
         }
-        await this.#claiming;
+        await this.#reclaim;
     }
 }
--- a/packages/entry/src/protocol/messages.ts
+++ b/packages/entry/src/protocol/messages.ts
@@ -5,8 +5,8 @@
     CellJobState,
     EndedRun,
     JobDefinition,
-    Look,
     OrderRefusal,
+    PollResult,
     WorkerCommand,
 } from "@pebbledale/cell";
 import type {
@@ -18,7 +18,7 @@
     RunNumber,
     TaskAddress,
     WorkerId,
-    WorkerLife,
+    WorkerIncarnation,
 } from "@pebbledale/core";
 import type { Milliseconds } from "@pebbledale/core";
 import type { StoreOperation } from "../store-relay/index.js";
@@ -36,7 +36,7 @@
     readonly worker: WorkerId;
     readonly address: string;
     /** The incarnation that the link is for; if omitted, the first one that answers. */
-    readonly life?: WorkerLife;
+    readonly life?: WorkerIncarnation;
     /** Initial fencing token of the link's orders. The link raises it by small steps to resolve unanswered orders. */
     readonly token: FencingToken;
     /** Whether the worker has announced that it is leaving. */
@@ -48,7 +48,7 @@
 }
 
 /** The worker has announced that it is leaving: its leases are shortened. */
-export interface WorkerLeavesMessage {
+export interface WorkerLeavingMessage {
     readonly kind: "worker-leaves";
     readonly worker: WorkerId;
 }
@@ -73,7 +73,7 @@
 }
 
 /** A request to be sent to the advice service. */
-export interface AskMessage {
+export interface AdviceQuestionMessage {
     readonly kind: "ask";
     readonly question: number;
     readonly step: string;
@@ -96,7 +96,7 @@
 }
 
 /** Requests the receiver's configuration. */
-export interface WantConfigurationMessage {
+export interface ConfigurationRequestMessage {
     readonly kind: "want-configuration";
 }
 
@@ -125,14 +125,14 @@
 }
 
 /** Heartbeat of the owner. */
-export interface OwnerBeatMessage {
+export interface OwnerHeartbeatMessage {
     readonly kind: "beat";
     /** Whether leases may be granted: the store has recently confirmed the sender as owner of the cell. */
     readonly mayLease: boolean;
 }
 
 /** Heartbeat of a VM. */
-export interface BeatMessage {
+export interface HeartbeatMessage {
     readonly kind: "beat";
 }
 
@@ -141,18 +141,18 @@
     | WelcomeMessage
     | AssignMessage
     | UnassignMessage
-    | WorkerLeavesMessage
+    | WorkerLeavingMessage
     | CommandMessage
     | AcknowledgeMessage
-    | AskMessage
+    | AdviceQuestionMessage
     | ReplyMessage
     | ConfigurationVersionMessage
-    | WantConfigurationMessage
+    | ConfigurationRequestMessage
     | ConfigurationMessage
     | StoreCallMessage
     | HandOverMessage
     | ResumeMessage
-    | OwnerBeatMessage;
+    | OwnerHeartbeatMessage;
 
 /**
  * First message of a VM on a connection: when it last heard an owner. Candidates dial all VMs before they claim the
@@ -167,23 +167,23 @@
 }
 
 /** Full result of polling a worker. */
-export interface LookedMessage {
+export interface PollResultMessage {
     readonly kind: "looked";
     readonly worker: WorkerId;
-    readonly look: Look;
+    readonly look: PollResult;
     /** Time since the poll was sent. */
     readonly age: Milliseconds;
 }
 
 /** Ended runs of a worker that were not reported on this link before. */
-export interface EndsMessage {
+export interface EndedRunsMessage {
     readonly kind: "ends";
     readonly worker: WorkerId;
     readonly ended: readonly EndedRun[];
 }
 
 /** Result of a start order. */
-export interface StartedMessage {
+export interface StartResultMessage {
     readonly kind: "started";
     readonly worker: WorkerId;
     readonly task: TaskAddress;
@@ -193,7 +193,7 @@
 }
 
 /** The worker has stopped answering. */
-export interface SilentMessage {
+export interface WorkerSilentMessage {
     readonly kind: "silent";
     readonly worker: WorkerId;
     /** Time until all leases granted on this link have expired. */
@@ -204,29 +204,29 @@
 }
 
 /** Another incarnation of the worker has answered, and the link is closed. */
-export interface RestartedMessage {
+export interface WorkerRestartedMessage {
     readonly kind: "restarted";
     readonly worker: WorkerId;
     /** Omitted where workers do not report their incarnation. */
-    readonly life?: WorkerLife;
+    readonly life?: WorkerIncarnation;
     /** How long orders sent on the closed link may still be carried out; to be passed to the next link. */
     readonly doubtfulFor?: Milliseconds;
 }
 
 /** A worker with another id answers at the address. */
-export interface OtherLifeMessage {
+export interface WrongWorkerMessage {
     readonly kind: "other-life";
     readonly worker: WorkerId;
 }
 
 /** The worker has seen a higher fencing token than this owner's. */
-export interface FencedMessage {
+export interface WorkerFencedMessage {
     readonly kind: "fenced";
     readonly worker: WorkerId;
 }
 
 /** Answer of the advice service; without `answer` when there was none. */
-export interface AdvisedMessage {
+export interface AdviceAnswerMessage {
     readonly kind: "advised";
     readonly question: number;
     readonly answer?: AdviceAnswer;
@@ -245,7 +245,7 @@
 }
 
 /** The VM is about to stop, and its links and questions should be reassigned. */
-export interface LeavingMessage {
+export interface VmLeavingMessage {
     readonly kind: "leaving";
 }
 
@@ -258,13 +258,13 @@
 
 /** Any report of a worker link. */
 export type WorkerReport =
-    | LookedMessage
-    | EndsMessage
-    | StartedMessage
-    | SilentMessage
-    | RestartedMessage
-    | OtherLifeMessage
-    | FencedMessage;
+    | PollResultMessage
+    | EndedRunsMessage
+    | StartResultMessage
+    | WorkerSilentMessage
+    | WorkerRestartedMessage
+    | WrongWorkerMessage
+    | WorkerFencedMessage;
 
 /**
  * A report together with the initial token of the link's assignment, so that reports of replaced links can be ignored.
@@ -274,15 +274,15 @@
 /** Any message from a VM to an owner. */
 export type VmMessage =
     | WorkerMessage
-    | AdvisedMessage
+    | AdviceAnswerMessage
     | RequestMessage
     | StoreAnswerMessage
-    | LeavingMessage
+    | VmLeavingMessage
     | ConfigurationVersionMessage
-    | WantConfigurationMessage
+    | ConfigurationRequestMessage
     | ConfigurationMessage
     | OwnerHeardMessage
-    | BeatMessage;
+    | HeartbeatMessage;
 
 /** A request that a front passes to the owner for a caller. */
 export type OwnerRequest =
@@ -292,13 +292,13 @@
     | { readonly kind: "pending"; readonly queue: QueueName; };
 
 /** Why the owner cannot serve a request yet. */
-export enum NotNowReason {
+export enum RetryLaterReason {
     /** The store has not confirmed the journal's last write for too long. */
     JournalStalled = "journal-stalled",
     /** The front has a newer configuration than the owner. */
     QueueUnknown = "queue-unknown",
     /** The job was submitted, and its record is not committed yet. */
-    NotKeptYet = "not-kept-yet",
+    NotCommittedYet = "not-kept-yet",
     /** The owner does not know the job, and the store has not recently confirmed its ownership. */
     OwnerUnconfirmed = "owner-unconfirmed",
 }
@@ -315,7 +315,7 @@
     /** A step of the job exceeds the organisation's limit; the job was not accepted. */
     | { readonly kind: "beyond-limit"; }
     /** Nothing was done; the request may be repeated after a delay. */
-    | { readonly kind: "not-now"; readonly retryAfter: Milliseconds; readonly reason: NotNowReason; }
+    | { readonly kind: "not-now"; readonly retryAfter: Milliseconds; readonly reason: RetryLaterReason; }
     /** Nothing was done: the cell is being handed over, and the next owner should be asked. */
     | { readonly kind: "handing-over"; }
     /** It is not known whether the request was carried out. */
--- a/packages/entry/src/protocol/socket-channel.ts
+++ b/packages/entry/src/protocol/socket-channel.ts
@@ -4,31 +4,31 @@
 import type { Channel } from "./channel.js";
 
 /** How long messages are collected into one batch, in milliseconds: a wake-up costs more than a message. */
-const bundleDelay: Milliseconds = 2;
+const batchDelay: Milliseconds = 2;
 
 /** Sends and receives batches of messages as JSON arrays over a WebSocket. */
 export class SocketChannel<Sent, Received> implements Channel<Sent, Received> {
     onClose: () => void = () => undefined;
-    #bundle: Sent[] = [];
+    #batch: Sent[] = [];
     #isClosed = false;
-    #take: ((message: Received) => void) | undefined;
+    #handler: ((message: Received) => void) | undefined;
     /** Messages received before a handler was set: the first batch may arrive with the handshake's response. */
-    #early: Received[] = [];
+    #undelivered: Received[] = [];
 
     constructor(private readonly socket: WebSocket) {
         socket.on("message", data => this.#receive(String(data)));
-        socket.on("close", () => this.#ended());
+        socket.on("close", () => this.#markClosed());
         socket.on("error", () => this.close());
     }
 
     get onMessage(): (message: Received) => void {
-        return message => this.#take?.(message);
+        return message => this.#handler?.(message);
     }
 
     set onMessage(take: (message: Received) => void) {
-        this.#take = take;
-        const early = this.#early;
-        this.#early = [];
+        this.#handler = take;
+        const early = this.#undelivered;
+        this.#undelivered = [];
         early.forEach(message => take(message));
     }
 
@@ -37,20 +37,20 @@
     }
 
     send(message: Sent): void {
-        this.#bundle.push(message);
-        if (this.#bundle.length === 1) {
-            setTimeout(() => this.#flush(), bundleDelay);
+        this.#batch.push(message);
+        if (this.#batch.length === 1) {
+            setTimeout(() => this.#flush(), batchDelay);
         }
     }
 
     close(): void {
         this.socket.terminate();
-        this.#ended();
+        this.#markClosed();
     }
 
     #flush(): void {
-        const bundle = this.#bundle;
-        this.#bundle = [];
+        const bundle = this.#batch;
+        this.#batch = [];
         if (this.socket.readyState === WebSocket.OPEN) {
             this.socket.send(JSON.stringify(bundle));
         }
@@ -58,16 +58,16 @@
 
     #receive(text: string): void {
         for (const message of JSON.parse(text) as Received[]) {
-            if (this.#take === undefined) {
-                this.#early.push(message);
+            if (this.#handler === undefined) {
+                this.#undelivered.push(message);
             }
             else {
-                this.#take(message);
+                this.#handler(message);
             }
         }
     }
 
-    #ended(): void {
+    #markClosed(): void {
         if (!this.#isClosed) {
             this.#isClosed = true;
             this.onClose();
--- a/packages/entry/test/ownership/campaign.test.ts
+++ b/packages/entry/test/ownership/campaign.test.ts
@@ -5,10 +5,10 @@
     type CampaignInput,
     CellView,
     claimDelay,
-    isCalm,
-    isGathering,
-    ownerIsSilent,
+    isCellForming,
+    isOwnershipStable,
     ownerKey,
+    ownerSilentReason,
     reasonToClaim,
     vmKey,
 } from "../../src/index.js";
@@ -57,8 +57,8 @@
     });
 
     it("not while VMs are still joining, as larger ones may follow", () => {
-        expect(isGathering(input({ now: 50 }))).toEqual(true);
-        expect(isGathering(input({ now: 500 }))).toEqual(false);
+        expect(isCellForming(input({ now: 50 }))).toEqual(true);
+        expect(isCellForming(input({ now: 500 }))).toEqual(false);
     });
 
     it("not while another VM owns it that was never heard", () => {
@@ -67,21 +67,25 @@
 
     it("by the passing of time alone only when there is no owner or it may be silent", () => {
         const view = viewOf(owner, "a", "b");
-        expect([isCalm(input({ view })), isCalm(input({})), isCalm(input({ view, heardSilence: 200 }))])
+        expect([
+            isOwnershipStable(input({ view })),
+            isOwnershipStable(input({})),
+            isOwnershipStable(input({ view, heardSilence: 200 })),
+        ])
             .toEqual([true, false, false]);
     });
 
     it("when an owner that was heard falls silent, if the other VMs do not hear it either", () => {
         const view = viewOf(owner, "a", "b");
         expect(reasonToClaim(input({ view, heardSilence: 200 }))).toEqual(undefined);
-        expect(reasonToClaim(input({ view, heardSilence: 500 }))).toEqual(ownerIsSilent);
+        expect(reasonToClaim(input({ view, heardSilence: 500 }))).toEqual(ownerSilentReason);
     });
 
     it("not because of an earlier owner's silence: a new owner is given time for its first message", () => {
         const view = viewOf(owner, "a", "b");
         view.ownerSince = 1_000;
         expect(reasonToClaim(input({ view, now: 1_300, heardSilence: 900 }))).toEqual(undefined);
-        expect(reasonToClaim(input({ view, now: 2_100, heardSilence: 1_700 }))).toEqual(ownerIsSilent);
+        expect(reasonToClaim(input({ view, now: 2_100, heardSilence: 1_700 }))).toEqual(ownerSilentReason);
     });
 
     it("at once when the owner's process is known to be gone", () => {
--- a/packages/entry/test/support/index.ts
+++ b/packages/entry/test/support/index.ts
@@ -10,7 +10,7 @@
 };
 
 /** Advances the clock in steps of 10 ms and settles after each. */
-export const pass = async (clock: ManualClock, milliseconds: number): Promise<void> => {
+export const advanceTime = async (clock: ManualClock, milliseconds: number): Promise<void> => {
     const step = 10;
     for (let elapsed = 0; elapsed < milliseconds; elapsed += step) {
         clock.advance(step);
--- a/packages/entry/test/support/observation.ts
+++ b/packages/entry/test/support/observation.ts
@@ -10,7 +10,7 @@
 }
 
 /** Logger that records events for later checks. */
-export class KeptLog implements EventLogger {
+export class RecordingLogger implements EventLogger {
     readonly logged: LoggedEvent[] = [];
 
     log(event: LogEvent, fields: Readonly<Record<string, unknown>> = {}): void {
@@ -19,8 +19,8 @@
 }
 
 /** Creates a request log with the logger and metrics that it writes to. */
-export const makeRequestLog = (clock: Clock): { log: RequestLog; kept: KeptLog; metrics: EntryMetrics; } => {
-    const kept = new KeptLog();
+export const makeRequestLog = (clock: Clock): { log: RequestLog; kept: RecordingLogger; metrics: EntryMetrics; } => {
+    const kept = new RecordingLogger();
     const metrics = new EntryMetrics();
     const owner = () => ({ epoch: 7, silence: 120 });
     return { log: new RequestLog({ logger: kept, metrics, clock, owner }), kept, metrics };
