--- a/packages/entry/src/links/vm-session.ts
+++ b/packages/entry/src/links/vm-session.ts
@@ -19,7 +19,7 @@
     VmMessage,
 } from "../protocol/index.js";
 import { performOperation, type StoreOperation } from "../store-relay/index.js";
-import { WorkerLinks } from "./links.js";
+import { WorkerLinks } from "./worker-links.js";
 
 /** Added to the expected duration of an advice request to give its timeout, in milliseconds. */
 const adviceTimeoutSlack: Milliseconds = 1_500;
--- a/packages/entry/src/links/worker-link.ts
+++ b/packages/entry/src/links/worker-link.ts
@@ -19,6 +19,7 @@
 } from "@pebbledale/core";
 import { createAbortController, type EventLogger } from "@pebbledale/runtime";
 import type { AssignMessage, WorkerReport } from "../protocol/index.js";
+import { BestEffortOrders } from "./best-effort-orders.js";
 import {
     acknowledgementTimeout,
     idleAfter,
@@ -35,9 +36,8 @@
     progressInterval,
     retryDelay,
 } from "./constants.js";
-import { EndedRunTracker } from "./end-numbers.js";
-import type { LossMonitor } from "./loss-watch.js";
-import { BestEffortOrders } from "./side-orders.js";
+import { EndedRunTracker } from "./ended-run-tracker.js";
+import type { LossMonitor } from "./loss-monitor.js";
 import { type ClockReading, WorkerLease } from "./worker-lease.js";
 
 /** Dependencies and parameters of a worker link. */
--- a/packages/entry/src/links/links.ts
+++ b/packages/entry/src/links/worker-links.ts
@@ -4,7 +4,7 @@
 import type { EventLogger } from "@pebbledale/runtime";
 import type { AssignMessage, CommandMessage, WorkerMessage } from "../protocol/index.js";
 import { ownerSilenceLimit, staleMessageWindow } from "./constants.js";
-import { LossMonitor } from "./loss-watch.js";
+import { LossMonitor } from "./loss-monitor.js";
 import { WorkerLink } from "./worker-link.js";
 
 /** Dependencies of the worker links. */
--- a/packages/entry/src/owner/assignments.ts
+++ b/packages/entry/src/owner/assignments.ts
@@ -3,7 +3,7 @@
 import { type Epoch, type FencingToken, fencingToken, type Milliseconds, type WorkerId } from "@pebbledale/core";
 import type { AssignMessage } from "../protocol/index.js";
 import { assignmentsPerEpoch, tokensPerAssignment } from "./constants.js";
-import { RestartBackoff } from "./restart-pauses.js";
+import { RestartBackoff } from "./restart-backoff.js";
 import type { VmLink } from "./vm-link.js";
 
 /** The link to one worker as it is assigned to a VM. */
--- a/packages/entry/src/owner/owner-session.ts
+++ b/packages/entry/src/owner/owner-session.ts
@@ -32,17 +32,17 @@
     tickInterval,
     vmSilenceTimeout,
 } from "./constants.js";
-import { WorkerEntryFollowSource } from "./followed-workers.js";
-import { IntervalTimer } from "./interval.js";
-import { JournalOutageLog } from "./outage-log.js";
+import { IntervalTimer } from "./interval-timer.js";
+import { JournalOutageLog } from "./journal-outage-log.js";
 import { relayOrder } from "./relay-order.js";
-import { RequestHandler } from "./request-desk.js";
+import { RequestHandler } from "./request-handler.js";
 import { chooseSuccessor } from "./successor.js";
 import { TurnRunner } from "./turn-runner.js";
 import { HandOverOutcome, type OwnerSessionOptions } from "./types.js";
-import { UpkeepController } from "./upkeep-keeper.js";
+import { UpkeepController } from "./upkeep-controller.js";
 import { VmLink } from "./vm-link.js";
-import { WorkerReportHandler } from "./worker-inbox.js";
+import { WorkerEntryFollowSource } from "./worker-entry-follow-source.js";
+import { WorkerReportHandler } from "./worker-report-handler.js";
 
 /**
  * Runs the scheduler of a cell while this VM owns it: feeds it with messages of the VMs, entries of the store and the
--- a/packages/entry/src/owner/request-desk.ts
+++ b/packages/entry/src/owner/request-handler.ts
@@ -3,7 +3,7 @@
 import type { Clock, JobId, Journal, OrganisationName } from "@pebbledale/core";
 import { type OwnerReply, type OwnerRequest, RetryLaterReason } from "../protocol/index.js";
 import { commitTimeout, journalStallTimeout, retryLaterDelay } from "./constants.js";
-import type { JournalOutageLog } from "./outage-log.js";
+import type { JournalOutageLog } from "./journal-outage-log.js";
 
 /** Dependencies of the request handler. */
 export interface RequestHandlerOptions {
--- a/packages/entry/src/owner/turn-runner.ts
+++ b/packages/entry/src/owner/turn-runner.ts
@@ -3,7 +3,7 @@
 import type { Journal, Milliseconds, SuspensionAwareClock } from "@pebbledale/core";
 import type { Assignments } from "./assignments.js";
 import { confirmationPollInterval } from "./constants.js";
-import { CyclePacer } from "./pass-pacer.js";
+import { CyclePacer } from "./cycle-pacer.js";
 
 /** Dependencies of the turn runner. */
 export interface TurnRunnerOptions {
--- a/packages/entry/src/peers/index.ts
+++ b/packages/entry/src/peers/index.ts
@@ -1,3 +1,3 @@
 /** Connections between entry VMs. */
-export * from "./server.js";
+export * from "./connections.js";
 export * from "./vm-dialer.js";
--- a/packages/entry/src/peers/vm-dialer.ts
+++ b/packages/entry/src/peers/vm-dialer.ts
@@ -3,7 +3,7 @@
 import type { CellView, EntryVm } from "../membership/index.js";
 import { dialRetryDelay, dialTimeout, vmRetention } from "../owner/constants.js";
 import type { Channel, OwnerMessage, VmMessage } from "../protocol/index.js";
-import { dialVm } from "./server.js";
+import { dialVm } from "./connections.js";
 
 /** Receiver of the connections that are opened. */
 export interface VmConnections {
--- a/packages/entry/test/owner/hand-over.test.ts
+++ b/packages/entry/test/owner/hand-over.test.ts
@@ -8,7 +8,7 @@
 import { expect } from "earl";
 import { describe, it } from "node:test";
 import { type Assignments, TurnRunner } from "../../src/index.js";
-import { RequestHandler } from "../../src/owner/request-desk.js";
+import { RequestHandler } from "../../src/owner/request-handler.js";
 import { configuration, queue } from "../support/configuration.js";
 import { advanceTime } from "../support/index.js";
 
--- a/packages/entry/test/owner/outage-log.test.ts
+++ b/packages/entry/test/owner/journal-outage-log.test.ts
@@ -1,7 +1,7 @@
 import { logEvents, ManualClock } from "@pebbledale/core";
 import { expect } from "earl";
 import { describe, it } from "node:test";
-import { JournalOutageLog } from "../../src/owner/outage-log.js";
+import { JournalOutageLog } from "../../src/owner/journal-outage-log.js";
 import { RecordingLogger } from "../support/index.js";
 
 describe("the log of journal outages", () => {
--- a/packages/entry/test/owner/organisations.test.ts
+++ b/packages/entry/test/owner/organisations.test.ts
@@ -3,7 +3,7 @@
 import { jobId, type Journal, ManualClock, organisationName } from "@pebbledale/core";
 import { expect } from "earl";
 import { describe, it } from "node:test";
-import { RequestHandler } from "../../src/owner/request-desk.js";
+import { RequestHandler } from "../../src/owner/request-handler.js";
 import { configuration, queue } from "../support/configuration.js";
 import { makeStep } from "../support/steps.js";
 
--- a/packages/entry/test/owner/request-desk.test.ts
+++ b/packages/entry/test/owner/request-handler.test.ts
@@ -4,7 +4,7 @@
 import { expect } from "earl";
 import { describe, it } from "node:test";
 import { RetryLaterReason } from "../../src/index.js";
-import { RequestHandler } from "../../src/owner/request-desk.js";
+import { RequestHandler } from "../../src/owner/request-handler.js";
 
 /** A cell without jobs. */
 const emptyCell = {
