--- a/packages/entry/src/links/best-effort-orders.ts
+++ b/packages/entry/src/links/best-effort-orders.ts
@@ -23,13 +23,13 @@
 
     /** Sends a stop order once. The owner repeats it while polls show the run. */
     async stop(command: StopCommand): Promise<void> {
-        const { client, signal, token, onStopUnanswered: onStopLost } = this.options;
+        const { client, signal, token, onStopUnanswered } = this.options;
         try {
             await client.stop({ task: command.task, run: command.run, token: token() }, maxAnswerTimeout, signal);
         }
         catch (cause) {
             this.logUnanswered(command, cause);
-            onStopLost();
+            onStopUnanswered();
         }
     }
 
--- a/packages/entry/src/links/constants.ts
+++ b/packages/entry/src/links/constants.ts
@@ -53,10 +53,10 @@
  */
 export const staleMessageWindow: Milliseconds = 300;
 /**
- * Maximum length of leases at a worker that is leaving: only their expiry proves that its runs are over. Three times
+ * Maximum length of leases at a draining worker: only their expiry proves that its runs are over. Three times
  * the longest gap in renewals when an owner is replaced.
  */
-export const leavingLeaseLength: Milliseconds = 3_000;
+export const drainingLeaseLength: Milliseconds = 3_000;
 /** Maximum relative slowness of a worker's clock, which the worker protocol limits to 2%. */
 export const maxClockDrift = 0.02;
 /** Maximum number of attempts to send a pace order. */
--- a/packages/entry/src/links/ended-run-tracker.ts
+++ b/packages/entry/src/links/ended-run-tracker.ts
@@ -14,7 +14,7 @@
      * Time of the last answer, reset by each unanswered call. The worker is only told to forget ended runs soon after
      * an answer: a new incarnation would apply the numbers to its own runs, whose ends would then never be seen.
      */
-    #answeredAt: Milliseconds = -Infinity;
+    #lastAnswerAt: Milliseconds = -Infinity;
 
     constructor(private readonly clock: Clock) {}
 
@@ -36,24 +36,24 @@
      * The number up to which a poll sent now may let the worker forget ended runs; 0 unless its incarnation is certain.
      */
     takeForPoll(): number {
-        const isSure = this.clock.monotonic() - this.#answeredAt <= sameIncarnationWindow;
-        this.#answeredAt = -Infinity;
-        return isSure ? this.#committedThrough : 0;
+        const isSameIncarnation = this.clock.monotonic() - this.#lastAnswerAt <= sameIncarnationWindow;
+        this.#lastAnswerAt = -Infinity;
+        return isSameIncarnation ? this.#committedThrough : 0;
     }
 
-    noteAnswer(): void {
-        this.#answeredAt = this.clock.monotonic();
+    recordAnswer(): void {
+        this.#lastAnswerAt = this.clock.monotonic();
     }
 
     /** Records an unanswered call, after which the worker may have another incarnation. */
-    noteLost(): void {
-        this.#answeredAt = -Infinity;
+    recordUnanswered(): void {
+        this.#lastAnswerAt = -Infinity;
     }
 
     /** Returns the runs that were not reported yet and marks them as reported. */
     takeUnreported(ended: readonly EndedRun[]): EndedRun[] {
-        const fresh = ended.filter(({ number }) => number > this.#reportedThrough);
-        this.#reportedThrough = Math.max(this.#reportedThrough, ...fresh.map(({ number }) => number));
-        return fresh;
+        const unreported = ended.filter(({ number }) => number > this.#reportedThrough);
+        this.#reportedThrough = Math.max(this.#reportedThrough, ...unreported.map(({ number }) => number));
+        return unreported;
     }
 }
--- a/packages/entry/src/links/loss-monitor.ts
+++ b/packages/entry/src/links/loss-monitor.ts
@@ -13,7 +13,7 @@
     constructor(private readonly clock: Clock, private readonly logger: EventLogger) {}
 
     /** Records the loss of an answer. */
-    noteLoss(): void {
+    recordLoss(): void {
         if (!this.hasRecentLoss) {
             this.logger.log(logEvents.answersLost, { remembered: lossWindow });
         }
--- a/packages/entry/src/links/vm-session.ts
+++ b/packages/entry/src/links/vm-session.ts
@@ -70,7 +70,7 @@
     #lastHeardAt = -Infinity;
     /** When the owner was last sent a heartbeat or a worker's message, which serves as one. */
     #lastSentAt = -Infinity;
-    #isLeaving = false;
+    #isStopping = false;
 
     constructor(private readonly options: VmSessionOptions) {
         this.#links = new WorkerLinks({
@@ -130,7 +130,7 @@
 
     /** Announces to this owner and its successors that this VM is about to stop. */
     announceLeaving(): void {
-        this.#isLeaving = true;
+        this.#isStopping = true;
         this.#channel?.send({ kind: "leaving" });
     }
 
@@ -139,9 +139,9 @@
         const { clock } = this.options;
         while (!signal.aborted) {
             const sleptAt = clock.monotonic();
-            const countedSince = clock.uninterruptedSince();
+            const uninterruptedSince = clock.uninterruptedSince();
             await clock.sleep(heartbeatInterval, signal);
-            if (clock.uninterruptedSince() !== countedSince) {
+            if (clock.uninterruptedSince() !== uninterruptedSince) {
                 this.options.logger.log(logEvents.timeMissed, { epoch: this.#epoch });
             }
             if (clock.monotonic() - this.#lastSentAt >= heartbeatInterval) {
@@ -174,20 +174,20 @@
         this.#links.closeAll();
         this.#epoch = epoch;
         this.#channel = channel;
-        this.#noteHeard();
-        this.#links.noteOwnerHeard();
+        this.#recordHeard();
+        this.#links.recordOwnerHeard();
         if (former !== undefined && former !== channel) {
             former.close();
         }
         this.#dropRequests();
-        if (this.#isLeaving) {
+        if (this.#isStopping) {
             channel.send({ kind: "leaving" });
         }
         this.options.onOwnerChange(true);
     }
 
     #handle(message: OwnerMessage): void {
-        this.#noteHeard();
+        this.#recordHeard();
         switch (message.kind) {
             case "assign":
                 this.#links.assign(message);
@@ -196,10 +196,10 @@
                 this.#links.unassign(message.worker);
                 break;
             case "command":
-                this.#links.command(message);
+                this.#links.forwardOrder(message);
                 break;
             case "worker-leaves":
-                this.#links.noteLeaving(message.worker);
+                this.#links.noteDraining(message.worker);
                 break;
             case "resume":
                 this.#links.resume(message.worker);
@@ -231,7 +231,7 @@
                 break;
             case "beat":
                 if (message.mayLease) {
-                    this.#links.noteOwnerHeard();
+                    this.#links.recordOwnerHeard();
                 }
                 break;
             case "welcome":
@@ -244,7 +244,7 @@
         this.#channel?.send(message);
     }
 
-    #noteHeard(): void {
+    #recordHeard(): void {
         this.#lastHeardAt = this.options.clock.monotonic();
     }
 
--- a/packages/entry/src/links/worker-lease.ts
+++ b/packages/entry/src/links/worker-lease.ts
@@ -23,7 +23,7 @@
     /** Length of leases granted from now on. */
     #length: Milliseconds;
 
-    /** `longest`: maximum length of a lease. */
+    /** `maxLength`: maximum length of a lease. */
     constructor(private readonly clock: Clock, private readonly maxLength: Milliseconds) {
         this.#length = maxLength;
     }
@@ -39,7 +39,7 @@
     }
 
     /** Adds a reading of the worker's clock; the one whose call was sent last is used. */
-    noteReading(reading: ClockReading): void {
+    addReading(reading: ClockReading): void {
         if (this.#reading === undefined) {
             // An earlier link may have granted a full lease, also by an order for an earlier incarnation.
             this.#latestEnd = reading.clock + this.maxLength;
--- a/packages/entry/src/links/worker-link.ts
+++ b/packages/entry/src/links/worker-link.ts
@@ -22,11 +22,11 @@
 import { BestEffortOrders } from "./best-effort-orders.js";
 import {
     acknowledgementTimeout,
+    drainingLeaseLength,
     idleAfter,
     idlePollWait,
     lateOrderRetryDelay,
     lateOrderWindow,
-    leavingLeaseLength,
     lossyPollWait,
     maxAnswerTimeout,
     minAnswerTimeout,
@@ -133,13 +133,13 @@
         this.#mayLease = true;
     }
 
-    /** Shortens leases because the worker is leaving. */
-    noteLeaving(): void {
-        this.#lease.limitLength(leavingLeaseLength);
+    /** Shortens leases because the worker is draining. */
+    noteDraining(): void {
+        this.#lease.limitLength(drainingLeaseLength);
     }
 
     /** Sends an order to the worker. A start is delayed until the worker's clock has been read. */
-    order(command: WorkerCommand): void {
+    forward(command: WorkerCommand): void {
         if (command.kind === "stop") {
             void this.#bestEffortOrders.stop(command);
         }
@@ -204,36 +204,36 @@
         if (!this.#isSilent && this.#lease.hasReading) {
             const usualWait = this.#isIdle ? idlePollWait : pollWait;
             const wait = this.options.lossMonitor.hasRecentLoss ? lossyPollWait : usualWait;
-            const isAnswered = await this.#tryPoll({ wait, timeout: wait + this.#answerTimes.timeout });
-            if (typeof isAnswered === "boolean") {
-                return isAnswered;
+            const outcome = await this.#tryPoll({ wait, timeout: wait + this.#answerTimes.timeout });
+            if (typeof outcome === "boolean") {
+                return outcome;
             }
-            this.#noteLost();
+            this.#recordLoss();
         }
         return this.#pollOnce();
     }
 
     /** Polls without a wait; resolves to false when there was no answer. */
-    async #pollOnce(isWhole = false): Promise<boolean> {
-        const limit = this.#mayLateOrdersArrive && this.#isSilent ? this.#answerTimes.timeout : pollTimeout;
-        const isAnswered = await this.#tryPoll({ wait: 0, timeout: limit, isFull: isWhole });
-        if (typeof isAnswered === "boolean") {
-            return isAnswered;
+    async #pollOnce(isFull = false): Promise<boolean> {
+        const timeout = this.#mayLateOrdersArrive && this.#isSilent ? this.#answerTimes.timeout : pollTimeout;
+        const outcome = await this.#tryPoll({ wait: 0, timeout, isFull });
+        if (typeof outcome === "boolean") {
+            return outcome;
         }
-        this.#reportSilence(isAnswered.cause);
+        this.#reportSilence(outcome.cause);
         return false;
     }
 
     /** Polls once; resolves to the cause when there was no answer. */
     async #tryPoll(
-        { wait, timeout: limit, isFull: isWhole = false }: PollTerms,
+        { wait, timeout, isFull = false }: PollTerms,
     ): Promise<boolean | { readonly cause: string; }> {
         const { client, clock } = this.options;
         const sentAt = clock.monotonic();
         const request = this.#pollRequest(wait);
         const token = this.#token;
         try {
-            const answer = await client.poll(request, limit, this.#closed.signal);
+            const answer = await client.poll(request, timeout, this.#closed.signal);
             if (this.#closed.signal.aborted) {
                 return true;
             }
@@ -241,26 +241,26 @@
                 return this.#handleRefusal(answer.refusal, token);
             }
             this.#lastHeardAt = clock.monotonic();
-            this.#noteAnswerTime(clock.monotonic() - sentAt - wait);
-            this.#handlePoll(answer.poll, sentAt, isWhole);
+            this.#recordAnswerTime(clock.monotonic() - sentAt - wait);
+            this.#handlePoll(answer.poll, sentAt, isFull);
             return true;
         }
         catch (cause) {
-            this.#endedRuns.noteLost();
+            this.#endedRuns.recordUnanswered();
             return this.#closed.signal.aborted ? true : { cause: String(cause) };
         }
     }
 
     /** Records the time of an answer. A poll that ended before its wait was over says nothing about answer times. */
-    #noteAnswerTime(took: Milliseconds): void {
+    #recordAnswerTime(took: Milliseconds): void {
         if (took >= 0) {
             this.#answerTimes.recordResponse(took);
         }
     }
 
-    #noteLost(): void {
+    #recordLoss(): void {
         this.#answerTimes.recordTimeout();
-        this.options.lossMonitor.noteLoss();
+        this.options.lossMonitor.recordLoss();
     }
 
     #pollRequest(wait: Milliseconds): PollRequest {
@@ -274,31 +274,31 @@
         };
     }
 
-    #handlePoll(look: PollResult, sentAt: Milliseconds, isWhole: boolean): void {
+    #handlePoll(poll: PollResult, sentAt: Milliseconds, isFull: boolean): void {
         const { clock, send } = this.options;
         const now = clock.monotonic();
-        const reading = { clock: look.clock, sentAt, receivedAt: now };
-        if (this.#isOtherIncarnation(look, reading)) {
-            this.#closeWithIncarnation(look);
+        const reading = { clock: poll.clock, sentAt, receivedAt: now };
+        if (this.#isOtherIncarnation(poll, reading)) {
+            this.#closeWithIncarnation(poll);
             return;
         }
-        this.#incarnation ??= look.life;
-        this.#endedRuns.noteAnswer();
+        this.#incarnation ??= poll.life;
+        this.#endedRuns.recordAnswer();
         const isFirst = !this.#lease.hasReading;
-        this.#lease.noteReading(reading);
+        this.#lease.addReading(reading);
         const wasSilent = this.#isSilent;
         this.#isSilent = false;
-        if (look.running.length + look.ended.length > 0) {
+        if (poll.running.length + poll.ended.length > 0) {
             this.#lastActiveAt = now;
         }
-        const fresh = this.#endedRuns.takeUnreported(look.ended);
+        const unreported = this.#endedRuns.takeUnreported(poll.ended);
         const isDue = now - this.#lastProgressAt >= progressInterval;
-        if (isFirst || wasSilent || isDue || isWhole) {
+        if (isFirst || wasSilent || isDue || isFull) {
             this.#lastProgressAt = now;
-            send({ kind: "looked", worker: this.worker, look: { ...look, ended: fresh }, age: now - sentAt });
+            send({ kind: "looked", worker: this.worker, look: { ...poll, ended: unreported }, age: now - sentAt });
         }
-        else if (fresh.length > 0) {
-            send({ kind: "ends", worker: this.worker, ended: fresh });
+        else if (unreported.length > 0) {
+            send({ kind: "ends", worker: this.worker, ended: unreported });
         }
         const starts = this.#queuedStarts;
         this.#queuedStarts = [];
@@ -386,7 +386,7 @@
         try {
             const order = { ...command, token, leaseUntil };
             const answer = await client.start(order, this.#answerTimes.timeout, this.#closed.signal);
-            this.#noteAnswerTime(clock.monotonic() - sentAt);
+            this.#recordAnswerTime(clock.monotonic() - sentAt);
             if (answer.kind === "taken") {
                 this.#lastHeardAt = clock.monotonic();
                 send({ kind: "started", worker, task, run });
@@ -403,10 +403,10 @@
         }
         catch (cause) {
             if (!this.#closed.signal.aborted) {
-                this.#endedRuns.noteLost();
+                this.#endedRuns.recordUnanswered();
                 this.#lateOrdersUntil = clock.monotonic() + lateOrderWindow;
                 this.#bestEffortOrders.logUnanswered(command, cause);
-                this.#noteLost();
+                this.#recordLoss();
                 this.#uncertainStarts.push(command);
                 this.#resolveUncertainStarts();
             }
@@ -424,7 +424,7 @@
     }
 
     async #resolveAll(): Promise<void> {
-        const doubtful = this.#uncertainStarts;
+        const uncertain = this.#uncertainStarts;
         this.#uncertainStarts = [];
         this.#token = fencingToken(this.#token + 1);
         while (!this.#closed.signal.aborted) {
@@ -437,15 +437,15 @@
             return;
         }
         // The poll result was sent on the same channel before, so the owner knows which of these have run.
-        doubtful.forEach(({ worker, task, run }) =>
+        uncertain.forEach(({ worker, task, run }) =>
             this.options.send({ kind: "started", worker, task, run, refusal: "not-delivered" })
         );
     }
 
     async #untilAcknowledged(): Promise<void> {
-        const waited = createAbortController();
-        this.#onAcknowledged = () => waited.abort();
-        await this.options.clock.sleep(acknowledgementTimeout, waited.signal);
+        const acknowledged = createAbortController();
+        this.#onAcknowledged = () => acknowledged.abort();
+        await this.options.clock.sleep(acknowledgementTimeout, acknowledged.signal);
         this.#onAcknowledged = undefined;
     }
 }
--- a/packages/entry/src/links/worker-links.ts
+++ b/packages/entry/src/links/worker-links.ts
@@ -27,16 +27,16 @@
 export class WorkerLinks {
     readonly #links = new Map<WorkerId, WorkerLink>();
     readonly #clients = new Map<WorkerId, IncarnationClient>();
-    readonly #losses: LossMonitor;
-    #heardAt = -Infinity;
+    readonly #lossMonitor: LossMonitor;
+    #ownerHeardAt = -Infinity;
 
     constructor(private readonly options: WorkerLinksOptions) {
-        this.#losses = new LossMonitor(options.clock, options.logger);
+        this.#lossMonitor = new LossMonitor(options.clock, options.logger);
     }
 
     /** Records a message of an owner that the store has recently confirmed. */
-    noteOwnerHeard(): void {
-        this.#heardAt = this.options.clock.monotonic();
+    recordOwnerHeard(): void {
+        this.#ownerHeardAt = this.options.clock.monotonic();
     }
 
     /**
@@ -44,7 +44,7 @@
      * as may those that were buffered in the socket and are read shortly afterwards.
      */
     get #mayForwardOrders(): boolean {
-        return this.#heardAt >= this.options.clock.uninterruptedSince() + staleMessageWindow;
+        return this.#ownerHeardAt >= this.options.clock.uninterruptedSince() + staleMessageWindow;
     }
 
     /** Creates the link to a worker, replacing a former one. */
@@ -58,20 +58,21 @@
             clock: this.options.clock,
             logger: this.options.logger,
             leaseLength: this.options.leaseLength,
-            mayPoll: () => this.#mayForwardOrders && this.options.clock.monotonic() - this.#heardAt < ownerSilenceLimit,
+            mayPoll: () =>
+                this.#mayForwardOrders && this.options.clock.monotonic() - this.#ownerHeardAt < ownerSilenceLimit,
             mayForwardOrders: () => this.#mayForwardOrders,
-            lossMonitor: this.#losses,
+            lossMonitor: this.#lossMonitor,
             send: report => this.options.send({ ...report, assignment: assignment.token }),
         });
         this.#links.set(worker, link);
         if (assignment.isLeaving) {
-            link.noteLeaving();
+            link.noteDraining();
         }
     }
 
-    /** Shortens the leases of a worker that is leaving. */
-    noteLeaving(worker: WorkerId): void {
-        this.#links.get(worker)?.noteLeaving();
+    /** Shortens the leases of a draining worker. */
+    noteDraining(worker: WorkerId): void {
+        this.#links.get(worker)?.noteDraining();
     }
 
     /** Closes the link to a worker and its connections. */
@@ -98,8 +99,8 @@
         return client;
     }
 
-    command({ command }: CommandMessage): void {
-        this.#links.get(command.worker)?.order(command);
+    forwardOrder({ command }: CommandMessage): void {
+        this.#links.get(command.worker)?.forward(command);
     }
 
     /** Allows leases again at a worker that has answered after a silence. */
--- a/packages/entry/src/owner/assignments.ts
+++ b/packages/entry/src/owner/assignments.ts
@@ -8,7 +8,7 @@
 
 /** The link to one worker as it is assigned to a VM. */
 export interface Assignment {
-    readonly vm: VmLink;
+    readonly link: VmLink;
     /** Address at which the link calls the worker. */
     readonly address: string;
     /** Initial fencing token of the link; identifies the assignment in the VM's reports. */
@@ -44,12 +44,12 @@
     }
 
     vmOf(worker: WorkerId): VmLink | undefined {
-        return this.#assignments.get(worker)?.vm;
+        return this.#assignments.get(worker)?.link;
     }
 
     /** Records a restart of the worker; its next link may be delayed by a backoff. */
-    noteRestart(worker: WorkerId): void {
-        this.#restartBackoff.noteRestart(worker);
+    recordRestart(worker: WorkerId): void {
+        this.#restartBackoff.recordRestart(worker);
     }
 
     /** Unanswered orders to the worker may still be carried out, by any of its incarnations, for this long. */
@@ -67,31 +67,31 @@
     }
 
     /** The current assignment with this token; undefined when the worker has been assigned anew since. */
-    find(token: FencingToken, worker: WorkerId, vm: VmLink): Assignment | undefined {
+    find(token: FencingToken, worker: WorkerId, link: VmLink): Assignment | undefined {
         const assignment = this.#assignments.get(worker);
-        return assignment?.vm === vm && assignment.token === token ? assignment : undefined;
+        return assignment?.link === link && assignment.token === token ? assignment : undefined;
     }
 
     /**
      * Assigns each worker that has no link to the least loaded VM of its data hall, or of all VMs if the hall has none.
      */
-    assignUnlinked(workers: Iterable<WorkerState>, vms: readonly VmLink[]): void {
-        if (vms.length === 0) {
+    assignUnlinked(workers: Iterable<WorkerState>, links: readonly VmLink[]): void {
+        if (links.length === 0) {
             return;
         }
         for (const worker of workers) {
             if (!this.#assignments.has(worker.id)) {
-                this.#assign(worker, this.#leastLoaded(vms, worker));
+                this.#assign(worker, this.#leastLoaded(links, worker));
             }
         }
     }
 
     /** Moves links from other VMs of the same data hall to a VM that has just joined until their loads are close. */
-    rebalanceTo(workers: ReadonlyMap<WorkerId, WorkerState>, joined: VmLink, vms: readonly VmLink[]): void {
-        const near = vms.filter(vm => vm.vm.dataHall === joined.vm.dataHall && vm !== joined);
+    rebalanceTo(workers: ReadonlyMap<WorkerId, WorkerState>, joined: VmLink, links: readonly VmLink[]): void {
+        const near = links.filter(link => link.vm.dataHall === joined.vm.dataHall && link !== joined);
         for (;;) {
             const fullest = near.reduce<VmLink | undefined>(
-                (best, vm) => best === undefined || this.#loadOf(vm) > this.#loadOf(best) ? vm : best,
+                (best, link) => best === undefined || this.#loadOf(link) > this.#loadOf(best) ? link : best,
                 undefined,
             );
             const moved = fullest === undefined ? undefined : [...fullest.workers].at(-1);
@@ -110,40 +110,40 @@
 
     /** Forgets the worker's link without notifying its VM. */
     remove(worker: WorkerId): void {
-        this.#assignments.get(worker)?.vm.workers.delete(worker);
+        this.#assignments.get(worker)?.link.workers.delete(worker);
         this.#assignments.delete(worker);
     }
 
     /** Forgets all links of a VM without notifying it. */
-    removeAll(vm: VmLink): void {
-        for (const worker of [...vm.workers]) {
+    removeAll(link: VmLink): void {
+        for (const worker of [...link.workers]) {
             this.remove(worker);
         }
     }
 
-    #leastLoaded(vms: readonly VmLink[], worker: WorkerState): VmLink {
-        const near = vms.filter(vm => vm.vm.dataHall === worker.entry?.dataHall);
-        return (near.length > 0 ? near : vms)
-            .reduce((best, vm) => this.#loadOf(vm) < this.#loadOf(best) ? vm : best);
+    #leastLoaded(links: readonly VmLink[], worker: WorkerState): VmLink {
+        const near = links.filter(link => link.vm.dataHall === worker.entry?.dataHall);
+        return (near.length > 0 ? near : links)
+            .reduce((best, link) => this.#loadOf(link) < this.#loadOf(best) ? link : best);
     }
 
-    #loadOf(vm: VmLink): number {
-        return vm.loadWithOneMore + (vm.vm.name === this.ownVm ? ownerLoadOffset / vm.vm.processorShare : 0);
+    #loadOf(link: VmLink): number {
+        return link.loadWithOneMore + (link.vm.name === this.ownVm ? ownerLoadOffset / link.vm.processorShare : 0);
     }
 
-    #assign(worker: WorkerState, vm: VmLink): void {
+    #assign(worker: WorkerState, link: VmLink): void {
         const count = (this.#assignmentCounts.get(worker.id) ?? 0) + 1;
         this.#assignmentCounts.set(worker.id, count);
-        vm.workers.add(worker.id);
+        link.workers.add(worker.id);
         const token = this.#tokenOf(count);
         this.#assignments.set(worker.id, {
-            vm,
+            link,
             address: worker.address,
             token,
             assignedAt: this.now(),
             hasPolled: false,
         });
-        vm.channel.send({
+        link.channel.send({
             kind: "assign",
             worker: worker.id,
             address: worker.address,
--- a/packages/entry/src/owner/cycle-pacer.ts
+++ b/packages/entry/src/owner/cycle-pacer.ts
@@ -19,12 +19,12 @@
 
     /** Runs a cycle and measures it. */
     run(cycle: () => void): void {
-        const begunAt = this.clock.monotonic();
+        const startedAt = this.clock.monotonic();
         cycle();
         const endedAt = this.clock.monotonic();
-        this.#recentDurations = [...this.#recentDurations.slice(1 - cycleSampleCount), endedAt - begunAt];
-        const longest = Math.max(maxCyclePause, pauseAfter(this.#shortestRecentDuration));
-        this.#nextCycleAt = endedAt + Math.min(pauseAfter(endedAt - begunAt), longest);
+        this.#recentDurations = [...this.#recentDurations.slice(1 - cycleSampleCount), endedAt - startedAt];
+        const maxPause = Math.max(maxCyclePause, pauseAfter(this.#shortestRecentDuration));
+        this.#nextCycleAt = endedAt + Math.min(pauseAfter(endedAt - startedAt), maxPause);
     }
 
     /** Minimum duration of the recent cycles: a single longer one was delayed by something else. */
--- a/packages/entry/src/owner/interval-timer.ts
+++ b/packages/entry/src/owner/interval-timer.ts
@@ -3,17 +3,17 @@
 
 /** Runs an action at most once per interval, when polled by a loop. */
 export class IntervalTimer {
-    #lastAt: Milliseconds;
+    #lastRunAt: Milliseconds;
 
-    /** `length`: minimum time between two runs; the first one is due after it has passed once. */
+    /** `interval`: minimum time between two runs; the first one is due after it has passed once. */
     constructor(private readonly clock: Clock, private readonly interval: Milliseconds) {
-        this.#lastAt = clock.monotonic();
+        this.#lastRunAt = clock.monotonic();
     }
 
     runIfDue(action: () => void): void {
         const now = this.clock.monotonic();
-        if (now - this.#lastAt >= this.interval) {
-            this.#lastAt = now;
+        if (now - this.#lastRunAt >= this.interval) {
+            this.#lastRunAt = now;
             action();
         }
     }
--- a/packages/entry/src/owner/journal-outage-log.ts
+++ b/packages/entry/src/owner/journal-outage-log.ts
@@ -20,12 +20,12 @@
     constructor(private readonly options: JournalOutageLogOptions) {}
 
     /** Counts a job that was refused because the journal is stalled. */
-    noteRefused(): void {
+    countRefused(): void {
         this.#refusedCount++;
     }
 
     /** Counts a request whose outcome the caller could not be told. */
-    noteUncertain(): void {
+    countUncertain(): void {
         this.#uncertainCount++;
     }
 
--- a/packages/entry/src/owner/owner-session.ts
+++ b/packages/entry/src/owner/owner-session.ts
@@ -123,7 +123,7 @@
             ...options.upkeep,
             clock,
             logger,
-            orderer: { holder: name, token: fencingToken(journal.epoch) },
+            issuer: { holder: name, token: fencingToken(journal.epoch) },
             workerOf: worker => this.cell.plannedWorkerOf(worker),
             closeWorkers: closed => this.cell.setClosedWorkers(closed),
             signal: options.lost.signal,
@@ -267,21 +267,21 @@
         this.#isHandingOver = true;
         this.#turnRunner.freeze();
         // Records still in flight may be found by the next owner; no caller was told that they are committed.
-        const kept = this.#turnRunner.untilCommitted().catch((cause: unknown) => this.options.lost.abort(cause));
-        await Promise.race([kept, this.options.clock.sleep(handOverCommitTimeout, this.options.lost.signal)]);
+        const committed = this.#turnRunner.untilCommitted().catch((cause: unknown) => this.options.lost.abort(cause));
+        await Promise.race([committed, this.options.clock.sleep(handOverCommitTimeout, this.options.lost.signal)]);
         successor?.channel.send({ kind: "hand-over" });
         return successor === undefined ? HandOverOutcome.NoSuccessor : HandOverOutcome.Offered;
     }
 
-    /** Whether the store answers a call made from now on, within `limit`. */
-    async #waitForStoreAnswer(limit: Milliseconds): Promise<boolean> {
+    /** Whether the store answers a call made from now on, within `timeout`. */
+    async #waitForStoreAnswer(timeout: Milliseconds): Promise<boolean> {
         const { clock, lost, confirm, confirmedAt } = this.options;
-        const since = clock.monotonic();
+        const startedAt = clock.monotonic();
         confirm();
-        while (confirmedAt() < since && clock.monotonic() - since < limit && !lost.signal.aborted) {
+        while (confirmedAt() < startedAt && clock.monotonic() - startedAt < timeout && !lost.signal.aborted) {
             await clock.sleep(storeAnswerPollInterval, lost.signal);
         }
-        return confirmedAt() >= since;
+        return confirmedAt() >= startedAt;
     }
 
     /** Requests a newer configuration from the VM that has it, unless the store delivers it within the grace period. */
--- a/packages/entry/src/owner/relay-order.ts
+++ b/packages/entry/src/owner/relay-order.ts
@@ -2,7 +2,7 @@
 import type { VmLink } from "./vm-link.js";
 
 /** The properties of a VM that determine its position. */
-type RelayCandidate = Pick<VmLink, "isStoreDoubtful" | "vm">;
+type RelayCandidate = Pick<VmLink, "hasFailedStoreCall" | "vm">;
 
 /**
  * Sorts VMs whose last relayed call succeeded first, then by descending processor share; equal VMs rotate, beginning at
@@ -12,6 +12,6 @@
     links
         .map((_, index) => links[(first + index) % links.length])
         .sort((left, right) =>
-            Number(left.isStoreDoubtful) - Number(right.isStoreDoubtful)
+            Number(left.hasFailedStoreCall) - Number(right.hasFailedStoreCall)
             || right.vm.processorShare - left.vm.processorShare
         );
--- a/packages/entry/src/owner/request-handler.ts
+++ b/packages/entry/src/owner/request-handler.ts
@@ -16,7 +16,7 @@
     /** Whether the owner's key is still valid, so that no other VM can own the cell. */
     readonly isConfirmed: () => boolean;
     /** Notified of refused and uncertain requests for the log of outages. */
-    readonly outageLog?: Pick<JournalOutageLog, "noteRefused" | "noteUncertain">;
+    readonly outageLog?: Pick<JournalOutageLog, "countRefused" | "countUncertain">;
 }
 
 /**
@@ -68,7 +68,7 @@
     }
 
     async #submit(definition: JobDefinition): Promise<OwnerReply> {
-        const { cell, journal, outageLog: outages } = this.options;
+        const { cell, journal, outageLog } = this.options;
         if (!this.#isVisibleTo(definition)) {
             return { kind: "id-taken" };
         }
@@ -78,7 +78,7 @@
             return { kind: "accepted" };
         }
         if (known === undefined && journal.silentFor() > journalStallTimeout) {
-            outages?.noteRefused();
+            outageLog?.countRefused();
             return retryLater(RetryLaterReason.JournalStalled);
         }
         if (known === undefined && !cell.knowsTermsOf(definition)) {
@@ -101,13 +101,13 @@
 
     /** Whether all records so far are committed within the timeout. */
     async #untilCommitted(): Promise<boolean> {
-        const { clock, lost, runTurn: turn, outageLog: outages } = this.options;
-        const kept = turn().then(isKept => isKept && !lost.aborted);
-        const isKept = await Promise.race([kept, clock.sleep(commitTimeout).then(() => false)]);
-        if (!isKept) {
-            outages?.noteUncertain();
+        const { clock, lost, runTurn, outageLog } = this.options;
+        const committed = runTurn().then(isCommitted => isCommitted && !lost.aborted);
+        const isCommitted = await Promise.race([committed, clock.sleep(commitTimeout).then(() => false)]);
+        if (!isCommitted) {
+            outageLog?.countUncertain();
         }
-        return isKept;
+        return isCommitted;
     }
 }
 
--- a/packages/entry/src/owner/restart-backoff.ts
+++ b/packages/entry/src/owner/restart-backoff.ts
@@ -16,21 +16,21 @@
 
     constructor(private readonly now: () => Milliseconds) {}
 
-    noteRestart(worker: WorkerId): void {
+    recordRestart(worker: WorkerId): void {
         const now = this.now();
-        const known = this.#restarts.get(worker);
-        const isOfLate = known !== undefined && now - known.lastAt < restartWindow;
-        this.#restarts.set(worker, { count: isOfLate ? known.count + 1 : 1, lastAt: now });
+        const history = this.#restarts.get(worker);
+        const isRecent = history !== undefined && now - history.lastAt < restartWindow;
+        this.#restarts.set(worker, { count: isRecent ? history.count + 1 : 1, lastAt: now });
     }
 
     /** Delay before the first poll of the next link; 0 when there is none. */
     delayOf(worker: WorkerId): Milliseconds {
-        const known = this.#restarts.get(worker);
-        if (known === undefined || this.now() - known.lastAt >= restartWindow) {
+        const history = this.#restarts.get(worker);
+        if (history === undefined || this.now() - history.lastAt >= restartWindow) {
             this.#restarts.delete(worker);
             return 0;
         }
-        const doublings = known.count - restartsWithoutBackoff - 1;
+        const doublings = history.count - restartsWithoutBackoff - 1;
         return doublings < 0 ? 0 : Math.min(maxRestartBackoff, minRestartBackoff * 2 ** doublings);
     }
 }
--- a/packages/entry/src/owner/turn-runner.ts
+++ b/packages/entry/src/owner/turn-runner.ts
@@ -137,7 +137,7 @@
     /** Runs a scheduling cycle now, or schedules a turn for when the next one may run. */
     #runOrScheduleCycle(): void {
         const { cell, clock, lost } = this.options;
-        const { delay: delay } = this.#pacer;
+        const { delay } = this.#pacer;
         if (delay === 0) {
             this.#pacer.run(() => cell.place());
         }
--- a/packages/entry/src/owner/upkeep-controller.ts
+++ b/packages/entry/src/owner/upkeep-controller.ts
@@ -19,7 +19,7 @@
     readonly board: WaveStatusReporter;
     readonly clock: Clock;
     readonly logger: EventLogger;
-    readonly orderer: VmOrderIssuer;
+    readonly issuer: VmOrderIssuer;
     /** Expected downtime of a VM. */
     readonly upkeepTime: Milliseconds;
     /** How long to wait after a takeover, as orders of the former owner may still be in effect. */
@@ -93,9 +93,9 @@
     }
 
     async #begin(wave: number, vm: VmId): Promise<void> {
-        const { vms, orderer, signal, logger } = this.options;
+        const { vms, issuer, signal, logger } = this.options;
         this.#planner.noteOrdered(wave, vm);
-        const answer = await vms.beginUpkeep(vm, wave, orderer, signal).catch((): undefined => undefined);
+        const answer = await vms.beginUpkeep(vm, wave, issuer, signal).catch((): undefined => undefined);
         logger.log(logEvents.upkeepOrdered, { wave, vm, answer: answer?.kind ?? "none" });
         this.#handleAnswer(wave, vm, answer);
     }
--- a/packages/entry/src/owner/vm-link.ts
+++ b/packages/entry/src/owner/vm-link.ts
@@ -23,7 +23,7 @@
     /** Whether the VM is about to stop and must not get links or questions. */
     isLeaving = false;
     /** Whether the last store call through this VM failed. */
-    isStoreDoubtful = false;
+    hasFailedStoreCall = false;
     readonly #pendingCalls = new Map<number, PendingStoreCall>();
     #nextCall = 1;
 
@@ -46,23 +46,23 @@
      */
     callStore(operation: StoreOperation): Promise<unknown> {
         const call = this.#nextCall++;
-        const limit = storeCallTimeout + (operation.kind === "changes" ? operation.duration : 0);
+        const timeout = storeCallTimeout + (operation.kind === "changes" ? operation.duration : 0);
         return new Promise((resolve, reject) => {
-            const timer = setTimeout(() => this.settleStoreCall(call, false, undefined), limit);
+            const timer = setTimeout(() => this.settleStoreCall(call, false, undefined), timeout);
             this.#pendingCalls.set(call, { resolve, reject, timer });
             this.channel.send({ kind: "store-call", call, operation });
         });
     }
 
     /** Settles a store call with its answer or failure; ignores calls that have already been settled. */
-    settleStoreCall(number: number, isAnswered: boolean, answer: unknown, cause = "no answer"): void {
-        const call = this.#pendingCalls.get(number);
+    settleStoreCall(id: number, isAnswered: boolean, answer: unknown, cause = "no answer"): void {
+        const call = this.#pendingCalls.get(id);
         if (call === undefined) {
             return;
         }
-        this.#pendingCalls.delete(number);
+        this.#pendingCalls.delete(id);
         clearTimeout(call.timer);
-        this.isStoreDoubtful = !isAnswered;
+        this.hasFailedStoreCall = !isAnswered;
         if (isAnswered) {
             call.resolve(answer);
         }
--- a/packages/entry/src/owner/worker-report-handler.ts
+++ b/packages/entry/src/owner/worker-report-handler.ts
@@ -47,7 +47,7 @@
                 break;
             case "restarted":
                 cell.applyRestart(message.worker, message.life);
-                assignments.noteRestart(message.worker);
+                assignments.recordRestart(message.worker);
                 assignments.extendLateOrderWindow(message.worker, message.doubtfulFor ?? 0);
                 this.#endLink(link, message.worker);
                 break;
@@ -97,8 +97,8 @@
 
     /** Before this owner's first poll of the worker, leases of an earlier owner may outlast those of the link. */
     #leasesExpireAt(worker: WorkerId, lapsesIn: Milliseconds): Milliseconds {
-        const { cell, clock, formerLeasesExpireAt: formerLeasesOverAt } = this.options;
-        const lapsesAt = clock.monotonic() + lapsesIn;
-        return cell.workers.get(worker)?.isClaimed === true ? lapsesAt : Math.max(lapsesAt, formerLeasesOverAt);
+        const { cell, clock, formerLeasesExpireAt } = this.options;
+        const expireAt = clock.monotonic() + lapsesIn;
+        return cell.workers.get(worker)?.isClaimed === true ? expireAt : Math.max(expireAt, formerLeasesExpireAt);
     }
 }
--- a/packages/entry/src/ownership/campaign.ts
+++ b/packages/entry/src/ownership/campaign.ts
@@ -53,8 +53,10 @@
         return undefined;
     }
     // Messages before this owner's claim came from an earlier one: a new owner reads the journal before it sends any.
-    const hasSpoken = now - heardSilence > view.ownerSince;
-    const isSilent = hasSpoken ? heardSilence > ownerSuspicionTimeout : now - view.ownerSince > firstMessageTimeout;
+    const hasSentMessage = now - heardSilence > view.ownerSince;
+    const isSilent = hasSentMessage
+        ? heardSilence > ownerSuspicionTimeout
+        : now - view.ownerSince > firstMessageTimeout;
     return isSilent ? ownerSilentReason : undefined;
 };
 
--- a/packages/entry/src/ownership/candidate.ts
+++ b/packages/entry/src/ownership/candidate.ts
@@ -163,15 +163,15 @@
     }
 
     #input(): CampaignInput {
-        const { view, self, clock, ownerStatus: knownOwner } = this.options;
+        const { view, self, clock, ownerStatus } = this.options;
         const now = clock.monotonic();
-        const known = knownOwner();
+        const status = ownerStatus();
         return {
             view,
             self,
             now,
-            ...known,
-            heardSilence: now < this.#suspicionsIgnoredUntil ? undefined : known.heardSilence,
+            ...status,
+            heardSilence: now < this.#suspicionsIgnoredUntil ? undefined : status.heardSilence,
         };
     }
 
@@ -188,11 +188,11 @@
         const released = createAbortController();
         const dialer = new VmDialer(view, self, clock);
         const dialing = dialer.run(released.signal);
-        let keeping: Promise<void> | undefined;
+        let keepingAlive: Promise<void> | undefined;
         const reached = this.#checkPreconditions(dialer, key, reason);
         const claimed = reached.then(expected => this.#claim(key, expected)).then(() => {
             logger.log(logEvents.ownershipClaimed, { reason });
-            keeping = key.keepAlive(released.signal);
+            keepingAlive = key.keepAlive(released.signal);
         });
         try {
             // Later candidates detect the first one's claim here and need not read the journal, which saves most of the
@@ -203,7 +203,7 @@
         finally {
             await claimed.catch(() => undefined);
             released.abort();
-            await Promise.all([dialing, keeping]);
+            await Promise.all([dialing, keepingAlive]);
         }
     }
 
@@ -314,7 +314,7 @@
                 keyConfirmedAt: () => key.confirmedAt,
                 confirm: () => key.confirm(lost.signal),
                 ownerLease: this.options.leaseLength,
-                onSilentVm: name => dialer.noteSilence(name),
+                onSilentVm: name => dialer.recordSilence(name),
                 isIsolated: () => dialer.hasBecomeIsolated,
                 onConfiguration: this.options.onConfiguration,
                 upkeep: this.options.upkeep,
@@ -328,12 +328,12 @@
             await session.run();
         }
         finally {
-            const hadCell = this.#session !== undefined;
+            const ownedCell = this.#session !== undefined;
             this.#session = undefined;
             const cause: unknown = lost.signal.reason;
             lost.abort();
             stop.removeEventListener("abort", onStop);
-            if (hadCell) {
+            if (ownedCell) {
                 logger.log(logEvents.ownershipEnded, {
                     cause: cause instanceof JournalFencedError ? cause.message : String(cause),
                 });
--- a/packages/entry/src/ownership/owner-key.ts
+++ b/packages/entry/src/ownership/owner-key.ts
@@ -34,7 +34,7 @@
  * unless another process has it.
  */
 export class OwnerKey {
-    readonly #watch: DependencyMonitor;
+    readonly #monitor: DependencyMonitor;
     #lease: PlatformLeaseId | undefined;
     #confirmedAt = -Infinity;
     /** A lease requested ahead of a claim. */
@@ -44,8 +44,8 @@
 
     constructor(private readonly options: OwnerKeyOptions) {
         const { logger, clock } = options;
-        const { ownerKeyFailed: lost, ownerKeyRestored: regained } = logEvents;
-        this.#watch = new DependencyMonitor({ logger, clock, lostEvent: lost, recoveredEvent: regained });
+        const { ownerKeyFailed: lostEvent, ownerKeyRestored: recoveredEvent } = logEvents;
+        this.#monitor = new DependencyMonitor({ logger, clock, lostEvent, recoveredEvent });
     }
 
     /**
@@ -95,15 +95,15 @@
 
     async #release(): Promise<void> {
         const { store } = this.options;
-        await this.#reclaim?.catch((cause: unknown) => this.#watch.recordFailure(cause));
+        await this.#reclaim?.catch((cause: unknown) => this.#monitor.recordFailure(cause));
         if (this.#lease !== undefined) {
-            await store.revokeLease(this.#lease).catch((cause: unknown) => this.#watch.recordFailure(cause));
+            await store.revokeLease(this.#lease).catch((cause: unknown) => this.#monitor.recordFailure(cause));
         }
     }
 
     /** Renews the lease immediately, without waiting for the result. */
     confirm(signal: AbortSignal): void {
-        void this.#renew(signal).then(() => this.#watch.recordSuccess(), cause => this.#watch.recordFailure(cause));
+        void this.#renew(signal).then(() => this.#monitor.recordSuccess(), cause => this.#monitor.recordFailure(cause));
     }
 
     #requestLease(): PreparedLease {
--- a/packages/entry/src/peers/connections.ts
+++ b/packages/entry/src/peers/connections.ts
@@ -39,9 +39,9 @@
     /** No answer within the timeout: the VM is down or unreachable. */
     | { readonly kind: "silent"; };
 
-/** Opens a connection to a VM's address, waiting at most `limit`. */
-export const dialVm = async (address: string, limit: Milliseconds): Promise<DialOutcome> => {
-    const socket = new WebSocket(`ws://${address}`, { ...socketOptions, handshakeTimeout: limit });
+/** Opens a connection to a VM's address, waiting at most `timeout`. */
+export const dialVm = async (address: string, timeout: Milliseconds): Promise<DialOutcome> => {
+    const socket = new WebSocket(`ws://${address}`, { ...socketOptions, handshakeTimeout: timeout });
     // Created before the socket opens: the first message may arrive with the handshake's response.
     const channel = new SocketChannel<OwnerMessage, VmMessage>(socket);
     try {
@@ -64,7 +64,7 @@
  * Whether the host actively refuses connections at an address, which shows that the process is gone; a timeout does
  * not.
  */
-export const refusesConnections = (address: string, limit: Milliseconds): Promise<boolean> =>
+export const refusesConnections = (address: string, timeout: Milliseconds): Promise<boolean> =>
     new Promise(resolve => {
         const socket = connectTcp(parseAddress(address));
         const finish = (refused: boolean) => {
@@ -72,7 +72,7 @@
             socket.destroy();
             resolve(refused);
         };
-        const timer = setTimeout(() => finish(false), limit);
+        const timer = setTimeout(() => finish(false), timeout);
         socket.on("connect", () => finish(false));
         socket.on("error", cause => finish(isRefusal(cause)));
     });
--- a/packages/entry/src/peers/vm-dialer.ts
+++ b/packages/entry/src/peers/vm-dialer.ts
@@ -92,28 +92,28 @@
      * Records that a connection was dropped because of silence. The connection may hang while new ones work, so the VM
      * only counts as unreachable once a dial has failed.
      */
-    noteSilence(name: string): void {
+    recordSilence(name: string): void {
         const known = this.#known.get(name);
         if (known?.isReachable === true) {
             known.isReachable = undefined;
         }
     }
 
-    /** Resolves once this VM is no longer isolated, or after `limit`. */
-    async untilReached(limit: Milliseconds): Promise<void> {
-        const until = this.clock.monotonic() + limit;
-        while (this.isIsolated && this.clock.monotonic() < until) {
+    /** Resolves once this VM is no longer isolated, or after `timeout`. */
+    async untilReached(timeout: Milliseconds): Promise<void> {
+        const deadline = this.clock.monotonic() + timeout;
+        while (this.isIsolated && this.clock.monotonic() < deadline) {
             await this.clock.sleep(reachPollInterval);
         }
     }
 
     /**
      * Resolves to whether a majority of the VMs other than the owner, including this one, has not heard the owner for
-     * `silence`: as soon as they agree, or after `limit`.
+     * `silence`: as soon as they agree, or after `timeout`.
      */
-    async untilSilenceAgreed(owner: string, silence: Milliseconds, limit: Milliseconds): Promise<boolean> {
-        const until = this.clock.monotonic() + limit;
-        while (!this.#agreesOnSilence(owner, silence) && this.clock.monotonic() < until) {
+    async untilSilenceAgreed(owner: string, silence: Milliseconds, timeout: Milliseconds): Promise<boolean> {
+        const deadline = this.clock.monotonic() + timeout;
+        while (!this.#agreesOnSilence(owner, silence) && this.clock.monotonic() < deadline) {
             await this.clock.sleep(reachPollInterval);
         }
         return this.#agreesOnSilence(owner, silence);
@@ -158,9 +158,9 @@
         }
     }
 
-    #isDue({ vm, lastDialledAt: triedAt }: KnownVm, now: Milliseconds): boolean {
-        const isWanted = !this.#isConnected(vm.name) || this.#isSilent(vm.name);
-        return vm.name !== this.self.name && now - triedAt >= dialRetryDelay && isWanted;
+    #isDue({ vm, lastDialledAt }: KnownVm, now: Milliseconds): boolean {
+        const needsConnection = !this.#isConnected(vm.name) || this.#isSilent(vm.name);
+        return vm.name !== this.self.name && now - lastDialledAt >= dialRetryDelay && needsConnection;
     }
 
     /** Whether a VM is connected but has not been heard for a while. */
--- a/packages/entry/src/protocol/channel.ts
+++ b/packages/entry/src/protocol/channel.ts
@@ -17,7 +17,7 @@
     onMessage: (message: Received) => void = () => undefined;
     onClose: () => void = () => undefined;
     isOpen = true;
-    other: MemoryChannel<Received, Sent> | undefined;
+    peer: MemoryChannel<Received, Sent> | undefined;
     #batch: Sent[] = [];
 
     send(message: Sent): void {
@@ -33,15 +33,15 @@
         }
         this.isOpen = false;
         this.onClose();
-        this.other?.close();
+        this.peer?.close();
     }
 
     #flush(): void {
-        const bundle = this.#batch;
+        const batch = this.#batch;
         this.#batch = [];
-        const other = this.other;
-        if (this.isOpen && other !== undefined) {
-            bundle.forEach(message => other.onMessage(message));
+        const peer = this.peer;
+        if (this.isOpen && peer !== undefined) {
+            batch.forEach(message => peer.onMessage(message));
         }
     }
 }
@@ -50,7 +50,7 @@
 export const createMemoryChannel = <Left, Right>(): [Channel<Left, Right>, Channel<Right, Left>] => {
     const left = new MemoryChannel<Left, Right>();
     const right = new MemoryChannel<Right, Left>();
-    left.other = right;
-    right.other = left;
+    left.peer = right;
+    right.peer = left;
     return [left, right];
 };
--- a/packages/entry/src/protocol/messages.ts
+++ b/packages/entry/src/protocol/messages.ts
@@ -39,7 +39,7 @@
     readonly life?: WorkerIncarnation;
     /** Initial fencing token of the link's orders. The link raises it by small steps to resolve unanswered orders. */
     readonly token: FencingToken;
-    /** Whether the worker has announced that it is leaving. */
+    /** Whether the worker is draining. */
     readonly isLeaving: boolean;
     /** How long orders to an earlier incarnation may still be carried out; omitted when none may. */
     readonly doubtfulFor?: Milliseconds;
@@ -47,8 +47,8 @@
     readonly pause?: Milliseconds;
 }
 
-/** The worker has announced that it is leaving: its leases are shortened. */
-export interface WorkerLeavingMessage {
+/** The worker has begun to drain: its leases are shortened. */
+export interface WorkerDrainingMessage {
     readonly kind: "worker-leaves";
     readonly worker: WorkerId;
 }
@@ -141,7 +141,7 @@
     | WelcomeMessage
     | AssignMessage
     | UnassignMessage
-    | WorkerLeavingMessage
+    | WorkerDrainingMessage
     | CommandMessage
     | AcknowledgeMessage
     | AdviceQuestionMessage
--- a/packages/entry/src/protocol/socket-channel.ts
+++ b/packages/entry/src/protocol/socket-channel.ts
@@ -25,11 +25,11 @@
         return message => this.#handler?.(message);
     }
 
-    set onMessage(take: (message: Received) => void) {
-        this.#handler = take;
-        const early = this.#undelivered;
+    set onMessage(handler: (message: Received) => void) {
+        this.#handler = handler;
+        const undelivered = this.#undelivered;
         this.#undelivered = [];
-        early.forEach(message => take(message));
+        undelivered.forEach(message => handler(message));
     }
 
     get isOpen(): boolean {
@@ -49,10 +49,10 @@
     }
 
     #flush(): void {
-        const bundle = this.#batch;
+        const batch = this.#batch;
         this.#batch = [];
         if (this.socket.readyState === WebSocket.OPEN) {
-            this.socket.send(JSON.stringify(bundle));
+            this.socket.send(JSON.stringify(batch));
         }
     }
 
--- a/packages/entry/test/links/vm-session.test.ts
+++ b/packages/entry/test/links/vm-session.test.ts
@@ -7,7 +7,7 @@
 
 type Clients = ConstructorParameters<typeof VmSession>[0]["clients"];
 
-const begin = (clients = {} as Clients) => {
+const setUp = (clients = {} as Clients) => {
     const clock = new ManualClock();
     const stop = new AbortController();
     const session = new VmSession({
@@ -33,7 +33,7 @@
 
 describe("a VM session", () => {
     it("drops a silent owner after a second and a half and resolves open requests without a reply", async () => {
-        const { clock, stop, session } = begin();
+        const { clock, stop, session } = setUp();
         const [owner, vm] = createMemoryChannel<OwnerMessage, VmMessage>();
         session.attach(vm);
         await welcome(owner);
@@ -49,15 +49,15 @@
 
     /* Guards against links of a former connection polling workers with tokens that these refuse. */
     it("closes its links when the same owner connects again", async () => {
-        let looks = 0;
+        let polls = 0;
         const client = {
-            look: () => {
-                looks++;
-                return Promise.resolve({ kind: "seen", look: { clock: 1, running: [], ended: [] } });
+            poll: () => {
+                polls++;
+                return Promise.resolve({ kind: "seen", poll: { clock: 1, running: [], ended: [] } });
             },
             close: () => Promise.resolve(),
         };
-        const { clock, stop, session } = begin({ clientOf: () => client } as never);
+        const { clock, stop, session } = setUp({ clientOf: () => client } as never);
         const [owner, vm] = createMemoryChannel<OwnerMessage, VmMessage>();
         session.attach(vm);
         await welcome(owner);
@@ -68,9 +68,9 @@
         const [again, other] = createMemoryChannel<OwnerMessage, VmMessage>();
         session.attach(other);
         await welcome(again);
-        const before = looks;
+        const before = polls;
         await advanceTime(clock, 500);
-        expect([before > 0, looks - before]).toEqual([true, 0]);
+        expect([before > 0, polls - before]).toEqual([true, 0]);
         stop.abort();
     });
 
@@ -82,9 +82,9 @@
         const leases: unknown[] = [];
         const starts: unknown[] = [];
         const client = {
-            look: ({ leaseUntil }: { readonly leaseUntil?: number; }) => {
+            poll: ({ leaseUntil }: { readonly leaseUntil?: number; }) => {
                 leases.push(leaseUntil);
-                return Promise.resolve({ kind: "seen", look: { clock: 1, running: [], ended: [] } });
+                return Promise.resolve({ kind: "seen", poll: { clock: 1, running: [], ended: [] } });
             },
             start: (order: unknown) => {
                 starts.push(order);
@@ -92,7 +92,7 @@
             },
             close: () => Promise.resolve(),
         };
-        const { clock, stop, session } = begin({ clientOf: () => client } as never);
+        const { clock, stop, session } = setUp({ clientOf: () => client } as never);
         const [owner, vm] = createMemoryChannel<OwnerMessage, VmMessage>();
         session.attach(vm);
         await welcome(owner);
@@ -120,7 +120,7 @@
     });
 
     it("keeps the connection of an owner that sends heartbeats", async () => {
-        const { clock, stop, session } = begin();
+        const { clock, stop, session } = setUp();
         const [owner, vm] = createMemoryChannel<OwnerMessage, VmMessage>();
         session.attach(vm);
         await welcome(owner);
--- a/packages/entry/test/links/worker-link.test.ts
+++ b/packages/entry/test/links/worker-link.test.ts
@@ -17,7 +17,7 @@
 
 const worker = workerId("w");
 const leaseLength = 6_000;
-const emptyLook: PollResult = { clock: 1_000, running: [], ended: [] };
+const emptyPoll: PollResult = { clock: 1_000, running: [], ended: [] };
 
 const command: StartCommand = {
     kind: "start",
@@ -30,14 +30,14 @@
 
 /** A worker client whose answers are set by the test. */
 class FakeClient implements TaskWorkerClient {
-    readonly looks: PollRequest[] = [];
+    readonly polls: PollRequest[] = [];
     readonly starts: StartOrder[] = [];
-    answerLook: (request: PollRequest, limit: number) => Promise<PollAnswer> = () => seen(emptyLook);
+    answerPoll: (request: PollRequest, limit: number) => Promise<PollAnswer> = () => seen(emptyPoll);
     answerStart: () => Promise<OrderAnswer> = () => Promise.resolve({ kind: "taken", clock: 1_000 });
 
     poll(request: PollRequest, limit: number): Promise<PollAnswer> {
-        this.looks.push(request);
-        return this.answerLook(request, limit);
+        this.polls.push(request);
+        return this.answerPoll(request, limit);
     }
 
     start(order: StartOrder): Promise<OrderAnswer> {
@@ -61,7 +61,7 @@
 const untilEnded = <Answer>(): Promise<Answer> => new Promise(() => undefined);
 
 const links: WorkerLink[] = [];
-const make = (client: FakeClient, mayRenew = () => true) => {
+const make = (client: FakeClient, mayPoll = () => true) => {
     const clock = new ManualClock();
     const sent: WorkerReport[] = [];
     const logger = new RecordingLogger();
@@ -71,7 +71,7 @@
         clock,
         logger,
         leaseLength,
-        mayPoll: mayRenew,
+        mayPoll,
         lossMonitor: new LossMonitor(clock, logger),
         send: message => sent.push(message),
     });
@@ -82,7 +82,7 @@
 /** A client that answers the first poll at once and leaves later ones waiting. */
 const firstThenWaiting = (): FakeClient => {
     const client = new FakeClient();
-    client.answerLook = () => client.looks.length === 1 ? seen(emptyLook) : untilEnded();
+    client.answerPoll = () => client.polls.length === 1 ? seen(emptyPoll) : untilEnded();
     return client;
 };
 
@@ -92,24 +92,24 @@
     it("polls before the first start and computes leases from the worker's clock", async () => {
         const client = firstThenWaiting();
         const { link, sent } = make(client);
-        link.order(command);
+        link.forward(command);
         await settle();
-        expect(client.looks[0].leaseUntil).toEqual(undefined);
+        expect(client.polls[0].leaseUntil).toEqual(undefined);
         expect(sent[0].kind).toEqual("looked");
         expect(client.starts.map(start => start.leaseUntil)).toEqual([1_000 + leaseLength]);
     });
 
     /*
-     * Guards against a run that went down with a leaving worker being replaced late, as only the expiry of its lease
+     * Guards against a run that went down with a draining worker being replaced late, as only the expiry of its lease
      * proves that it is over.
      */
-    it("grants short leases at a worker that is leaving", async () => {
+    it("grants short leases at a draining worker", async () => {
         const client = firstThenWaiting();
         const { link, clock } = make(client);
         await settle();
-        link.noteLeaving();
-        client.answerLook = () => untilEnded();
-        link.order(command);
+        link.noteDraining();
+        client.answerPoll = () => untilEnded();
+        link.forward(command);
         await advanceTime(clock, 700);
         expect(client.starts.map(start => start.leaseUntil)).toEqual([1_000 + 3_000]);
     });
@@ -119,10 +119,10 @@
         client.answerStart = noAnswer;
         const { link, sent } = make(client);
         await settle();
-        client.answerLook = ({ token }) => token > 100 ? seen(emptyLook) : untilEnded();
-        link.order(command);
+        client.answerPoll = ({ token }) => token > 100 ? seen(emptyPoll) : untilEnded();
+        link.forward(command);
         await settle();
-        expect(client.looks.some(look => look.token === fencingToken(101))).toEqual(true);
+        expect(client.polls.some(poll => poll.token === fencingToken(101))).toEqual(true);
         const kinds = sent.map(message => message.kind);
         expect(kinds.slice(-2)).toEqual(["looked", "started"]);
         expect(sent.at(-1)).toEqual({
@@ -139,8 +139,8 @@
         client.answerStart = noAnswer;
         const { clock, link, sent } = make(client);
         await settle();
-        client.answerLook = noAnswer;
-        link.order(command);
+        client.answerPoll = noAnswer;
+        link.forward(command);
         await advanceTime(clock, 2_000);
         expect(sent.some(message => message.kind === "started")).toEqual(false);
         expect(sent.some(message => message.kind === "silent")).toEqual(true);
@@ -150,40 +150,40 @@
         const client = new FakeClient();
         let isHeard = true;
         const { clock } = make(client, () => isHeard);
-        client.answerLook = () => seen(emptyLook);
+        client.answerPoll = () => seen(emptyPoll);
         await advanceTime(clock, 200);
         isHeard = false;
         await settle();
-        const looks = client.looks.length;
+        const polls = client.polls.length;
         await advanceTime(clock, 1_000);
-        expect(client.looks.length <= looks + 1).toEqual(true);
+        expect(client.polls.length <= polls + 1).toEqual(true);
     });
 
     it("reports an ended run once and lets the worker forget it only when it is committed", async () => {
         const client = new FakeClient();
         const end = { number: 1, task: command.task, run: command.run, end: RunEnd.Done, checkpoint: "" };
-        client.answerLook = request => request.forgetThrough >= 1 ? untilEnded() : seen({ ...emptyLook, ended: [end] });
+        client.answerPoll = request => request.forgetThrough >= 1 ? untilEnded() : seen({ ...emptyPoll, ended: [end] });
         const { clock, link, sent } = make(client);
         await advanceTime(clock, 600);
         const reported = sent.flatMap(message =>
             message.kind === "ends" ? message.ended : message.kind === "looked" ? message.look.ended : []
         );
         expect(reported.length).toEqual(1);
-        expect(client.looks.every(look => look.forgetThrough === 0)).toEqual(true);
+        expect(client.polls.every(poll => poll.forgetThrough === 0)).toEqual(true);
         link.acknowledge(1);
         await advanceTime(clock, 300);
-        expect(client.looks.at(-1)?.forgetThrough).toEqual(1);
+        expect(client.polls.at(-1)?.forgetThrough).toEqual(1);
     });
 
     it("sees an ended run within a second of a lost answer and does not report the worker as silent", async () => {
         const client = new FakeClient();
         const { clock, sent } = make(client);
         const end = { number: 1, task: command.task, run: command.run, end: RunEnd.Done, checkpoint: "" };
-        client.answerLook = ({ wait }, limit) =>
-            client.looks.length === 1
-                ? seen(emptyLook)
+        client.answerPoll = ({ wait }, limit) =>
+            client.polls.length === 1
+                ? seen(emptyPoll)
                 : wait === undefined
-                ? seen({ ...emptyLook, ended: [end] })
+                ? seen({ ...emptyPoll, ended: [end] })
                 : clock.sleep(limit).then(noAnswer<PollAnswer>);
         await advanceTime(clock, 1_000);
         const reported = sent.flatMap(message => message.kind === "looked" ? message.look.ended : []);
@@ -194,32 +194,32 @@
     it("polls an idle worker with a longer wait until the next start", async () => {
         const client = new FakeClient();
         const { clock, link } = make(client);
-        client.answerLook = ({ wait = 0 }) => clock.sleep(wait).then(() => seen(emptyLook));
+        client.answerPoll = ({ wait = 0 }) => clock.sleep(wait).then(() => seen(emptyPoll));
         await advanceTime(clock, 6_000);
-        expect(client.looks.at(-1)?.wait).toEqual(2_000);
-        link.order(command);
+        expect(client.polls.at(-1)?.wait).toEqual(2_000);
+        link.forward(command);
         await advanceTime(clock, 2_500);
-        expect(client.looks.at(-1)?.wait).toEqual(600);
+        expect(client.polls.at(-1)?.wait).toEqual(600);
     });
 
     it("polls with a shorter wait while answers are being lost", async () => {
         const client = new FakeClient();
         const { clock } = make(client);
         let isLossy = true;
-        client.answerLook = ({ wait = 0 }, limit) =>
+        client.answerPoll = ({ wait = 0 }, limit) =>
             isLossy && wait > 0
                 ? clock.sleep(limit).then(noAnswer<PollAnswer>)
-                : clock.sleep(wait).then(() => seen(emptyLook));
+                : clock.sleep(wait).then(() => seen(emptyPoll));
         await advanceTime(clock, 2_500);
-        expect(client.looks.at(-1)?.wait ?? Infinity).toBeLessThan(300);
+        expect(client.polls.at(-1)?.wait ?? Infinity).toBeLessThan(300);
         isLossy = false;
         await advanceTime(clock, 7_000);
-        expect(client.looks.at(-1)?.wait ?? 0).toBeGreaterThan(300);
+        expect(client.polls.at(-1)?.wait ?? 0).toBeGreaterThan(300);
     });
 
     it("closes when another worker answers at the address", async () => {
         const client = new FakeClient();
-        client.answerLook = () => Promise.resolve({ kind: "refused", refusal: OrderRefusal.WrongWorker });
+        client.answerPoll = () => Promise.resolve({ kind: "refused", refusal: OrderRefusal.WrongWorker });
         const { clock, sent } = make(client);
         await advanceTime(clock, 500);
         expect(sent.map(message => message.kind)).toEqual(["other-life"]);
@@ -229,27 +229,27 @@
         const client = new FakeClient();
         const { clock, link } = make(client);
         await settle();
-        client.answerLook = noAnswer;
+        client.answerPoll = noAnswer;
         await advanceTime(clock, 100);
-        const before = client.looks.length;
+        const before = client.polls.length;
         await advanceTime(clock, 1_000);
-        const whileSilent = client.looks.slice(before);
-        expect(whileSilent.length > 0 && whileSilent.every(look => look.leaseUntil === undefined)).toEqual(true);
-        client.answerLook = request => request.leaseUntil === undefined ? seen(emptyLook) : untilEnded();
+        const whileSilent = client.polls.slice(before);
+        expect(whileSilent.length > 0 && whileSilent.every(poll => poll.leaseUntil === undefined)).toEqual(true);
+        client.answerPoll = request => request.leaseUntil === undefined ? seen(emptyPoll) : untilEnded();
         await advanceTime(clock, 300);
-        expect(client.looks.at(-1)?.leaseUntil).toEqual(undefined);
+        expect(client.polls.at(-1)?.leaseUntil).toEqual(undefined);
         link.resumeLeases();
         await advanceTime(clock, 300);
-        expect(client.looks.at(-1)?.leaseUntil === undefined).toEqual(false);
+        expect(client.polls.at(-1)?.leaseUntil === undefined).toEqual(false);
     });
 
     it("reports a start for a silent worker as not delivered without sending it", async () => {
         const client = new FakeClient();
         const { clock, link, sent } = make(client);
         await settle();
-        client.answerLook = noAnswer;
+        client.answerPoll = noAnswer;
         await advanceTime(clock, 300);
-        link.order(command);
+        link.forward(command);
         await settle();
         expect(client.starts.length).toEqual(0);
         const last = sent.at(-1);
@@ -261,13 +261,13 @@
         const { clock, sent, link } = make(client);
         await settle();
         await advanceTime(clock, 100);
-        link.order(command);
+        link.forward(command);
         await settle();
         const answeredAt = clock.monotonic();
-        client.answerLook = () => noAnswer();
+        client.answerPoll = () => noAnswer();
         client.answerStart = noAnswer;
         await advanceTime(clock, 300);
-        link.order(command);
+        link.forward(command);
         await settle();
         const silent = sent.find(message => message.kind === "silent");
         expect(silent?.heardAgo).toEqual(clock.monotonic() - answeredAt);
@@ -277,7 +277,7 @@
         const client = new FakeClient();
         const { clock, sent } = make(client);
         await settle();
-        client.answerLook = noAnswer;
+        client.answerPoll = noAnswer;
         await advanceTime(clock, 300);
         const silent = sent.find(message => message.kind === "silent");
         expect(silent !== undefined && silent.lapsesIn > leaseLength * 0.9).toEqual(true);
--- a/packages/entry/test/owner/hand-over.test.ts
+++ b/packages/entry/test/owner/hand-over.test.ts
@@ -20,7 +20,7 @@
     timetable: undefined,
 } as unknown as JobDefinition;
 
-const begin = () => {
+const setUp = () => {
     const clock = new ManualClock();
     const cell = new CellScheduler({ clock, log: { log: () => undefined } });
     cell.configure(configuration);
@@ -31,7 +31,7 @@
     } as unknown as Journal;
     let confirmedAt = 0;
     const lost = new AbortController();
-    const turns = new TurnRunner({
+    const turnRunner = new TurnRunner({
         cell,
         journal,
         clock,
@@ -42,25 +42,25 @@
         lost,
         onNewWorkers: () => undefined,
     });
-    const desk = new RequestHandler({
+    const handler = new RequestHandler({
         cell,
         journal,
         clock,
         lost: lost.signal,
-        runTurn: () => turns.run(),
+        runTurn: () => turnRunner.run(),
         isConfirmed: () => true,
     });
-    return { clock, desk, turns, records, confirm: () => confirmedAt = clock.monotonic() };
+    return { clock, handler, turnRunner, records, confirm: () => confirmedAt = clock.monotonic() };
 };
 
 describe("a job submitted while the owner, about to stop, waits for the store to confirm its ownership", () => {
     it("is answered as uncertain, as its record is not written", async () => {
-        const { clock, desk, turns, records, confirm } = begin();
+        const { clock, handler, turnRunner, records, confirm } = setUp();
         clock.advance(1_000);
         clock.suspend(4_000);
-        const reply = desk.reply({ kind: "submit", definition: job });
+        const reply = handler.reply({ kind: "submit", definition: job });
         await advanceTime(clock, 20);
-        turns.freeze();
+        turnRunner.freeze();
         confirm();
         await advanceTime(clock, 50);
         expect(records).toEqual([]);
@@ -68,10 +68,10 @@
     });
 
     it("is accepted once its record is committed", async () => {
-        const { clock, desk, records, confirm } = begin();
+        const { clock, handler, records, confirm } = setUp();
         clock.advance(1_000);
         clock.suspend(4_000);
-        const reply = desk.reply({ kind: "submit", definition: job });
+        const reply = handler.reply({ kind: "submit", definition: job });
         await advanceTime(clock, 20);
         confirm();
         await advanceTime(clock, 50);
--- a/packages/entry/test/owner/journal-outage-log.test.ts
+++ b/packages/entry/test/owner/journal-outage-log.test.ts
@@ -19,9 +19,9 @@
         silentFor = 600;
         log.check();
         log.check();
-        log.noteRefused();
-        log.noteRefused();
-        log.noteUncertain();
+        log.countRefused();
+        log.countRefused();
+        log.countUncertain();
         clock.advance(2_000);
         silentFor = 0;
         log.check();
--- a/packages/entry/test/owner/organisations.test.ts
+++ b/packages/entry/test/owner/organisations.test.ts
@@ -14,54 +14,54 @@
 const job = jobId("0123456789abcdef");
 const definition: JobDefinition = { job, queue, organisation: north, payload: "", steps: [], timetable: undefined };
 
-const begin = (): { cell: CellScheduler; desk: RequestHandler; } => {
+const setUp = (): { cell: CellScheduler; handler: RequestHandler; } => {
     const clock = new ManualClock();
     const cell = new CellScheduler({ clock, log: { log: () => undefined } });
     cell.configure({ ...configuration, organisations });
-    const turn = (): Promise<boolean> => {
+    const runTurn = (): Promise<boolean> => {
         cell.turnCommitted(cell.drain());
         return Promise.resolve(true);
     };
     const journal = { silentFor: () => 0 } as unknown as Journal;
     const lost = new AbortController().signal;
-    return { cell, desk: new RequestHandler({ cell, journal, clock, lost, runTurn: turn, isConfirmed: () => true }) };
+    return { cell, handler: new RequestHandler({ cell, journal, clock, lost, runTurn, isConfirmed: () => true }) };
 };
 
 describe("a job of an organisation", () => {
     it("is visible to callers of the organisation only", async () => {
-        const { desk } = begin();
-        expect(await desk.reply({ kind: "submit", definition })).toEqual({ kind: "accepted" });
-        expect(await desk.reply({ kind: "state", job, organisation: north }))
+        const { handler } = setUp();
+        expect(await handler.reply({ kind: "submit", definition })).toEqual({ kind: "accepted" });
+        expect(await handler.reply({ kind: "state", job, organisation: north }))
             .toEqual({ kind: "state", state: CellJobState.Queued });
-        expect(await desk.reply({ kind: "state", job, organisation: south })).toEqual({ kind: "unknown-job" });
-        expect(await desk.reply({ kind: "state", job })).toEqual({ kind: "unknown-job" });
+        expect(await handler.reply({ kind: "state", job, organisation: south })).toEqual({ kind: "unknown-job" });
+        expect(await handler.reply({ kind: "state", job })).toEqual({ kind: "unknown-job" });
     });
 
     it("can be cancelled by callers of the organisation only", async () => {
-        const { cell, desk } = begin();
-        await desk.reply({ kind: "submit", definition });
-        expect(await desk.reply({ kind: "cancel", job, organisation: south })).toEqual({ kind: "unknown-job" });
+        const { cell, handler } = setUp();
+        await handler.reply({ kind: "submit", definition });
+        expect(await handler.reply({ kind: "cancel", job, organisation: south })).toEqual({ kind: "unknown-job" });
         expect(cell.jobs.get(job)?.isOver).toEqual(false);
-        expect(await desk.reply({ kind: "cancel", job, organisation: north })).toEqual({ kind: "cancelled" });
+        expect(await handler.reply({ kind: "cancel", job, organisation: north })).toEqual({ kind: "cancelled" });
     });
 
     it("stays with it when another organisation submits a job with the same id", async () => {
-        const { cell, desk } = begin();
-        await desk.reply({ kind: "submit", definition });
-        expect(await desk.reply({ kind: "submit", definition: { ...definition, organisation: south } }))
+        const { cell, handler } = setUp();
+        await handler.reply({ kind: "submit", definition });
+        expect(await handler.reply({ kind: "submit", definition: { ...definition, organisation: south } }))
             .toEqual({ kind: "id-taken" });
-        expect(await desk.reply({ kind: "submit", definition })).toEqual({ kind: "accepted" });
+        expect(await handler.reply({ kind: "submit", definition })).toEqual({ kind: "accepted" });
         expect(cell.jobs.get(job)?.organisation).toEqual(north);
     });
 
     it("that is missing in the owner's configuration is to be submitted again later", async () => {
-        const { desk } = begin();
+        const { handler } = setUp();
         const unknown = { ...definition, organisation: organisationName("east") };
-        expect((await desk.reply({ kind: "submit", definition: unknown })).kind).toEqual("not-now");
+        expect((await handler.reply({ kind: "submit", definition: unknown })).kind).toEqual("not-now");
     });
 
     it("that exceeds the organisation's limit is refused and not recorded", async () => {
-        const { cell, desk } = begin();
+        const { cell, handler } = setUp();
         const size = { processorThousandths: 1_000, memoryMebibytes: 0, accelerators: 0 };
         const limits = { processorThousandths: 3_000, memoryMebibytes: 0, accelerators: 0 };
         cell.configure({
@@ -71,18 +71,18 @@
         });
         const gang = (taskCount: number) => ({ ...definition, steps: [makeStep({ taskCount, size, isGang: true })] });
         const wide = { ...definition, steps: [makeStep({ taskCount: 40, size })] };
-        expect(await desk.reply({ kind: "submit", definition: gang(4) })).toEqual({ kind: "beyond-limit" });
+        expect(await handler.reply({ kind: "submit", definition: gang(4) })).toEqual({ kind: "beyond-limit" });
         expect(cell.jobs.size).toEqual(0);
-        expect(await desk.reply({ kind: "submit", definition: wide })).toEqual({ kind: "accepted" });
-        expect(await desk.reply({ kind: "submit", definition: { ...gang(3), job: jobId("0123456789abcdee") } }))
+        expect(await handler.reply({ kind: "submit", definition: wide })).toEqual({ kind: "accepted" });
+        expect(await handler.reply({ kind: "submit", definition: { ...gang(3), job: jobId("0123456789abcdee") } }))
             .toEqual({ kind: "accepted" });
     });
 
     it("is visible to everyone if it was submitted without a key", async () => {
-        const { desk } = begin();
+        const { handler } = setUp();
         const { organisation, ...open } = definition;
         expect(organisation).toEqual(north);
-        await desk.reply({ kind: "submit", definition: open });
-        expect((await desk.reply({ kind: "state", job, organisation: south })).kind).toEqual("state");
+        await handler.reply({ kind: "submit", definition: open });
+        expect((await handler.reply({ kind: "state", job, organisation: south })).kind).toEqual("state");
     });
 });
--- a/packages/entry/test/owner/relay-order.test.ts
+++ b/packages/entry/test/owner/relay-order.test.ts
@@ -4,9 +4,9 @@
 import { relayOrder } from "../../src/owner/relay-order.js";
 import { makeVm } from "../support/index.js";
 
-const link = (name: string, processorShare: number, isStoreDoubtful = false) => ({
+const link = (name: string, processorShare: number, hasFailedStoreCall = false) => ({
     vm: makeVm(name, { processorShare }),
-    isStoreDoubtful,
+    hasFailedStoreCall,
 });
 const namesOf = (links: ReturnType<typeof link>[], first: number): string[] =>
     relayOrder(links, first).map(({ vm }) => vm.name);
--- a/packages/entry/test/owner/request-handler.test.ts
+++ b/packages/entry/test/owner/request-handler.test.ts
@@ -13,7 +13,7 @@
     jobs: new Map(),
 } as unknown as CellScheduler;
 
-const begin = (isConfirmed: () => boolean): RequestHandler =>
+const setUp = (isConfirmed: () => boolean): RequestHandler =>
     new RequestHandler({
         cell: emptyCell,
         journal: {} as Journal,
@@ -23,17 +23,17 @@
         isConfirmed,
     });
 
-const notNow = { kind: "not-now", retryAfter: 1_000, reason: RetryLaterReason.OwnerUnconfirmed };
+const retryLater = { kind: "not-now", retryAfter: 1_000, reason: RetryLaterReason.OwnerUnconfirmed };
 
 describe("an owner that is asked for an unknown job", () => {
     it("reports it as unknown only while it is confirmed to own the cell", async () => {
         let isConfirmed = false;
-        const desk = begin(() => isConfirmed);
+        const handler = setUp(() => isConfirmed);
         const job = jobId("0123456789abcdef");
-        expect(await desk.reply({ kind: "state", job })).toEqual(notNow as never);
-        expect(await desk.reply({ kind: "cancel", job })).toEqual(notNow as never);
+        expect(await handler.reply({ kind: "state", job })).toEqual(retryLater as never);
+        expect(await handler.reply({ kind: "cancel", job })).toEqual(retryLater as never);
         isConfirmed = true;
-        expect(await desk.reply({ kind: "state", job })).toEqual({ kind: "unknown-job" });
-        expect(await desk.reply({ kind: "cancel", job })).toEqual({ kind: "unknown-job" });
+        expect(await handler.reply({ kind: "state", job })).toEqual({ kind: "unknown-job" });
+        expect(await handler.reply({ kind: "cancel", job })).toEqual({ kind: "unknown-job" });
     });
 });
--- a/packages/entry/test/owner/stop-without-store.test.ts
+++ b/packages/entry/test/owner/stop-without-store.test.ts
@@ -8,7 +8,7 @@
 import { SimulationWorld } from "../support/lives/index.js";
 
 describe("an owner that is stopped while the store does not answer", () => {
-    const begin = async ({ silentFor = 1_000 } = {}) => {
+    const setUp = async ({ silentFor = 1_000 } = {}) => {
         const world = await SimulationWorld.begin({ workers: 2 });
         await world.submit("a", "1000");
         const heard = world.connectListener("vm-1");
@@ -20,7 +20,7 @@
     };
 
     it("keeps reporting job states and refuses new jobs", async () => {
-        const { world, outcome } = await begin();
+        const { world, outcome } = await setUp();
         expect(await world.askState("a")).toEqual("state");
         const reply = world.sendJob("b", "1000");
         await world.advance(50);
@@ -30,14 +30,14 @@
     });
 
     it("keeps reporting job states when the store has only just stopped answering", async () => {
-        const { world, outcome } = await begin({ silentFor: 10 });
+        const { world, outcome } = await setUp({ silentFor: 10 });
         expect(await world.askState("a")).toEqual("state");
         expect(outcome()).toEqual(undefined);
         world.end();
     });
 
     it("hands the cell over as soon as the store answers again", async () => {
-        const { world, heard, outcome } = await begin();
+        const { world, heard, outcome } = await setUp();
         world.storeSilentSince = undefined;
         await world.advance(200);
         expect(outcome()).toEqual(HandOverOutcome.Offered);
@@ -46,7 +46,7 @@
     });
 
     it("ends without a handover before its process is killed when the store stays silent", async () => {
-        const { world, heard, outcome } = await begin();
+        const { world, heard, outcome } = await setUp();
         await world.advance(shutdownTimesOf(6_000).answerWithin - 500);
         expect(outcome()).toEqual(HandOverOutcome.StoreSilent);
         expect(heard.includes("hand-over")).toEqual(false);
--- a/packages/entry/test/owner/turn-runner.test.ts
+++ b/packages/entry/test/owner/turn-runner.test.ts
@@ -14,16 +14,16 @@
 };
 
 /** A cell that always requests another scheduling cycle. */
-const waitingCell = () => {
-    const counts = { turns: 0, passes: 0 };
+const busyCell = () => {
+    const counts = { turns: 0, cycles: 0 };
     const cell = {
-        wantsPass: true,
+        needsCycle: true,
         drain: () => {
             counts.turns++;
             return emptyTurn;
         },
-        kept: () => undefined,
-        place: () => void counts.passes++,
+        turnCommitted: () => undefined,
+        place: () => void counts.cycles++,
     };
     return { counts, cell: cell as unknown as CellScheduler };
 };
@@ -51,16 +51,16 @@
 
 describe("turns during a handover", () => {
     it("run no scheduling cycles and do not repeat while work is waiting", async () => {
-        const { counts, cell } = waitingCell();
+        const { counts, cell } = busyCell();
         const runner = makeRunner(cell);
         runner.freeze();
         runner.schedule();
         await settle();
-        expect(counts).toEqual({ turns: 1, passes: 0 });
+        expect(counts).toEqual({ turns: 1, cycles: 0 });
     });
 
     it("write no more records, so that the journal stays as the next owner has read it", async () => {
-        const { cell } = waitingCell();
+        const { cell } = busyCell();
         const turn: TurnOutput = { ...emptyTurn, records: [{ kind: "forgotten", job: jobId("late") }] };
         const runner = makeRunner({ ...cell, drain: () => turn } as unknown as CellScheduler);
         runner.freeze();
@@ -71,7 +71,7 @@
 
 describe("turns of an owner that may have been suspended", () => {
     it("neither decide nor send anything before the store has confirmed its ownership", async () => {
-        const { counts, cell } = waitingCell();
+        const { counts, cell } = busyCell();
         const clock = new ManualClock();
         let confirmedAt = 0;
         const runner = makeRunner(cell, clock, () => confirmedAt);
@@ -83,7 +83,7 @@
         confirmedAt = clock.monotonic();
         await advanceTime(clock, 50);
         runner.freeze();
-        expect(before).toEqual({ turns: 0, passes: 0 });
+        expect(before).toEqual({ turns: 0, cycles: 0 });
         expect(counts.turns > 0).toEqual(true);
     });
 });
--- a/packages/entry/test/owner/worker-report-handler.test.ts
+++ b/packages/entry/test/owner/worker-report-handler.test.ts
@@ -20,19 +20,20 @@
 
 const worker = workerId("w");
 
-const begin = () => {
+const setUp = () => {
     const clock = new ManualClock();
-    const looks: number[] = [];
+    const settledTimes: number[] = [];
     const cell = {
         workers: new Map([[worker, new WorkerState(worker, "127.0.0.1:1")]]),
-        takeLook: (...[, , , settledBefore]: Parameters<CellScheduler["applyPoll"]>) => looks.push(settledBefore),
+        applyPoll: (...[, , , settledBefore]: Parameters<CellScheduler["applyPoll"]>) =>
+            settledTimes.push(settledBefore),
     } as unknown as CellScheduler;
     const [ownerEnd, vmEnd] = createMemoryChannel<OwnerMessage, VmMessage>();
     const assigned: AssignMessage[] = [];
     vmEnd.onMessage = message => message.kind === "assign" && assigned.push(message);
     const link = new VmLink(makeVm("a"), ownerEnd, 0);
     const assignments = new Assignments(epoch(1), "nobody", () => clock.monotonic());
-    const inbox = new WorkerReportHandler({
+    const handler = new WorkerReportHandler({
         cell,
         assignments,
         clock,
@@ -46,24 +47,24 @@
         await settle();
         return assigned[assigned.length - 1];
     };
-    const lookOf = ({ token }: AssignMessage): WorkerMessage => ({
+    const pollMessageOf = ({ token }: AssignMessage): WorkerMessage => ({
         kind: "looked",
         worker,
         look: { clock: 0, running: [], ended: [] },
         age: 0,
         assignment: token,
     });
-    return { inbox, link, looks, assign, lookOf };
+    return { handler, link, settledTimes, assign, pollMessageOf };
 };
 
 describe("a report of a VM on a worker", () => {
     it("applies to the assignment that it was made under and not to a later one", async () => {
-        const { inbox, link, looks, assign, lookOf } = begin();
+        const { handler, link, settledTimes, assign, pollMessageOf } = setUp();
         const former = await assign();
         const present = await assign();
-        inbox.handle(link, lookOf(former));
-        expect(looks).toEqual([]);
-        inbox.handle(link, lookOf(present));
-        expect(looks).toEqual([20]);
+        handler.handle(link, pollMessageOf(former));
+        expect(settledTimes).toEqual([]);
+        handler.handle(link, pollMessageOf(present));
+        expect(settledTimes).toEqual([20]);
     });
 });
--- a/packages/entry/test/peers/vm-dialer.test.ts
+++ b/packages/entry/test/peers/vm-dialer.test.ts
@@ -13,7 +13,7 @@
 } from "../../src/index.js";
 import { advanceTime, makeVm } from "../support/index.js";
 
-const show = (view: CellView, names: readonly string[], address: string): void => {
+const listVms = (view: CellView, names: readonly string[], address: string): void => {
     const entries = names.map(name => ({
         key: vmKey(name),
         value: JSON.stringify(makeVm(name, { address })),
@@ -35,7 +35,7 @@
         const address = `${host}:26720`;
         await listenForOwners(address, () => undefined, stop.signal);
         const view = new CellView(clock);
-        show(view, ["b"], address);
+        listVms(view, ["b"], address);
         const dialer = new VmDialer(view, makeVm("a"), clock);
         void dialer.run(stop.signal);
         for (let tries = 0; dialer.isIsolated && tries < 100; tries++) {
@@ -43,7 +43,7 @@
             await new Promise(resolve => setTimeout(resolve, 5));
         }
         expect(dialer.hasBecomeIsolated).toEqual(false);
-        show(view, ["c", "d", "e", "f", "g", "h"], `${host}:26721`);
+        listVms(view, ["c", "d", "e", "f", "g", "h"], `${host}:26721`);
         expect(dialer.hasBecomeIsolated).toEqual(false);
     });
 });
@@ -62,12 +62,12 @@
         return address;
     };
 
-    const askOf = async (port: number, silences: readonly number[], limit: number): Promise<boolean> => {
+    const isSilenceAgreed = async (port: number, silences: readonly number[], limit: number): Promise<boolean> => {
         const clock = new SystemClock();
         const view = new CellView(clock);
-        show(view, ["owner"], `${host}:26739`);
+        listVms(view, ["owner"], `${host}:26739`);
         for (const [index, silence] of silences.entries()) {
-            show(view, [`vm-${index}`], await listenAs(port + index, silence));
+            listVms(view, [`vm-${index}`], await listenAs(port + index, silence));
         }
         const dialer = new VmDialer(view, makeVm("a"), clock);
         void dialer.run(stop.signal);
@@ -76,8 +76,8 @@
 
     it("needs the agreement of a majority of the VMs, including itself", async () => {
         // Agreement resolves at once; only its absence takes the whole limit.
-        expect(await askOf(26_740, [500, 500, 20], 10_000)).toEqual(true);
-        expect(await askOf(26_744, [500, 20, 20], 300)).toEqual(false);
+        expect(await isSilenceAgreed(26_740, [500, 500, 20], 10_000)).toEqual(true);
+        expect(await isSilenceAgreed(26_744, [500, 20, 20], 300)).toEqual(false);
     });
 });
 
@@ -115,11 +115,11 @@
         }
     };
 
-    const begin = async (port: number) => {
+    const setUp = async (port: number) => {
         const address = `${host}:${port}`;
         await listenForOwners(address, () => undefined, stop.signal);
         const view = new CellView(new SystemClock());
-        show(view, ["b"], address);
+        listVms(view, ["b"], address);
         const dialer = new VmDialer(view, makeVm("a"), new SystemClock());
         const connections = new Connections();
         dialer.attach(connections);
@@ -129,16 +129,16 @@
     };
 
     it("replaces the connection", async () => {
-        const { dialer, connections } = await begin(26_750);
+        const { dialer, connections } = await setUp(26_750);
         connections.silence = 700;
         await until(() => connections.channels.length === 2);
         expect([connections.channels.length, dialer.hasBecomeIsolated]).toEqual([2, false]);
     });
 
     it("does not become isolated before a dial has failed", async () => {
-        const { dialer, connections } = await begin(26_751);
+        const { dialer, connections } = await setUp(26_751);
         expect(dialer.hasBecomeIsolated).toEqual(false);
-        dialer.noteSilence("b");
+        dialer.recordSilence("b");
         connections.channels.length = 0;
         expect(dialer.hasBecomeIsolated).toEqual(false);
     });
