--- a/packages/entry/src/links/constants.ts
+++ b/packages/entry/src/links/constants.ts
@@ -12,13 +12,15 @@
 export const pollTimeout: Milliseconds = 500;
 /** How long a poll waits at the worker for a run to end. The worker protocol allows at most two seconds. */
 export const pollWait: Milliseconds = 600;
-/** The same at an idle worker, where no run can end. */
+/** How long a poll waits at an idle worker, where no run can end. */
 export const idlePollWait: Milliseconds = 2_000;
 /**
  * A worker without activity for this long is idle: starts are settled and its runs visible by then. Five usual polls.
  */
 export const idleAfter: Milliseconds = 3_000;
-/** The same while answers are being lost: the end of a run is not seen until a lost answer has timed out. */
+/**
+ * How long a poll waits while answers are being lost: the end of a run is not seen until a lost answer has timed out.
+ */
 export const lossyPollWait: Milliseconds = 200;
 /** Answers are considered lossy for this long after the last loss. */
 export const lossWindow: Milliseconds = 5_000;
@@ -27,8 +29,9 @@
 /** Delay before an unanswered call is repeated. */
 export const retryDelay: Milliseconds = 120;
 /**
- * The same while an unanswered order may still be carried out. A worker that has crashed and restarted accepts such an
- * order until it has seen a higher token, so it must be polled soon after its start.
+ * Delay before an unanswered call is repeated while an unanswered order may still be carried out. A worker that has
+ * crashed and restarted accepts such an order until it has seen a higher token, so it must be polled soon after its
+ * start.
  */
 export const lateOrderRetryDelay: Milliseconds = 20;
 /** How long an unanswered order may still be carried out after it was sent. */
--- a/packages/entry/src/links/vm-session.ts
+++ b/packages/entry/src/links/vm-session.ts
@@ -23,7 +23,7 @@
 
 /** Added to the expected duration of an advice request to give its timeout, in milliseconds. */
 const adviceTimeoutSlack: Milliseconds = 1_500;
-/** Maximum time between two messages to the owner, in milliseconds; a heartbeat fills longer gaps. */
+/** Maximum time between two heartbeats or worker reports to the owner, in milliseconds. */
 const heartbeatInterval: Milliseconds = 250;
 
 /**
@@ -70,7 +70,7 @@
     #lastHeardAt = -Infinity;
     /** When the owner was last sent a heartbeat or a worker's message, which serves as one. */
     #lastSentAt = -Infinity;
-    #isStopping = false;
+    #isLeaving = false;
 
     constructor(private readonly options: VmSessionOptions) {
         this.#links = new WorkerLinks({
@@ -130,7 +130,7 @@
 
     /** Announces to this owner and its successors that this VM is about to stop. */
     announceLeaving(): void {
-        this.#isStopping = true;
+        this.#isLeaving = true;
         this.#channel?.send({ kind: "leaving" });
     }
 
@@ -180,7 +180,7 @@
             former.close();
         }
         this.#dropRequests();
-        if (this.#isStopping) {
+        if (this.#isLeaving) {
             channel.send({ kind: "leaving" });
         }
         this.options.onOwnerChange(true);
--- a/packages/entry/src/owner/constants.ts
+++ b/packages/entry/src/owner/constants.ts
@@ -1,7 +1,7 @@
 /** Timeouts, intervals and limits of the owner; times are in milliseconds. */
 import type { Milliseconds } from "@pebbledale/core";
 
-/** Maximum time between two messages to each VM; a heartbeat fills longer gaps. */
+/** Interval of the owner's heartbeats to each VM. VMs time out an owner after several of them. */
 export const ownerHeartbeatInterval: Milliseconds = 250;
 /** Interval of the owner's main loop, which handles time-based events. */
 export const tickInterval: Milliseconds = 100;
--- a/packages/entry/src/owner/worker-report-handler.ts
+++ b/packages/entry/src/owner/worker-report-handler.ts
@@ -61,7 +61,7 @@
         }
     }
 
-    /** Removes a link whose worker has another incarnation: a link serves one incarnation only. */
+    /** Removes the link of a worker that was restarted or replaced: a link serves one incarnation only. */
     #endLink(link: VmLink, worker: WorkerId): void {
         link.channel.send({ kind: "unassign", worker });
         this.options.assignments.remove(worker);
--- a/packages/entry/src/ownership/constants.ts
+++ b/packages/entry/src/ownership/constants.ts
@@ -3,7 +3,10 @@
 
 /** Interval at which a VM checks whether to claim the cell. */
 export const campaignInterval: Milliseconds = 50;
-/** The same while ownership is stable: events that could change it wake the candidate, and an idle VM wakes seldom. */
+/**
+ * Interval of that check while ownership is stable: events that could change it wake the candidate, and an idle VM
+ * wakes seldom.
+ */
 export const stableCampaignInterval: Milliseconds = 1_000;
 /** Additional delay of a candidate's claim for each larger VM, which would serve the cell better. */
 export const largerCandidateDelay: Milliseconds = 120;
--- a/packages/entry/src/protocol/messages.ts
+++ b/packages/entry/src/protocol/messages.ts
@@ -100,7 +100,7 @@
     readonly kind: "want-configuration";
 }
 
-/** The sender's current configuration. */
+/** The newest configuration known to the sender. */
 export interface ConfigurationMessage {
     readonly kind: "configuration";
     readonly configuration: CellConfiguration;
@@ -124,14 +124,14 @@
     readonly worker: WorkerId;
 }
 
-/** Heartbeat of the owner. */
+/** Shows that the owner is alive, and whether VMs may grant leases on its behalf. */
 export interface OwnerHeartbeatMessage {
     readonly kind: "beat";
-    /** Whether leases may be granted: the store has recently confirmed the sender as owner of the cell. */
+    /** Whether leases may be granted: the store has recently confirmed that the sender owns the cell. */
     readonly mayLease: boolean;
 }
 
-/** Heartbeat of a VM. */
+/** Shows that a VM is alive when it has nothing else to send. */
 export interface HeartbeatMessage {
     readonly kind: "beat";
 }
--- a/packages/entry/test/links/vm-session.test.ts
+++ b/packages/entry/test/links/vm-session.test.ts
@@ -124,7 +124,7 @@
         const [owner, vm] = createMemoryChannel<OwnerMessage, VmMessage>();
         session.attach(vm);
         await welcome(owner);
-        for (let beats = 0; beats < 10; beats++) {
+        for (let heartbeats = 0; heartbeats < 10; heartbeats++) {
             await advanceTime(clock, 1_000);
             owner.send({ kind: "beat", mayLease: true });
             await settle();
--- a/packages/entry/test/support/observation.ts
+++ b/packages/entry/test/support/observation.ts
@@ -20,8 +20,8 @@
 
 /** Creates a request log with the logger and metrics that it writes to. */
 export const makeRequestLog = (clock: Clock): { log: RequestLog; kept: RecordingLogger; metrics: EntryMetrics; } => {
-    const kept = new RecordingLogger();
+    const logger = new RecordingLogger();
     const metrics = new EntryMetrics();
     const owner = () => ({ epoch: 7, silence: 120 });
-    return { log: new RequestLog({ logger: kept, metrics, clock, owner }), kept, metrics };
+    return { log: new RequestLog({ logger, metrics, clock, owner }), kept: logger, metrics };
 };
