--- a/packages/entry/src/links/worker-link.ts
+++ b/packages/entry/src/links/worker-link.ts
@@ -1,11 +1,4 @@
-/**
- * The link to one life of a worker for one owner: orders, and looks one after the other that renew its lease.
- *
- * The numbers of ends, the clock and the leases are those of the life. When another one answers, the link tells the owner and ends.
- *
- * A start without an answer may still be carried out later. The link then raises the fencing token and looks: what that
- * look shows is final, as the worker refuses whatever still carries a lower token.
- */
+/** Link between an entry VM and a worker. */
 import {
     OrderRefusal,
     type PollRequest,
@@ -26,13 +19,14 @@
 } from "@pebbledale/core";
 import { createAbortController, type EventLogger } from "@pebbledale/runtime";
 import type { AssignMessage, WorkerReport } from "../protocol/index.js";
+import { BestEffortOrders } from "./best-effort-orders.js";
 import {
     acknowledgementTimeout,
+    drainingLeaseLength,
     idleAfter,
     idlePollWait,
     lateOrderRetryDelay,
     lateOrderWindow,
-    leavingLeaseLength,
     lossyPollWait,
     maxAnswerTimeout,
     minAnswerTimeout,
@@ -42,39 +36,46 @@
     progressInterval,
     retryDelay,
 } from "./constants.js";
-import { EndedRunTracker } from "./end-numbers.js";
-import type { LossMonitor } from "./loss-watch.js";
-import { BestEffortOrders } from "./side-orders.js";
+import { EndedRunTracker } from "./ended-run-tracker.js";
+import type { LossMonitor } from "./loss-monitor.js";
 import { type ClockReading, WorkerLease } from "./worker-lease.js";
 
-/** What a link needs. */
+/** Dependencies and parameters of a worker link. */
 export interface WorkerLinkOptions {
     readonly assignment: AssignMessage;
     readonly client: TaskWorkerClient;
     readonly clock: Clock;
     readonly logger: EventLogger;
-    /** How long a lease runs. */
     readonly leaseLength: Milliseconds;
-    /** Whether the owner was heard lately enough to give leases in its name. */
+    /** Whether the owner was heard recently enough to poll and grant leases on its behalf. */
     readonly mayPoll: () => boolean;
-    /** Whether orders may be passed on in the owner's name: not before it is heard anew after a suspension. */
+    /**
+     * Whether orders may be forwarded for the owner, which must have been heard since any suspension of this process.
+     */
     readonly mayForwardOrders?: () => boolean;
-    /** Shared by all links of the VM. */
+    /** Shared by all links of this VM. */
     readonly lossMonitor: LossMonitor;
     readonly send: (report: WorkerReport) => void;
 }
 
-/** How one look is made. */
+/** Parameters of one poll. */
 interface PollTerms {
-    /** How long it waits for an end. */
+    /** How long the worker waits for a run to end before it answers. */
     readonly wait: Milliseconds;
-    /** It has failed without an answer by then. */
+    /** Timeout of the poll. */
     readonly timeout: Milliseconds;
-    /** Whether the owner is told all that it shows. */
+    /** Whether the full result is sent to the owner. */
     readonly isFull?: boolean;
 }
 
-/** See the module's comment. */
+/**
+ * A link to one incarnation of a worker on behalf of one owner: forwards orders, and polls the worker in sequence,
+ * which renews its lease. When another incarnation answers, the link reports it to the owner and closes, as numbers of
+ * ended runs, the clock and leases belong to one incarnation.
+ *
+ * An unanswered start may still be carried out later. The link then raises its fencing token and polls the worker: the
+ * result is final, as the worker refuses orders with a lower token.
+ */
 export class WorkerLink {
     readonly worker: WorkerId;
     readonly #closed = createAbortController();
@@ -84,20 +85,20 @@
     readonly #bestEffortOrders: BestEffortOrders;
     #lastProgressAt = -Infinity;
     #isSilent = false;
-    /** When a look last showed something, or something was started. */
+    /** When a poll last showed a run or a start was sent. */
     #lastActiveAt: Milliseconds;
-    /** The life that the link is for; undefined until it is known, and where lives have no names. */
+    /** The incarnation that the link is for; undefined until it is known, and where workers do not report any. */
     #incarnation: WorkerIncarnation | undefined;
-    /** When the worker last answered anything. */
+    /** Time of the worker's last answer. */
     #lastHeardAt: Milliseconds | undefined;
-    /** Until then an order that got no answer may still be carried out. */
+    /** Until then an unanswered order may still be carried out. */
     #lateOrdersUntil: Milliseconds;
-    /** After a silence the owner may take the leases for over: none is given until it says so. */
+    /** False after a silence until the owner resumes the link, as it may have considered the leases expired. */
     #mayLease = true;
     #onAcknowledged: (() => void) | undefined;
     #queuedStarts: StartCommand[] = [];
     #resolving: Promise<void> | undefined;
-    /** Starts without an answer. */
+    /** Unanswered starts that are not being resolved yet. */
     #uncertainStarts: StartCommand[] = [];
     readonly #answerTimes = new ResponseTimeEstimator({ min: minAnswerTimeout, max: maxAnswerTimeout });
 
@@ -121,24 +122,24 @@
         void this.#run();
     }
 
-    /** Ends the link: nothing more is sent. */
+    /** Closes the link; nothing more is sent. */
     close(): void {
         this.#closed.abort();
         this.#onAcknowledged?.();
     }
 
-    /** The owner knows that the worker answers again: leases may be given. */
+    /** Allows leases again after a silence of the worker. */
     resumeLeases(): void {
         this.#mayLease = true;
     }
 
-    /** The worker says that it leaves. */
-    noteLeaving(): void {
-        this.#lease.limitLength(leavingLeaseLength);
+    /** Shortens leases because the worker is draining. */
+    noteDraining(): void {
+        this.#lease.limitLength(drainingLeaseLength);
     }
 
-    /** Passes an order on. */
-    order(command: WorkerCommand): void {
+    /** Sends an order to the worker. A start is delayed until the worker's clock has been read. */
+    forward(command: WorkerCommand): void {
         if (command.kind === "stop") {
             void this.#bestEffortOrders.stop(command);
         }
@@ -153,7 +154,7 @@
         }
     }
 
-    /** Ends up to `through` are kept. */
+    /** Marks ended runs up to `through` as committed. */
     acknowledge(through: number): void {
         this.#endedRuns.commitThrough(through);
         this.#onAcknowledged?.();
@@ -185,54 +186,54 @@
         }
     }
 
-    /** Whether nothing was at work for a while, and nothing can be. */
+    /** Whether the worker has had no activity for a while, and no late order can cause any. */
     get #isIdle(): boolean {
         return !this.#mayLateOrdersArrive && this.options.clock.monotonic() - this.#lastActiveAt > idleAfter;
     }
 
-    /** Whether an order that got no answer may still be carried out. */
+    /** Whether an unanswered order may still be carried out. */
     get #mayLateOrdersArrive(): boolean {
         return this.options.clock.monotonic() < this.#lateOrdersUntil;
     }
 
     /**
-     * A look that waits for an end. When its answer is lost it is repeated at once without a wait: only a worker that does
-     * not answer that one either is silent. Where answers are lost now and then, ends are seen all the same.
+     * Polls the worker, waiting for a run to end. If the answer is lost, the poll is repeated at once without a wait,
+     * so that the worker is only considered silent if it does not answer that one either.
      */
     async #pollForEnds(): Promise<boolean> {
         if (!this.#isSilent && this.#lease.hasReading) {
             const usualWait = this.#isIdle ? idlePollWait : pollWait;
             const wait = this.options.lossMonitor.hasRecentLoss ? lossyPollWait : usualWait;
-            const isAnswered = await this.#tryPoll({ wait, timeout: wait + this.#answerTimes.timeout });
-            if (typeof isAnswered === "boolean") {
-                return isAnswered;
+            const outcome = await this.#tryPoll({ wait, timeout: wait + this.#answerTimes.timeout });
+            if (typeof outcome === "boolean") {
+                return outcome;
             }
-            this.#noteLost();
+            this.#recordLoss();
         }
         return this.#pollOnce();
     }
 
-    /** One look that does not wait; false when it had no answer. */
-    async #pollOnce(isWhole = false): Promise<boolean> {
-        const limit = this.#mayLateOrdersArrive && this.#isSilent ? this.#answerTimes.timeout : pollTimeout;
-        const isAnswered = await this.#tryPoll({ wait: 0, timeout: limit, isFull: isWhole });
-        if (typeof isAnswered === "boolean") {
-            return isAnswered;
+    /** Polls without a wait; resolves to false when there was no answer. */
+    async #pollOnce(isFull = false): Promise<boolean> {
+        const timeout = this.#mayLateOrdersArrive && this.#isSilent ? this.#answerTimes.timeout : pollTimeout;
+        const outcome = await this.#tryPoll({ wait: 0, timeout, isFull });
+        if (typeof outcome === "boolean") {
+            return outcome;
         }
-        this.#reportSilence(isAnswered.cause);
+        this.#reportSilence(outcome.cause);
         return false;
     }
 
-    /** One look; the cause when it had no answer. */
+    /** Polls once; resolves to the cause when there was no answer. */
     async #tryPoll(
-        { wait, timeout: limit, isFull: isWhole = false }: PollTerms,
+        { wait, timeout, isFull = false }: PollTerms,
     ): Promise<boolean | { readonly cause: string; }> {
         const { client, clock } = this.options;
         const sentAt = clock.monotonic();
         const request = this.#pollRequest(wait);
         const token = this.#token;
         try {
-            const answer = await client.poll(request, limit, this.#closed.signal);
+            const answer = await client.poll(request, timeout, this.#closed.signal);
             if (this.#closed.signal.aborted) {
                 return true;
             }
@@ -240,30 +241,30 @@
                 return this.#handleRefusal(answer.refusal, token);
             }
             this.#lastHeardAt = clock.monotonic();
-            this.#noteAnswerTime(clock.monotonic() - sentAt - wait);
-            this.#handlePoll(answer.poll, sentAt, isWhole);
+            this.#recordAnswerTime(clock.monotonic() - sentAt - wait);
+            this.#handlePoll(answer.poll, sentAt, isFull);
             return true;
         }
         catch (cause) {
-            this.#endedRuns.noteLost();
+            this.#endedRuns.recordUnanswered();
             return this.#closed.signal.aborted ? true : { cause: String(cause) };
         }
     }
 
-    /** An answer came; a look that found an end before its wait was over tells nothing of the time that answers take. */
-    #noteAnswerTime(took: Milliseconds): void {
+    /** Records the time of an answer. A poll that ended before its wait was over says nothing about answer times. */
+    #recordAnswerTime(took: Milliseconds): void {
         if (took >= 0) {
             this.#answerTimes.recordResponse(took);
         }
     }
 
-    #noteLost(): void {
+    #recordLoss(): void {
         this.#answerTimes.recordTimeout();
-        this.options.lossMonitor.noteLoss();
+        this.options.lossMonitor.recordLoss();
     }
 
     #pollRequest(wait: Milliseconds): PollRequest {
-        // What has no answer may still arrive later, so a silent worker is given no lease either.
+        // A poll without an answer may arrive later, so one to a silent worker must not carry a lease either.
         const leaseUntil = this.#mayLease ? this.#lease.grant() : undefined;
         return {
             token: this.#token,
@@ -273,38 +274,41 @@
         };
     }
 
-    #handlePoll(look: PollResult, sentAt: Milliseconds, isWhole: boolean): void {
+    #handlePoll(poll: PollResult, sentAt: Milliseconds, isFull: boolean): void {
         const { clock, send } = this.options;
         const now = clock.monotonic();
-        const reading = { clock: look.clock, sentAt, receivedAt: now };
-        if (this.#isOtherIncarnation(look, reading)) {
-            this.#closeWithIncarnation(look);
+        const reading = { clock: poll.clock, sentAt, receivedAt: now };
+        if (this.#isOtherIncarnation(poll, reading)) {
+            this.#closeWithIncarnation(poll);
             return;
         }
-        this.#incarnation ??= look.life;
-        this.#endedRuns.noteAnswer();
+        this.#incarnation ??= poll.life;
+        this.#endedRuns.recordAnswer();
         const isFirst = !this.#lease.hasReading;
-        this.#lease.noteReading(reading);
+        this.#lease.addReading(reading);
         const wasSilent = this.#isSilent;
         this.#isSilent = false;
-        if (look.running.length + look.ended.length > 0) {
+        if (poll.running.length + poll.ended.length > 0) {
             this.#lastActiveAt = now;
         }
-        const fresh = this.#endedRuns.takeUnreported(look.ended);
+        const unreported = this.#endedRuns.takeUnreported(poll.ended);
         const isDue = now - this.#lastProgressAt >= progressInterval;
-        if (isFirst || wasSilent || isDue || isWhole) {
+        if (isFirst || wasSilent || isDue || isFull) {
             this.#lastProgressAt = now;
-            send({ kind: "looked", worker: this.worker, look: { ...look, ended: fresh }, age: now - sentAt });
+            send({ kind: "looked", worker: this.worker, look: { ...poll, ended: unreported }, age: now - sentAt });
         }
-        else if (fresh.length > 0) {
-            send({ kind: "ends", worker: this.worker, ended: fresh });
+        else if (unreported.length > 0) {
+            send({ kind: "ends", worker: this.worker, ended: unreported });
         }
         const starts = this.#queuedStarts;
         this.#queuedStarts = [];
         starts.forEach(start => void this.#start(start));
     }
 
-    /** Whether another life answered than the one that the link is for. An answer without a name tells it by a clock that went back. */
+    /**
+     * Whether another incarnation has answered: told by its name or, where workers do not report any, by a clock that
+     * went back.
+     */
     #isOtherIncarnation({ life }: PollResult, reading: ClockReading): boolean {
         const isNamed = life !== undefined && this.#incarnation !== undefined;
         return isNamed && life !== this.#incarnation || this.#lease.isOtherIncarnation(reading);
@@ -382,7 +386,7 @@
         try {
             const order = { ...command, token, leaseUntil };
             const answer = await client.start(order, this.#answerTimes.timeout, this.#closed.signal);
-            this.#noteAnswerTime(clock.monotonic() - sentAt);
+            this.#recordAnswerTime(clock.monotonic() - sentAt);
             if (answer.kind === "taken") {
                 this.#lastHeardAt = clock.monotonic();
                 send({ kind: "started", worker, task, run });
@@ -399,17 +403,17 @@
         }
         catch (cause) {
             if (!this.#closed.signal.aborted) {
-                this.#endedRuns.noteLost();
+                this.#endedRuns.recordUnanswered();
                 this.#lateOrdersUntil = clock.monotonic() + lateOrderWindow;
                 this.#bestEffortOrders.logUnanswered(command, cause);
-                this.#noteLost();
+                this.#recordLoss();
                 this.#uncertainStarts.push(command);
                 this.#resolveUncertainStarts();
             }
         }
     }
 
-    /** Finds out what became of starts without an answer. */
+    /** Resolves unanswered starts by polls with a higher token. */
     #resolveUncertainStarts(): void {
         this.#resolving ??= this.#resolveAll().finally(() => {
             this.#resolving = undefined;
@@ -420,7 +424,7 @@
     }
 
     async #resolveAll(): Promise<void> {
-        const doubtful = this.#uncertainStarts;
+        const uncertain = this.#uncertainStarts;
         this.#uncertainStarts = [];
         this.#token = fencingToken(this.#token + 1);
         while (!this.#closed.signal.aborted) {
@@ -432,16 +436,16 @@
         if (this.#closed.signal.aborted) {
             return;
         }
-        // The look was sent first on the same channel, so the owner has seen which of these run or ended.
-        doubtful.forEach(({ worker, task, run }) =>
+        // The poll result was sent on the same channel before, so the owner knows which of these have run.
+        uncertain.forEach(({ worker, task, run }) =>
             this.options.send({ kind: "started", worker, task, run, refusal: "not-delivered" })
         );
     }
 
     async #untilAcknowledged(): Promise<void> {
-        const waited = createAbortController();
-        this.#onAcknowledged = () => waited.abort();
-        await this.options.clock.sleep(acknowledgementTimeout, waited.signal);
+        const acknowledged = createAbortController();
+        this.#onAcknowledged = () => acknowledged.abort();
+        await this.options.clock.sleep(acknowledgementTimeout, acknowledged.signal);
         this.#onAcknowledged = undefined;
     }
 }
--- a/packages/entry/src/links/links.ts
+++ b/packages/entry/src/links/worker-links.ts
@@ -1,13 +1,13 @@
-/** All links of this VM to workers, for the owner that speaks at the moment. */
+/** The worker links of this VM. */
 import type { TaskWorkerClient, TaskWorkerClients } from "@pebbledale/cell";
 import type { Milliseconds, SuspensionAwareClock, WorkerId, WorkerIncarnation } from "@pebbledale/core";
 import type { EventLogger } from "@pebbledale/runtime";
 import type { AssignMessage, CommandMessage, WorkerMessage } from "../protocol/index.js";
 import { ownerSilenceLimit, staleMessageWindow } from "./constants.js";
-import { LossMonitor } from "./loss-watch.js";
+import { LossMonitor } from "./loss-monitor.js";
 import { WorkerLink } from "./worker-link.js";
 
-/** What links need. */
+/** Dependencies of the worker links. */
 export interface WorkerLinksOptions {
     readonly clients: TaskWorkerClients;
     readonly clock: SuspensionAwareClock;
@@ -16,38 +16,38 @@
     readonly send: (message: WorkerMessage) => void;
 }
 
-/** Connections to one life of a worker. */
+/** A client connected to one incarnation of a worker. */
 interface IncarnationClient {
     readonly client: TaskWorkerClient;
     readonly address: string;
     readonly incarnation: WorkerIncarnation | undefined;
 }
 
-/** See the module's comment. */
+/** Holds the links to workers that the current owner has assigned to this VM, and passes its messages to them. */
 export class WorkerLinks {
     readonly #links = new Map<WorkerId, WorkerLink>();
     readonly #clients = new Map<WorkerId, IncarnationClient>();
-    readonly #losses: LossMonitor;
-    #heardAt = -Infinity;
+    readonly #lossMonitor: LossMonitor;
+    #ownerHeardAt = -Infinity;
 
     constructor(private readonly options: WorkerLinksOptions) {
-        this.#losses = new LossMonitor(options.clock, options.logger);
+        this.#lossMonitor = new LossMonitor(options.clock, options.logger);
     }
 
-    /** The owner, which owns the cell as far as it knows, was heard. */
-    noteOwnerHeard(): void {
-        this.#heardAt = this.options.clock.monotonic();
+    /** Records a message of an owner that the store has recently confirmed. */
+    recordOwnerHeard(): void {
+        this.#ownerHeardAt = this.options.clock.monotonic();
     }
 
     /**
-     * Whether the owner was heard since this process may last have been suspended. What it said before may be long out of date, and
-     * so may messages that lay in the socket meanwhile: they are read within the first moments.
+     * Whether the owner was heard since this process may last have been suspended. Earlier messages may be out of date,
+     * as may those that were buffered in the socket and are read shortly afterwards.
      */
     get #mayForwardOrders(): boolean {
-        return this.#heardAt >= this.options.clock.uninterruptedSince() + staleMessageWindow;
+        return this.#ownerHeardAt >= this.options.clock.uninterruptedSince() + staleMessageWindow;
     }
 
-    /** Takes a link over. */
+    /** Creates the link to a worker, replacing a former one. */
     assign(assignment: AssignMessage): void {
         const { worker } = assignment;
         this.#links.get(worker)?.close();
@@ -58,23 +58,24 @@
             clock: this.options.clock,
             logger: this.options.logger,
             leaseLength: this.options.leaseLength,
-            mayPoll: () => this.#mayForwardOrders && this.options.clock.monotonic() - this.#heardAt < ownerSilenceLimit,
+            mayPoll: () =>
+                this.#mayForwardOrders && this.options.clock.monotonic() - this.#ownerHeardAt < ownerSilenceLimit,
             mayForwardOrders: () => this.#mayForwardOrders,
-            lossMonitor: this.#losses,
+            lossMonitor: this.#lossMonitor,
             send: report => this.options.send({ ...report, assignment: assignment.token }),
         });
         this.#links.set(worker, link);
         if (assignment.isLeaving) {
-            link.noteLeaving();
+            link.noteDraining();
         }
     }
 
-    /** A worker says that it leaves. */
-    noteLeaving(worker: WorkerId): void {
-        this.#links.get(worker)?.noteLeaving();
+    /** Shortens the leases of a draining worker. */
+    noteDraining(worker: WorkerId): void {
+        this.#links.get(worker)?.noteDraining();
     }
 
-    /** Gives a link up. */
+    /** Closes the link to a worker and its connections. */
     unassign(worker: WorkerId): void {
         this.#links.get(worker)?.close();
         this.#links.delete(worker);
@@ -83,7 +84,10 @@
         void known?.client.close();
     }
 
-    /** Connections are those of one life at one address: those to a life that is over may stay silent without an end. */
+    /**
+     * Reuses the client for the same incarnation and address only: connections to an earlier incarnation may hang
+     * without an error.
+     */
     #clientOf({ worker, address, life }: AssignMessage): TaskWorkerClient {
         const known = this.#clients.get(worker);
         if (known?.address === address && known.incarnation === life) {
@@ -95,22 +99,21 @@
         return client;
     }
 
-    /** Passes an order on. */
-    command({ command }: CommandMessage): void {
-        this.#links.get(command.worker)?.order(command);
+    forwardOrder({ command }: CommandMessage): void {
+        this.#links.get(command.worker)?.forward(command);
     }
 
-    /** The owner knows that a worker answers again. */
+    /** Allows leases again at a worker that has answered after a silence. */
     resume(worker: WorkerId): void {
         this.#links.get(worker)?.resumeLeases();
     }
 
-    /** Ends up to `through` are kept. */
+    /** Marks ended runs of a worker up to `through` as committed. */
     acknowledge(worker: WorkerId, through: number): void {
         this.#links.get(worker)?.acknowledge(through);
     }
 
-    /** Ends all links: another owner speaks. Connections stay for the links it assigns. */
+    /** Closes all links because another owner has appeared; keeps the clients for the links that it assigns. */
     closeAll(): void {
         this.#links.forEach(link => link.close());
         this.#links.clear();
--- a/packages/entry/src/owner/assignments.ts
+++ b/packages/entry/src/owner/assignments.ts
@@ -1,35 +1,38 @@
-/** Which VM has the link to which worker. */
+/** Assignment of worker links to entry VMs. */
 import type { WorkerState } from "@pebbledale/cell";
 import { type Epoch, type FencingToken, fencingToken, type Milliseconds, type WorkerId } from "@pebbledale/core";
 import type { AssignMessage } from "../protocol/index.js";
 import { assignmentsPerEpoch, tokensPerAssignment } from "./constants.js";
-import { RestartBackoff } from "./restart-pauses.js";
+import { RestartBackoff } from "./restart-backoff.js";
 import type { VmLink } from "./vm-link.js";
 
-/** One worker's link. */
+/** The link to one worker as it is assigned to a VM. */
 export interface Assignment {
-    readonly vm: VmLink;
-    /** Where the link calls the worker. */
+    readonly link: VmLink;
+    /** Address at which the link calls the worker. */
     readonly address: string;
-    /** The token that the link was given; names the assignment in what the VM reports. */
+    /** Initial fencing token of the link; identifies the assignment in the VM's reports. */
     readonly token: FencingToken;
-    /** When it was assigned, by the owner's monotonic clock: what was ordered before is settled by its first look. */
+    /** Assignment time on the owner's monotonic clock. The first poll of the link settles all orders sent before it. */
     readonly assignedAt: Milliseconds;
-    /** Whether its first look was taken in. */
+    /** Whether the first poll of the link has been applied. */
     hasPolled: boolean;
 }
 
-/** A VM may have this many more links than another, for each share of a core, before some are moved. */
+/** Links are moved when one VM has this many more than another, per core. */
 const allowedImbalance = 2;
-/** The owner's own VM counts as loaded with this many links more: it also decides. */
+/** Number of links added to the load of the owner's VM to account for its scheduling work. */
 const ownerLoadOffset = 4;
 
-/** See the module's comment. */
+/**
+ * Keeps track of which VM holds the link to which worker, assigns links and balances them by processor share,
+ * preferring VMs in the worker's data hall.
+ */
 export class Assignments {
     readonly #assignments = new Map<WorkerId, Assignment>();
     readonly #assignmentCounts = new Map<WorkerId, number>();
     readonly #restartBackoff: RestartBackoff;
-    /** Until when orders to former lives of a worker may be carried out, where any may. */
+    /** Per worker, the time until which orders to earlier incarnations may still be carried out. */
     readonly #lateOrdersUntil = new Map<WorkerId, Milliseconds>();
 
     constructor(
@@ -40,17 +43,16 @@
         this.#restartBackoff = new RestartBackoff(now);
     }
 
-    /** The VM that has the link to a worker. */
     vmOf(worker: WorkerId): VmLink | undefined {
-        return this.#assignments.get(worker)?.vm;
+        return this.#assignments.get(worker)?.link;
     }
 
-    /** A worker was started again: its next link may have to wait. */
-    noteRestart(worker: WorkerId): void {
-        this.#restartBackoff.noteRestart(worker);
+    /** Records a restart of the worker; its next link may be delayed by a backoff. */
+    recordRestart(worker: WorkerId): void {
+        this.#restartBackoff.recordRestart(worker);
     }
 
-    /** For so long an order that got no answer may still be carried out by any life of a worker. */
+    /** Unanswered orders to the worker may still be carried out, by any of its incarnations, for this long. */
     extendLateOrderWindow(worker: WorkerId, duration: Milliseconds): void {
         const until = this.now() + duration;
         if (duration > 0 && until > (this.#lateOrdersUntil.get(worker) ?? 0)) {
@@ -58,36 +60,38 @@
         }
     }
 
-    /** Whether a worker's link calls another address than this. */
+    /** Whether the worker's link uses an address other than `address`. */
     hasOtherAddress(worker: WorkerId, address: string): boolean {
         const assignment = this.#assignments.get(worker);
         return assignment !== undefined && assignment.address !== address;
     }
 
-    /** The assignment under which a VM reports of a worker; undefined when the worker has another one by now. */
-    find(token: FencingToken, worker: WorkerId, vm: VmLink): Assignment | undefined {
+    /** The current assignment with this token; undefined when the worker has been assigned anew since. */
+    find(token: FencingToken, worker: WorkerId, link: VmLink): Assignment | undefined {
         const assignment = this.#assignments.get(worker);
-        return assignment?.vm === vm && assignment.token === token ? assignment : undefined;
+        return assignment?.link === link && assignment.token === token ? assignment : undefined;
     }
 
-    /** Gives workers without a link to VMs, those of their data hall first, and evens VMs out. */
-    assignUnlinked(workers: Iterable<WorkerState>, vms: readonly VmLink[]): void {
-        if (vms.length === 0) {
+    /**
+     * Assigns each worker that has no link to the least loaded VM of its data hall, or of all VMs if the hall has none.
+     */
+    assignUnlinked(workers: Iterable<WorkerState>, links: readonly VmLink[]): void {
+        if (links.length === 0) {
             return;
         }
         for (const worker of workers) {
             if (!this.#assignments.has(worker.id)) {
-                this.#assign(worker, this.#leastLoaded(vms, worker));
+                this.#assign(worker, this.#leastLoaded(links, worker));
             }
         }
     }
 
-    /** Moves links to a VM that has just joined, as long as others of its data hall have many more. */
-    rebalanceTo(workers: ReadonlyMap<WorkerId, WorkerState>, joined: VmLink, vms: readonly VmLink[]): void {
-        const near = vms.filter(vm => vm.vm.dataHall === joined.vm.dataHall && vm !== joined);
+    /** Moves links from other VMs of the same data hall to a VM that has just joined until their loads are close. */
+    rebalanceTo(workers: ReadonlyMap<WorkerId, WorkerState>, joined: VmLink, links: readonly VmLink[]): void {
+        const near = links.filter(link => link.vm.dataHall === joined.vm.dataHall && link !== joined);
         for (;;) {
             const fullest = near.reduce<VmLink | undefined>(
-                (best, vm) => best === undefined || this.#loadOf(vm) > this.#loadOf(best) ? vm : best,
+                (best, link) => best === undefined || this.#loadOf(link) > this.#loadOf(best) ? link : best,
                 undefined,
             );
             const moved = fullest === undefined ? undefined : [...fullest.workers].at(-1);
@@ -104,42 +108,42 @@
         }
     }
 
-    /** A worker has no link any more. */
+    /** Forgets the worker's link without notifying its VM. */
     remove(worker: WorkerId): void {
-        this.#assignments.get(worker)?.vm.workers.delete(worker);
+        this.#assignments.get(worker)?.link.workers.delete(worker);
         this.#assignments.delete(worker);
     }
 
-    /** Takes all links of a VM away. */
-    removeAll(vm: VmLink): void {
-        for (const worker of [...vm.workers]) {
+    /** Forgets all links of a VM without notifying it. */
+    removeAll(link: VmLink): void {
+        for (const worker of [...link.workers]) {
             this.remove(worker);
         }
     }
 
-    #leastLoaded(vms: readonly VmLink[], worker: WorkerState): VmLink {
-        const near = vms.filter(vm => vm.vm.dataHall === worker.entry?.dataHall);
-        return (near.length > 0 ? near : vms)
-            .reduce((best, vm) => this.#loadOf(vm) < this.#loadOf(best) ? vm : best);
+    #leastLoaded(links: readonly VmLink[], worker: WorkerState): VmLink {
+        const near = links.filter(link => link.vm.dataHall === worker.entry?.dataHall);
+        return (near.length > 0 ? near : links)
+            .reduce((best, link) => this.#loadOf(link) < this.#loadOf(best) ? link : best);
     }
 
-    #loadOf(vm: VmLink): number {
-        return vm.loadWithOneMore + (vm.vm.name === this.ownVm ? ownerLoadOffset / vm.vm.processorShare : 0);
+    #loadOf(link: VmLink): number {
+        return link.loadWithOneMore + (link.vm.name === this.ownVm ? ownerLoadOffset / link.vm.processorShare : 0);
     }
 
-    #assign(worker: WorkerState, vm: VmLink): void {
+    #assign(worker: WorkerState, link: VmLink): void {
         const count = (this.#assignmentCounts.get(worker.id) ?? 0) + 1;
         this.#assignmentCounts.set(worker.id, count);
-        vm.workers.add(worker.id);
+        link.workers.add(worker.id);
         const token = this.#tokenOf(count);
         this.#assignments.set(worker.id, {
-            vm,
+            link,
             address: worker.address,
             token,
             assignedAt: this.now(),
             hasPolled: false,
         });
-        vm.channel.send({
+        link.channel.send({
             kind: "assign",
             worker: worker.id,
             address: worker.address,
@@ -165,7 +169,7 @@
         return {};
     }
 
-    /** Tokens of a later owner, and of a later assignment, are higher than all of earlier ones. */
+    /** Tokens increase with the owner's epoch, then with each assignment of the worker. */
     #tokenOf(count: number): FencingToken {
         return fencingToken((this.epoch * assignmentsPerEpoch + count) * tokensPerAssignment);
     }
--- a/packages/entry/src/owner/outage-log.ts
+++ b/packages/entry/src/owner/journal-outage-log.ts
@@ -1,35 +1,35 @@
-/** Tells when the owner's journal stops and when it goes on, a line each, and how callers were answered meanwhile. */
+/** Logging of journal outages. */
 import { type Clock, type Journal, logEvents, type Milliseconds } from "@pebbledale/core";
 import type { EventLogger } from "@pebbledale/runtime";
 import { journalStallTimeout } from "./constants.js";
 
-/** What the log needs. */
+/** Dependencies of the outage log. */
 export interface JournalOutageLogOptions {
     readonly journal: Pick<Journal, "silentFor" | "waitingFor">;
     readonly clock: Clock;
     readonly logger: EventLogger;
 }
 
-/** See the module's comment. */
+/** Logs when the journal stalls and when it resumes, with the number of callers refused or left uncertain meanwhile. */
 export class JournalOutageLog {
-    /** Since when no write was answered; undefined while writes are. */
+    /** Start of the current outage; undefined while writes are answered. */
     #outageStartedAt: Milliseconds | undefined;
     #refusedCount = 0;
     #uncertainCount = 0;
 
     constructor(private readonly options: JournalOutageLogOptions) {}
 
-    /** A job was refused as no record can be kept. */
-    noteRefused(): void {
+    /** Counts a job that was refused because the journal is stalled. */
+    countRefused(): void {
         this.#refusedCount++;
     }
 
-    /** A caller was told that it is not known whether its request was done. */
-    noteUncertain(): void {
+    /** Counts a request whose outcome the caller could not be told. */
+    countUncertain(): void {
         this.#uncertainCount++;
     }
 
-    /** Looks how the journal stands; called now and then. */
+    /** Checks whether the journal has stalled or resumed since the last call. */
     check(): void {
         const { journal, clock, logger } = this.options;
         const silentFor = journal.silentFor();
--- a/packages/entry/src/owner/request-desk.ts
+++ b/packages/entry/src/owner/request-handler.ts
@@ -1,30 +1,31 @@
-/** Answers what fronts ask for their callers, each as truly as the owner knows at the moment. */
+/** Handling of callers' requests by the owner. */
 import type { CellScheduler, JobDefinition } from "@pebbledale/cell";
 import type { Clock, JobId, Journal, OrganisationName } from "@pebbledale/core";
 import { type OwnerReply, type OwnerRequest, RetryLaterReason } from "../protocol/index.js";
 import { commitTimeout, journalStallTimeout, retryLaterDelay } from "./constants.js";
-import type { JournalOutageLog } from "./outage-log.js";
+import type { JournalOutageLog } from "./journal-outage-log.js";
 
-/** What a desk needs. */
+/** Dependencies of the request handler. */
 export interface RequestHandlerOptions {
     readonly cell: CellScheduler;
     readonly journal: Journal;
     readonly clock: Clock;
-    /** Fires when the cell is lost to another owner. */
     readonly lost: AbortSignal;
-    /** Carries out what the inputs so far led to; resolves to whether all records so far are kept. */
+    /** Runs a turn on the inputs received so far; resolves to whether their records are committed. */
     readonly runTurn: () => Promise<boolean>;
-    /** Whether nobody else can own the cell now. */
+    /** Whether the owner's key is still valid, so that no other VM can own the cell. */
     readonly isConfirmed: () => boolean;
-    /** Told how callers are answered while no record is kept. */
-    readonly outageLog?: Pick<JournalOutageLog, "noteRefused" | "noteUncertain">;
+    /** Notified of refused and uncertain requests for the log of outages. */
+    readonly outageLog?: Pick<JournalOutageLog, "countRefused" | "countUncertain">;
 }
 
-/** See the module's comment. */
+/**
+ * Answers the requests that fronts pass on for their callers. A submission or cancellation is only confirmed once its
+ * record is committed, and a job is only reported unknown while no other VM can own the cell.
+ */
 export class RequestHandler {
     constructor(private readonly options: RequestHandlerOptions) {}
 
-    /** Answers one request. */
     async reply(request: OwnerRequest): Promise<OwnerReply> {
         const { cell } = this.options;
         switch (request.kind) {
@@ -45,8 +46,8 @@
     }
 
     /**
-     * Whether a caller of an organisation may see and cancel a job. To others it is a job that is not there: they learn of no ids. One that
-     * was handed in without a key is everyone's.
+     * Whether a caller of an organisation may see and cancel a job. Jobs of other organisations are reported as
+     * unknown, so that their ids are not disclosed. A job submitted without a key is open to everyone.
      */
     #isVisibleTo(
         { job, organisation }: { readonly job: JobId; readonly organisation?: OrganisationName | undefined; },
@@ -56,8 +57,8 @@
     }
 
     /**
-     * A job whose acceptance is not kept yet is neither known nor unknown. That there is none is said only while nobody else can own
-     * the cell: an owner that stood still was replaced meanwhile, and denied jobs that the next one had taken.
+     * The reply for a job without a committed state. An owner that is not confirmed must not deny a job: it may have
+     * been suspended and replaced, and the job accepted by its successor.
      */
     #unknownJobReply(job: JobId): OwnerReply {
         if (this.options.cell.jobs.has(job)) {
@@ -67,7 +68,7 @@
     }
 
     async #submit(definition: JobDefinition): Promise<OwnerReply> {
-        const { cell, journal, outageLog: outages } = this.options;
+        const { cell, journal, outageLog } = this.options;
         if (!this.#isVisibleTo(definition)) {
             return { kind: "id-taken" };
         }
@@ -77,11 +78,11 @@
             return { kind: "accepted" };
         }
         if (known === undefined && journal.silentFor() > journalStallTimeout) {
-            outages?.noteRefused();
+            outageLog?.countRefused();
             return retryLater(RetryLaterReason.JournalStalled);
         }
         if (known === undefined && !cell.knowsTermsOf(definition)) {
-            // The VM that asks knows a newer configuration; this owner will in a moment.
+            // The VM that asks already has a newer configuration, which this owner is about to receive.
             return retryLater(RetryLaterReason.QueueUnknown);
         }
         if (known === undefined && cell.exceedsLimit(definition)) {
@@ -98,15 +99,15 @@
         return await this.#untilCommitted() ? { kind: "cancelled" } : { kind: "uncertain" };
     }
 
-    /** Whether all that was recorded so far is kept, waited for up to the limit. */
+    /** Whether all records so far are committed within the timeout. */
     async #untilCommitted(): Promise<boolean> {
-        const { clock, lost, runTurn: turn, outageLog: outages } = this.options;
-        const kept = turn().then(isKept => isKept && !lost.aborted);
-        const isKept = await Promise.race([kept, clock.sleep(commitTimeout).then(() => false)]);
-        if (!isKept) {
-            outages?.noteUncertain();
+        const { clock, lost, runTurn, outageLog } = this.options;
+        const committed = runTurn().then(isCommitted => isCommitted && !lost.aborted);
+        const isCommitted = await Promise.race([committed, clock.sleep(commitTimeout).then(() => false)]);
+        if (!isCommitted) {
+            outageLog?.countUncertain();
         }
-        return isKept;
+        return isCommitted;
     }
 }
 
--- a/packages/entry/src/owner/vm-link.ts
+++ b/packages/entry/src/owner/vm-link.ts
@@ -1,10 +1,10 @@
-/** The owner's view of one entry VM: its connection and the workers whose links it has. */
+/** The owner's connection to one entry VM. */
 import { type Milliseconds, PlatformUnavailableError, type WorkerId } from "@pebbledale/core";
 import type { EntryVm } from "../membership/index.js";
 import type { Channel, OwnerMessage, VmMessage } from "../protocol/index.js";
 import type { StoreOperation } from "../store-relay/index.js";
 
-/** Added to a watch's wait before a call through a VM has failed, and the limit of other calls. */
+/** Timeout of store calls through a VM, in milliseconds; for a watch it is added to the duration of the watch. */
 const storeCallTimeout: Milliseconds = 1_000;
 
 interface PendingStoreCall {
@@ -13,60 +13,65 @@
     readonly timer: NodeJS.Timeout;
 }
 
-/** See the module's comment. */
+/**
+ * The owner's state for one entry VM: its connection, the workers whose links it holds, and store calls in progress
+ * through it.
+ */
 export class VmLink {
     readonly workers = new Set<WorkerId>();
     lastHeardAt: Milliseconds;
-    /** Whether it is about to stop: it gets no links and no questions. */
+    /** Whether the VM is about to stop and must not get links or questions. */
     isLeaving = false;
-    /** Whether its last call of the store for the owner had no answer. */
-    isStoreDoubtful = false;
+    /** Whether the last store call through this VM failed. */
+    hasFailedStoreCall = false;
     readonly #pendingCalls = new Map<number, PendingStoreCall>();
     #nextCall = 1;
 
     constructor(
         readonly vm: EntryVm,
         readonly channel: Channel<OwnerMessage, VmMessage>,
-        /** When it was connected, by the owner's monotonic clock. */
+        /** Connection time on the owner's monotonic clock. */
         readonly connectedAt: Milliseconds,
     ) {
         this.lastHeardAt = connectedAt;
     }
 
-    /** Links for each share of a core, were one more added: VMs with less take fewer. */
+    /** Number of links per core, counting one more than the VM has. */
     get loadWithOneMore(): number {
         return (this.workers.size + 1) / this.vm.processorShare;
     }
 
-    /** Has the VM make a call of the store. */
+    /**
+     * Calls the store through the VM; rejects with {@link PlatformUnavailableError} when the call fails or times out.
+     */
     callStore(operation: StoreOperation): Promise<unknown> {
         const call = this.#nextCall++;
-        const limit = storeCallTimeout + (operation.kind === "changes" ? operation.duration : 0);
+        const timeout = storeCallTimeout + (operation.kind === "changes" ? operation.duration : 0);
         return new Promise((resolve, reject) => {
-            const timer = setTimeout(() => this.settleStoreCall(call, false, undefined), limit);
+            const timer = setTimeout(() => this.settleStoreCall(call, false, undefined), timeout);
             this.#pendingCalls.set(call, { resolve, reject, timer });
             this.channel.send({ kind: "store-call", call, operation });
         });
     }
 
-    /** Takes the answer to a call of the store. */
-    settleStoreCall(number: number, isAnswered: boolean, answer: unknown, cause = "no answer"): void {
-        const call = this.#pendingCalls.get(number);
+    /** Settles a store call with its answer or failure; ignores calls that have already been settled. */
+    settleStoreCall(id: number, isAnswered: boolean, answer: unknown, cause = "no answer"): void {
+        const call = this.#pendingCalls.get(id);
         if (call === undefined) {
             return;
         }
-        this.#pendingCalls.delete(number);
+        this.#pendingCalls.delete(id);
         clearTimeout(call.timer);
-        this.isStoreDoubtful = !isAnswered;
+        this.hasFailedStoreCall = !isAnswered;
         if (isAnswered) {
             call.resolve(answer);
         }
         else {
-            call.reject(new PlatformUnavailableError(`through ${this.vm.name}: ${cause}`));
+            call.reject(new PlatformUnavailableError(`store call through VM ${this.vm.name} failed: ${cause}`));
         }
     }
 
-    /** The connection has ended: no call gets an answer any more. */
+    /** Rejects all store calls in progress because the connection has ended. */
     failPendingCalls(): void {
         [...this.#pendingCalls.keys()].forEach(call => this.settleStoreCall(call, false, undefined));
     }
--- a/packages/entry/src/owner/worker-inbox.ts
+++ b/packages/entry/src/owner/worker-report-handler.ts
@@ -1,4 +1,4 @@
-/** Takes in what VMs say of the workers whose links they have. */
+/** Handling of VMs' reports on workers. */
 import type { CellScheduler } from "@pebbledale/cell";
 import type { Clock, Milliseconds, WorkerId } from "@pebbledale/core";
 import type { WorkerMessage } from "../protocol/index.js";
@@ -6,28 +6,27 @@
 import { pollAgeMargin } from "./constants.js";
 import type { VmLink } from "./vm-link.js";
 
-/** What an inbox needs. */
+/** Dependencies of the report handler. */
 export interface WorkerReportHandlerOptions {
     readonly cell: CellScheduler;
     readonly assignments: Assignments;
     readonly clock: Clock;
-    /** When leases that an earlier owner gave are over, also at a worker that nobody reaches, by the monotonic clock. */
+    /** When all leases granted by earlier owners have expired, also at unreachable workers, on the monotonic clock. */
     readonly formerLeasesExpireAt: Milliseconds;
-    /** Told of a worker that has seen a later owner. */
+    /** Called when a worker has seen a higher fencing token than this owner's. */
     readonly onFenced: (worker: WorkerId) => void;
 }
 
-/** See the module's comment. */
+/** Applies the reports of VMs on their links to the scheduler, and ignores reports of links that have been replaced. */
 export class WorkerReportHandler {
     constructor(private readonly options: WorkerReportHandlerOptions) {}
 
-    /** Takes a message of a VM in. */
     handle(link: VmLink, message: WorkerMessage): void {
         const { cell, assignments, onFenced } = this.options;
         const assignment = assignments.find(message.assignment, message.worker, link);
         if (assignment === undefined) {
-            // Another link, at this VM or another, has the worker by now; its first look tells all that is known here. A look of
-            // the former one would settle orders that may still reach the worker.
+            // The worker has another link by now, whose first poll reports everything. A poll of the former link would
+            // settle orders that may still reach the worker.
             return;
         }
         switch (message.kind) {
@@ -48,7 +47,7 @@
                 break;
             case "restarted":
                 cell.applyRestart(message.worker, message.life);
-                assignments.noteRestart(message.worker);
+                assignments.recordRestart(message.worker);
                 assignments.extendLateOrderWindow(message.worker, message.doubtfulFor ?? 0);
                 this.#endLink(link, message.worker);
                 break;
@@ -62,7 +61,7 @@
         }
     }
 
-    /** A link belongs to one life of its worker. */
+    /** Removes the link of a worker that was restarted or replaced: a link serves one incarnation only. */
     #endLink(link: VmLink, worker: WorkerId): void {
         link.channel.send({ kind: "unassign", worker });
         this.options.assignments.remove(worker);
@@ -80,7 +79,7 @@
         cell.applyPoll(worker, look, clock.monotonic() - age - pollAgeMargin, settledBefore);
     }
 
-    /** A worker that answers again may be given leases from now on: what lapsed meanwhile was taken in. */
+    /** Allows leases again at a worker that answers after a silence, as expired leases have been taken into account. */
     #resumeIfSilent(link: VmLink, worker: WorkerId): void {
         if (this.options.cell.workers.get(worker)?.silentSince !== undefined) {
             link.channel.send({ kind: "resume", worker });
@@ -96,10 +95,10 @@
         cell.startRefused(worker, task, run, refusal === "not-delivered" ? undefined : refusal);
     }
 
-    /** Until the first look of this owner, an earlier one's leases may run longer than this link's own. */
+    /** Before this owner's first poll of the worker, leases of an earlier owner may outlast those of the link. */
     #leasesExpireAt(worker: WorkerId, lapsesIn: Milliseconds): Milliseconds {
-        const { cell, clock, formerLeasesExpireAt: formerLeasesOverAt } = this.options;
-        const lapsesAt = clock.monotonic() + lapsesIn;
-        return cell.workers.get(worker)?.isClaimed === true ? lapsesAt : Math.max(lapsesAt, formerLeasesOverAt);
+        const { cell, clock, formerLeasesExpireAt } = this.options;
+        const expireAt = clock.monotonic() + lapsesIn;
+        return cell.workers.get(worker)?.isClaimed === true ? expireAt : Math.max(expireAt, formerLeasesExpireAt);
     }
 }
--- a/packages/entry/src/peers/index.ts
+++ b/packages/entry/src/peers/index.ts
@@ -1,3 +1,3 @@
-/** Connections among entry VMs. */
-export * from "./server.js";
+/** Connections between entry VMs. */
+export * from "./connections.js";
 export * from "./vm-dialer.js";
--- a/packages/entry/src/protocol/socket-channel.ts
+++ b/packages/entry/src/protocol/socket-channel.ts
@@ -1,18 +1,18 @@
-/** A channel over a WebSocket: bundles of messages as JSON arrays. */
+/** Message channel over a WebSocket. */
 import type { Milliseconds } from "@pebbledale/core";
 import { WebSocket } from "ws";
 import type { Channel } from "./channel.js";
 
-/** Messages of this long are gathered into one bundle, in milliseconds: a wake-up costs more than a message. */
+/** How long messages are collected into one batch, in milliseconds: a wake-up costs more than a message. */
 const batchDelay: Milliseconds = 2;
 
-/** See the module's comment. */
+/** Sends and receives batches of messages as JSON arrays over a WebSocket. */
 export class SocketChannel<Sent, Received> implements Channel<Sent, Received> {
     onClose: () => void = () => undefined;
     #batch: Sent[] = [];
     #isClosed = false;
     #handler: ((message: Received) => void) | undefined;
-    /** What arrived before there was anyone to take it: a first bundle may come with the answer to the handshake. */
+    /** Messages received before a handler was set: the first batch may arrive with the handshake's response. */
     #undelivered: Received[] = [];
 
     constructor(private readonly socket: WebSocket) {
@@ -21,25 +21,21 @@
         socket.on("error", () => this.close());
     }
 
-    /** See {@link Channel.onMessage}. */
     get onMessage(): (message: Received) => void {
         return message => this.#handler?.(message);
     }
 
-    /** */
-    set onMessage(take: (message: Received) => void) {
-        this.#handler = take;
-        const early = this.#undelivered;
+    set onMessage(handler: (message: Received) => void) {
+        this.#handler = handler;
+        const undelivered = this.#undelivered;
         this.#undelivered = [];
-        early.forEach(message => take(message));
+        undelivered.forEach(message => handler(message));
     }
 
-    /** See {@link Channel.isOpen}. */
     get isOpen(): boolean {
         return !this.#isClosed;
     }
 
-    /** See {@link Channel.send}. */
     send(message: Sent): void {
         this.#batch.push(message);
         if (this.#batch.length === 1) {
@@ -47,17 +43,16 @@
         }
     }
 
-    /** See {@link Channel.close}. */
     close(): void {
         this.socket.terminate();
         this.#markClosed();
     }
 
     #flush(): void {
-        const bundle = this.#batch;
+        const batch = this.#batch;
         this.#batch = [];
         if (this.socket.readyState === WebSocket.OPEN) {
-            this.socket.send(JSON.stringify(bundle));
+            this.socket.send(JSON.stringify(batch));
         }
     }
 
--- a/packages/entry/test/owner/outage-log.test.ts
+++ b/packages/entry/test/owner/journal-outage-log.test.ts
@@ -1,11 +1,11 @@
 import { logEvents, ManualClock } from "@pebbledale/core";
 import { expect } from "earl";
 import { describe, it } from "node:test";
-import { JournalOutageLog } from "../../src/owner/outage-log.js";
+import { JournalOutageLog } from "../../src/owner/journal-outage-log.js";
 import { RecordingLogger } from "../support/index.js";
 
-describe("the log of an owner whose journal stops", () => {
-    it("has one line when it stops and one when it goes on, with how callers were answered meanwhile", () => {
+describe("the log of journal outages", () => {
+    it("has one event when the journal stalls and one with the outcome of requests when it resumes", () => {
         const clock = new ManualClock();
         const logger = new RecordingLogger();
         let silentFor = 0;
@@ -19,9 +19,9 @@
         silentFor = 600;
         log.check();
         log.check();
-        log.noteRefused();
-        log.noteRefused();
-        log.noteUncertain();
+        log.countRefused();
+        log.countRefused();
+        log.countUncertain();
         clock.advance(2_000);
         silentFor = 0;
         log.check();
--- a/packages/entry/test/owner/stop-without-store.test.ts
+++ b/packages/entry/test/owner/stop-without-store.test.ts
@@ -1,14 +1,14 @@
 /*
- * While the store is silent no other VM can claim the cell. An owner that was told to stop then waited for its last records to be kept, without
- * end and without answering anybody, until its process was killed: callers were told after their whole deadline that nothing is known.
+ * Guards against a stopping owner waiting for its last records, without answering callers, while the store does not
+ * answer and no other VM can claim the cell.
  */
 import { expect } from "earl";
 import { describe, it } from "node:test";
 import { HandOverOutcome, shutdownTimesOf } from "../../src/index.js";
 import { SimulationWorld } from "../support/lives/index.js";
 
-describe("an owner that is told to stop while the store is silent", () => {
-    const begin = async ({ silentFor = 1_000 } = {}) => {
+describe("an owner that is stopped while the store does not answer", () => {
+    const setUp = async ({ silentFor = 1_000 } = {}) => {
         const world = await SimulationWorld.begin({ workers: 2 });
         await world.submit("a", "1000");
         const heard = world.connectListener("vm-1");
@@ -19,8 +19,8 @@
         return { world, heard, outcome: () => outcome };
     };
 
-    it("tells callers how their jobs stand, and refuses new ones, for as long as it serves", async () => {
-        const { world, outcome } = await begin();
+    it("keeps reporting job states and refuses new jobs", async () => {
+        const { world, outcome } = await setUp();
         expect(await world.askState("a")).toEqual("state");
         const reply = world.sendJob("b", "1000");
         await world.advance(50);
@@ -29,15 +29,15 @@
         world.end();
     });
 
-    it("does so also when the store has only just fallen silent", async () => {
-        const { world, outcome } = await begin({ silentFor: 10 });
+    it("keeps reporting job states when the store has only just stopped answering", async () => {
+        const { world, outcome } = await setUp({ silentFor: 10 });
         expect(await world.askState("a")).toEqual("state");
         expect(outcome()).toEqual(undefined);
         world.end();
     });
 
-    it("hands the cell over as soon as the store is back", async () => {
-        const { world, heard, outcome } = await begin();
+    it("hands the cell over as soon as the store answers again", async () => {
+        const { world, heard, outcome } = await setUp();
         world.storeSilentSince = undefined;
         await world.advance(200);
         expect(outcome()).toEqual(HandOverOutcome.Offered);
@@ -45,8 +45,8 @@
         world.end();
     });
 
-    it("gives it up to nobody, in time for its process to end by itself, when the store stays silent", async () => {
-        const { world, heard, outcome } = await begin();
+    it("ends without a handover before its process is killed when the store stays silent", async () => {
+        const { world, heard, outcome } = await setUp();
         await world.advance(shutdownTimesOf(6_000).answerWithin - 500);
         expect(outcome()).toEqual(HandOverOutcome.StoreSilent);
         expect(heard.includes("hand-over")).toEqual(false);
@@ -54,15 +54,15 @@
     });
 });
 
-describe("the times of a VM that stops", () => {
-    it("leave two questions of the platform before its door closes, and end before it is killed, in this order", () => {
+describe("the stop times of a VM", () => {
+    it("allow two readiness checks before new connections are refused, and end before the process is killed", () => {
         const { stopAcceptingAfter: closesAfter, answerWithin: answersWithin, exitWithin: endsWithin } =
             shutdownTimesOf(6_000);
         expect(closesAfter > 2_000 && closesAfter < answersWithin).toEqual(true);
         expect(answersWithin < endsWithin && endsWithin < 6_000).toEqual(true);
     });
 
-    it("are in this order also where little time is given", () => {
+    it("keep their order when little time is given", () => {
         const { stopAcceptingAfter: closesAfter, answerWithin: answersWithin, exitWithin: endsWithin } =
             shutdownTimesOf(2_000);
         expect(closesAfter < answersWithin && answersWithin < endsWithin).toEqual(true);
--- a/packages/entry/test/owner/turn-runner.test.ts
+++ b/packages/entry/test/owner/turn-runner.test.ts
@@ -13,17 +13,17 @@
     changedJobs: new Set(),
 };
 
-/** A cell with work that waits whatever is done. */
-const waitingCell = () => {
-    const counts = { turns: 0, passes: 0 };
+/** A cell that always requests another scheduling cycle. */
+const busyCell = () => {
+    const counts = { turns: 0, cycles: 0 };
     const cell = {
-        wantsPass: true,
+        needsCycle: true,
         drain: () => {
             counts.turns++;
             return emptyTurn;
         },
-        kept: () => undefined,
-        place: () => void counts.passes++,
+        turnCommitted: () => undefined,
+        place: () => void counts.cycles++,
     };
     return { counts, cell: cell as unknown as CellScheduler };
 };
@@ -49,18 +49,18 @@
         onNewWorkers: () => undefined,
     });
 
-describe("turns of an owner that hands the cell over", () => {
-    it("make no passes, and do not follow each other without pause while work waits", async () => {
-        const { counts, cell } = waitingCell();
+describe("turns during a handover", () => {
+    it("run no scheduling cycles and do not repeat while work is waiting", async () => {
+        const { counts, cell } = busyCell();
         const runner = makeRunner(cell);
         runner.freeze();
         runner.schedule();
         await settle();
-        expect(counts).toEqual({ turns: 1, passes: 0 });
+        expect(counts).toEqual({ turns: 1, cycles: 0 });
     });
 
-    it("write nothing more, so that the next owner finds the journal as it read it", async () => {
-        const { cell } = waitingCell();
+    it("write no more records, so that the journal stays as the next owner has read it", async () => {
+        const { cell } = busyCell();
         const turn: TurnOutput = { ...emptyTurn, records: [{ kind: "forgotten", job: jobId("late") }] };
         const runner = makeRunner({ ...cell, drain: () => turn } as unknown as CellScheduler);
         runner.freeze();
@@ -70,8 +70,8 @@
 });
 
 describe("turns of an owner that may have been suspended", () => {
-    it("decide and send nothing before the store has confirmed that it owns the cell", async () => {
-        const { counts, cell } = waitingCell();
+    it("neither decide nor send anything before the store has confirmed its ownership", async () => {
+        const { counts, cell } = busyCell();
         const clock = new ManualClock();
         let confirmedAt = 0;
         const runner = makeRunner(cell, clock, () => confirmedAt);
@@ -83,7 +83,7 @@
         confirmedAt = clock.monotonic();
         await advanceTime(clock, 50);
         runner.freeze();
-        expect(before).toEqual({ turns: 0, passes: 0 });
+        expect(before).toEqual({ turns: 0, cycles: 0 });
         expect(counts.turns > 0).toEqual(true);
     });
 });
--- a/packages/entry/test/owner/worker-inbox.test.ts
+++ b/packages/entry/test/owner/worker-report-handler.test.ts
@@ -1,8 +1,6 @@
 /*
- * A gang was started again 50 ms after its run had ended done. That day was not seen again in eleven plays, so the cause is not proved;
- * this is what the reading of it found. A link's first look settles what it does not show: its token is higher than all before, so
- * what has not reached the worker by then is refused there. A look of the former link at the same VM carries no such promise, and an
- * owner that had just given the link anew took it for the first look of the new one.
+ * Guards against a poll of a replaced link settling orders of the new one, by which a gang could be started again after
+ * it had ended. Only polls of the new link carry a token high enough for the worker to refuse earlier orders.
  */
 import { type CellScheduler, WorkerState } from "@pebbledale/cell";
 import { epoch, ManualClock, workerId } from "@pebbledale/core";
@@ -22,19 +20,20 @@
 
 const worker = workerId("w");
 
-const begin = () => {
+const setUp = () => {
     const clock = new ManualClock();
-    const looks: number[] = [];
+    const settledTimes: number[] = [];
     const cell = {
         workers: new Map([[worker, new WorkerState(worker, "127.0.0.1:1")]]),
-        takeLook: (...[, , , settledBefore]: Parameters<CellScheduler["applyPoll"]>) => looks.push(settledBefore),
+        applyPoll: (...[, , , settledBefore]: Parameters<CellScheduler["applyPoll"]>) =>
+            settledTimes.push(settledBefore),
     } as unknown as CellScheduler;
     const [ownerEnd, vmEnd] = createMemoryChannel<OwnerMessage, VmMessage>();
     const assigned: AssignMessage[] = [];
     vmEnd.onMessage = message => message.kind === "assign" && assigned.push(message);
     const link = new VmLink(makeVm("a"), ownerEnd, 0);
     const assignments = new Assignments(epoch(1), "nobody", () => clock.monotonic());
-    const inbox = new WorkerReportHandler({
+    const handler = new WorkerReportHandler({
         cell,
         assignments,
         clock,
@@ -48,24 +47,24 @@
         await settle();
         return assigned[assigned.length - 1];
     };
-    const lookOf = ({ token }: AssignMessage): WorkerMessage => ({
+    const pollMessageOf = ({ token }: AssignMessage): WorkerMessage => ({
         kind: "looked",
         worker,
         look: { clock: 0, running: [], ended: [] },
         age: 0,
         assignment: token,
     });
-    return { inbox, link, looks, assign, lookOf };
+    return { handler, link, settledTimes, assign, pollMessageOf };
 };
 
-describe("what a VM says of a worker", () => {
-    it("counts for the assignment that it was said under, and settles nothing of a later one", async () => {
-        const { inbox, link, looks, assign, lookOf } = begin();
+describe("a report of a VM on a worker", () => {
+    it("applies to the assignment that it was made under and not to a later one", async () => {
+        const { handler, link, settledTimes, assign, pollMessageOf } = setUp();
         const former = await assign();
         const present = await assign();
-        inbox.handle(link, lookOf(former));
-        expect(looks).toEqual([]);
-        inbox.handle(link, lookOf(present));
-        expect(looks).toEqual([20]);
+        handler.handle(link, pollMessageOf(former));
+        expect(settledTimes).toEqual([]);
+        handler.handle(link, pollMessageOf(present));
+        expect(settledTimes).toEqual([20]);
     });
 });
--- a/packages/entry/test/support/observation.ts
+++ b/packages/entry/test/support/observation.ts
@@ -1,28 +1,27 @@
-/** Observers for tests: they keep what they are told. */
+/** Recording loggers for tests. */
 import type { Clock, LogEvent } from "@pebbledale/core";
 import type { EventLogger } from "@pebbledale/runtime";
 import { EntryMetrics, RequestLog } from "../../src/index.js";
 
-/** One event as it was logged. */
+/** A logged event with its fields. */
 export interface LoggedEvent {
     readonly event: LogEvent;
     readonly fields: Readonly<Record<string, unknown>>;
 }
 
-/** Keeps what is logged. */
+/** Logger that records events for later checks. */
 export class RecordingLogger implements EventLogger {
     readonly logged: LoggedEvent[] = [];
 
-    /** See {@link EventLogger.log}. */
     log(event: LogEvent, fields: Readonly<Record<string, unknown>> = {}): void {
         this.logged.push({ event, fields });
     }
 }
 
-/** A request log with what it tells. */
+/** Creates a request log with the logger and metrics that it writes to. */
 export const makeRequestLog = (clock: Clock): { log: RequestLog; kept: RecordingLogger; metrics: EntryMetrics; } => {
-    const kept = new RecordingLogger();
+    const logger = new RecordingLogger();
     const metrics = new EntryMetrics();
     const owner = () => ({ epoch: 7, silence: 120 });
-    return { log: new RequestLog({ logger: kept, metrics, clock, owner }), kept, metrics };
+    return { log: new RequestLog({ logger, metrics, clock, owner }), kept: logger, metrics };
 };
