--- a/packages/entry/src/configuration/watch.ts
+++ b/packages/entry/src/configuration/watch.ts
@@ -1,4 +1,4 @@
-/** The newest configuration that this VM knows, from the store, the owner or other VMs. Never goes back. */
+/** Keeps the newest configuration known to this VM. */
 import {
     type CellConfiguration,
     type ConfigurationFeed,
@@ -18,26 +18,29 @@
 import { DependencyWatch } from "../observation/index.js";
 
 /**
- * A VM that hears of a newer configuration waits this long for the store to show it before it asks for it, in
- * milliseconds: all VMs see it there within a few, and it may be half a megabyte.
+ * After another VM has announced a newer configuration, wait this long for it to arrive from the store before fetching it from that
+ * VM, in milliseconds. A configuration may have half a megabyte, and the store usually delivers it to all VMs within a few milliseconds.
  */
 export const configurationGrace: Milliseconds = 100;
 
-/** What a watch needs. */
+/** What a {@link ConfigurationWatch} depends on. */
 export interface ConfigurationWatchOptions {
     readonly feed: ConfigurationFeed;
     readonly clock: Clock;
     readonly logger: EventLogger;
-    /** How long the store may go unheard. */
+    /** Timeouts of the loop that follows the store. */
     readonly limits: FollowLimits;
     readonly probe: StoreProbe;
-    /** Told of each newer version. */
+    /** Called with each newer configuration. */
     readonly onChange: (configuration: CellConfiguration) => void;
-    /** Told of waves of upkeep. */
+    /** Called with waves of upkeep as they are read from the store. */
     readonly onWaves: (waves: readonly UpkeepWave[]) => void;
 }
 
-/** See the module's comment. */
+/**
+ * Keeps the newest configuration seen in the store, at the owner or at another VM. Versions only grow: an older configuration is
+ * ignored, wherever it comes from. Also collects the waves of upkeep that the store lists.
+ */
 export class ConfigurationWatch implements Followed {
     #queues: QueueDirectory | undefined;
     readonly #waves = new Map<number, UpkeepWave>();
@@ -57,27 +60,24 @@
         });
     }
 
-    /** How long ago the store last told what is in force; undefined before it first did. */
+    /** Time since the store last answered; undefined before its first answer. */
     get age(): Milliseconds | undefined {
         return this.#loop.age;
     }
 
-    /** The queues in force; undefined while no configuration is known. */
     get queues(): QueueDirectory | undefined {
         return this.#queues;
     }
 
-    /** The configuration in force. */
     get configuration(): CellConfiguration | undefined {
         return this.#queues?.configuration;
     }
 
-    /** All waves of upkeep that are known. */
     get waves(): readonly UpkeepWave[] {
         return [...this.#waves.values()];
     }
 
-    /** Takes a configuration that may be newer. `source`: where it was seen. */
+    /** Puts a configuration into force if it is newer. `source` names in the log where it was seen. */
     take(configuration: CellConfiguration, source: string): void {
         if (configuration.version <= (this.configuration?.version ?? 0)) {
             return;
@@ -98,18 +98,15 @@
         this.options.onChange(configuration);
     }
 
-    /** Follows the store until `signal` fires. */
     run(signal: AbortSignal): Promise<void> {
         return this.#loop.run(signal);
     }
 
-    /** See {@link Followed.readAll}. */
     async readAll(signal: AbortSignal): Promise<FollowedNews> {
         const news = await this.options.feed.read(signal);
         return { cursor: news.cursor, take: () => this.#takeNews(news) };
     }
 
-    /** See {@link Followed.changes}. */
     async changes(cursor: string, wait: Milliseconds, signal: AbortSignal): Promise<FollowedNews | undefined> {
         const news = await this.options.feed.follow(cursor, wait, signal);
         return news && { cursor: news.cursor, take: () => this.#takeNews(news) };
--- a/packages/entry/src/entry-process.ts
+++ b/packages/entry/src/entry-process.ts
@@ -1,4 +1,4 @@
-/** Puts the parts of an entry VM together: front, links, and the owner's work while this VM has the cell. */
+/** The program of an entry VM, without its HTTP servers. */
 import {
     type AdviceClient,
     type ConfigurationFeed,
@@ -30,12 +30,12 @@
 import { RelayedStore } from "./store-relay/index.js";
 
 const millisecondsPerSecond = 1_000;
-/** Limit of the look whether a lost owner's process is gone, in milliseconds. */
+/** Timeout of the connection attempt that tells whether a lost owner's process has ended, in milliseconds. */
 const refusalLimit: Milliseconds = 300;
-/** Margin added to the leases of an earlier owner, in milliseconds. */
+/** Added to the longest lease that an earlier owner may have granted, in milliseconds. */
 const formerLeaseMargin: Milliseconds = 300;
 
-/** What an entry VM is made from. */
+/** What an {@link EntryProcess} depends on. */
 export interface EntryOptions {
     readonly settings: EntrySettings;
     readonly clock: GapClock;
@@ -43,21 +43,24 @@
     readonly logger: EventLogger;
     readonly metrics: EntryMetrics;
     readonly store: PlatformStore & ChangeFeed;
-    /** The workers' entries, read through this way to the store. */
+    /** Reads the workers' entries over the given connection to the store. */
     readonly directory: (feed: ChangeFeed) => WorkerDirectory;
     readonly configuration: ConfigurationFeed;
     readonly clients: TaskWorkerClients;
     readonly advice: AdviceClient | undefined;
-    /** The platform's service of VMs and the board of waves, over this way to the store; undefined without one. */
+    /** Access to the platform's VM service and to the published states of waves; undefined where the platform has no such service. */
     readonly upkeep: ((store: PlatformStore & ChangeFeed) => OwnerUpkeep) | undefined;
 }
 
-/** See the module's comment. */
+/**
+ * Wires the components of an entry VM: the front end for callers, the links to workers, and the owner's work while this VM owns
+ * the cell. Every entry VM is a candidate for ownership.
+ */
 export class EntryProcess {
     readonly jobs: JobService;
     readonly requestLog: RequestLog;
     readonly #logger: EventLogger;
-    /** How long what this VM follows in the store may go unheard. */
+    /** Timeouts of the loops that follow the store. */
     readonly #followLimits: FollowLimits;
     readonly #self: EntryVm;
     readonly #view: CellView;
@@ -68,7 +71,7 @@
     readonly #store: RelayedStore;
     readonly #probe: StoreProbe;
     #deadOwner: string | undefined;
-    /** Whether the owner asked this VM to take the cell over. */
+    /** Whether the current owner asked this VM to take over the cell. */
     #isAsked = false;
     #ownerWaiters: (() => void)[] = [];
 
@@ -149,8 +152,8 @@
                 + formerLeaseMargin,
             knownOwner: () => ({
                 ownerSilence: this.#session.hasOwner ? this.#session.ownerSilence : Infinity,
-                // Not told: an owner that was only paused would answer for a while that it does not know jobs which the next
-                // one took, and the renewal of its lease would not show it that the key is another's.
+                // Left out on purpose: an owner that was only paused would go on denying jobs that its successor accepted, and
+                // renewing its lease does not show it that the owner's key has changed hands.
                 heardSilence: undefined,
                 deadOwner: this.#deadOwner,
                 isAsked: this.#isAsked,
@@ -176,22 +179,22 @@
         );
     }
 
-    /** The queues in force; undefined while there is no configuration. */
+    /** Undefined until a configuration is known. */
     get queues(): QueueDirectory | undefined {
         return this.#configuration.queues;
     }
 
-    /** Whether this VM hears of the configuration as often as it does while the store answers. */
+    /** Whether the store confirmed the configuration within the time that following it takes at most. */
     get isConfigurationCurrent(): boolean {
         return (this.#configuration.age ?? Infinity) <= longestUnheard(this.#followLimits);
     }
 
-    /** Why this VM is not ready for callers; undefined when it is. */
+    /** Why this VM does not accept callers; undefined when it does. */
     get notReady(): string | undefined {
         return this.queues === undefined ? "no configuration yet" : undefined;
     }
 
-    /** Serves until `stop` fires, then hands over and goes on until callers are `drained`. */
+    /** Serves until `stop` fires, then hands the cell over and serves on until `drained` resolves. */
     async run(stop: AbortSignal, drained: () => Promise<void>): Promise<void> {
         const { settings, store, clock, metrics } = this.options;
         const { membersUnavailable: lost, membersAvailable: regained } = logEvents;
@@ -222,7 +225,7 @@
         await Promise.all(running);
     }
 
-    /** Callers are served on while the cell and the links go to others. */
+    /** Answers open requests while the cell and the links move to other VMs. */
     async #leave(drained: () => Promise<void>): Promise<void> {
         const { settings, clock } = this.options;
         this.#session.leave();
@@ -245,7 +248,7 @@
         void this.#checkOwner();
     }
 
-    /** Finds out whether a lost owner's process is gone: then its lease need not be waited for. */
+    /** Checks whether a lost owner's process has ended: a successor need not wait for the lease of an ended process. */
     async #checkOwner(): Promise<void> {
         const owner = this.#view.owner;
         if (owner !== undefined && await isRefused(owner.address, refusalLimit)) {
@@ -264,7 +267,7 @@
         });
     }
 
-    /** This VM is one of the owner's: it is connected without a socket. */
+    /** Connects this VM to the owner in its own process through a memory channel. */
     #connectOwn(session: OwnerSession): void {
         const [ownerEnd, vmEnd] = createMemoryChannel<OwnerMessage, VmMessage>();
         this.#session.attach(vmEnd);
--- a/packages/entry/src/following/constants.ts
+++ b/packages/entry/src/following/constants.ts
@@ -1,28 +1,25 @@
-/** Times of following the store, in milliseconds, and shares of the users' bounds. */
+/** Timing of the loops that follow the store, in milliseconds or as a share of the required freshness. */
 import type { Milliseconds } from "@pebbledale/core";
 
-/**
- * A call waits this share of the time within which a change must be acted on. The rest is for finding out that nobody is at the
- * other end any more, and for asking again.
- */
+/** Share of the required freshness that one call waits for changes. The rest is left for detecting a dead connection and retrying. */
 export const waitShare = 0.5;
-/** An answer may stay out for this share of that time beyond the wait, however slow earlier ones were. */
+/** Share of the required freshness by which an answer may be late at most, however slow earlier answers were. */
 export const slackShare = 0.2;
-/** Longest wait in one call: the platform's store allows 30 s. */
+/** The platform's store allows waits of up to 30 s. */
 export const longestFollowWait: Milliseconds = 20_000;
-/** Least wait in one call: bounds the calls of a VM to a few a second, however strict the users are. */
+/** Bounds the rate of calls to a few a second when the required freshness is very short. */
 export const shortestFollowWait: Milliseconds = 250;
-/** No answer is taken for lost before this: a pause of this VM's process takes up to a tenth of a second. */
+/** Shortest time by which an answer may be late: a pause of this process takes up to 0.1 s. */
 export const shortestSlack: Milliseconds = 250;
-/** The slack is doubled with each call in a row that had no answer, up to this. A slow store answers in up to 0.4 s. */
+/** The slack doubles with each consecutive failure, up to this. A slow store answers within 0.4 s. */
 export const mostSlack: Milliseconds = 1_500;
-/** Wait of the call after one without an answer: it is to be known soon whether the store is heard again. */
+/** Wait of the first call after a failure: kept short to learn soon whether the store answers again. */
 export const probeWait: Milliseconds = 20;
-/** Wait before a call that had no answer is made again. */
+/** Delay before the first retry of a failed call. */
 export const followRetryDelay: Milliseconds = 50;
-/** The same once several in a row had none. */
+/** Delay before further retries. */
 export const repeatedRetryDelay: Milliseconds = 150;
-/** Reading all has no answer by then: a page holds up to a megabyte, which takes 1.2 s where a VM has 7 Mbit/s. */
+/** Timeout of reading all entries. A page of a megabyte takes 1.2 s on a VM with 7 Mbit/s. */
 export const readAllLimit: Milliseconds = 2_000;
-/** The same is doubled with each failure in a row, up to this. */
+/** The timeout doubles with each consecutive failure, up to this. */
 export const mostReadAllLimit: Milliseconds = 8_000;
--- a/packages/entry/src/following/follow-loop.ts
+++ b/packages/entry/src/following/follow-loop.ts
@@ -1,9 +1,4 @@
-/**
- * Follows something in the store until it is told to stop: reads all, then takes changes in, and knows how old that is.
- *
- * A connection may fall silent without an end. A call over it looks like a store with nothing new, so no call waits for long
- * and each is given up soon after its wait is over.
- */
+/** Follows a source of changes in the store. */
 import { AnswerTimes, type Clock, type Milliseconds } from "@pebbledale/core";
 import { createAbortController, NoAnswerError } from "@pebbledale/runtime";
 import {
@@ -18,41 +13,47 @@
 import type { FollowLimits } from "./limits.js";
 import type { StoreProbe } from "./store-probe.js";
 
-/** What one call brought. */
+/** Result of one call. */
 export interface FollowedNews {
-    /** Where the next call goes on. */
+    /** Cursor for the next call. */
     readonly cursor: string;
-    /** Takes it in. Not done for a call that was given up: newer news may have been taken in before it ends. */
+    /** Applies the result. Not called when the call was abandoned: a newer result may have been applied by then. */
     readonly take: () => void;
 }
 
-/** What is followed. Calls reject when no answer came. */
+/** What a {@link FollowLoop} follows. Calls reject when no answer arrives. */
 export interface Followed {
-    /** Reads all as it stands. */
+    /** Reads the whole current state. */
     readAll(signal: AbortSignal): Promise<FollowedNews>;
-    /** Waits at most `wait` for changes since; undefined when all must be read again. */
+    /** Waits up to `wait` for changes after the cursor; undefined when the whole state has to be read again. */
     changes(cursor: string, wait: Milliseconds, signal: AbortSignal): Promise<FollowedNews | undefined>;
 }
 
-/** What a loop needs. */
+/** What a {@link FollowLoop} depends on. */
 export interface FollowLoopOptions {
     readonly followed: Followed;
     readonly clock: Clock;
     readonly limits: FollowLimits;
-    /** Tells when a store that has been silent answers again; left out where a call may wait until it is given up. */
+    /** Detects that the store answers again. Without one, a call to a silent store ends only by its timeout. */
     readonly probe?: StoreProbe;
-    /** Told of each answer, after it was taken in. */
+    /** Called after each answer, once it is applied. */
     readonly onAnswer: () => void;
-    /** Told of each call without an answer, and how long ago the last one came; undefined when there was none yet. */
+    /** Called after each failed call. `age`: time since the last answer, undefined before the first. */
     readonly onFailure: (cause: unknown, age: Milliseconds | undefined) => void;
 }
 
-/** Thrown when a call is given up as the store, silent when it was made, answers again. */
+/** Ends a call that was sent while the store was silent: the store has recovered and will not answer that call. */
 class StoreBackError extends Error {
     override readonly name = "StoreBackError";
 }
 
-/** See the module's comment. */
+/**
+ * Keeps a local copy of data in the store up to date: reads the whole state once, then waits for changes in a loop, and tells how
+ * old the copy is.
+ *
+ * A connection can die without being closed, and then looks like a store without changes. Each call therefore waits only briefly
+ * and is abandoned soon after its wait is over.
+ */
 export class FollowLoop {
     #answeredAt: Milliseconds | undefined;
     #failuresInARow = 0;
@@ -63,12 +64,11 @@
         this.#answerTimes = new AnswerTimes({ shortest: Math.min(shortestSlack, slack), longest: slack });
     }
 
-    /** How long ago the store last answered: what is known is that old. Undefined before the first answer. */
+    /** Age of the copy: time since the store last answered, undefined before the first answer. */
     get age(): Milliseconds | undefined {
         return this.#answeredAt === undefined ? undefined : this.options.clock.monotonic() - this.#answeredAt;
     }
 
-    /** Follows until `signal` fires. */
     async run(signal: AbortSignal): Promise<void> {
         const { clock, onAnswer, onFailure } = this.options;
         let cursor: string | undefined;
@@ -106,12 +106,12 @@
         });
     }
 
-    /** How long the answer to a call may stay out beyond its wait. */
+    /** How late the answer to a call may be, counted from the end of its wait. */
     get #slack(): Milliseconds {
         return Math.min(mostSlack, this.#answerTimes.limit * 2 ** this.#failuresInARow);
     }
 
-    /** An answer that came before the wait was over brought news, and tells nothing of the time that answers take. */
+    /** Ignores answers that arrive before the wait is over: they carry changes and say nothing about the store's response time. */
     #noteAnswerTime(took: Milliseconds): void {
         if (took >= 0) {
             this.#answerTimes.note(took);
@@ -119,8 +119,8 @@
     }
 
     /**
-     * Gives a call up after `limit`: without an answer by then its connection is taken for silent. One that goes through
-     * another VM does not heed the signal and is left to itself.
+     * Abandons a call after `limit`. A call that another VM makes for this one ignores the signal; its result is discarded when it
+     * arrives.
      */
     async #within<Value>(
         limit: Milliseconds,
@@ -135,7 +135,7 @@
             ended.signal.addEventListener("abort", () => reject(ended.signal.reason as Error))
         );
         void this.#untilBack(finished.signal).then(isBack =>
-            isBack ? ended.abort(new StoreBackError("the store answers again")) : undefined
+            isBack ? ended.abort(new StoreBackError("the store recovered")) : undefined
         );
         void this.options.clock.sleep(limit, finished.signal).then(() =>
             finished.signal.aborted ? undefined : ended.abort(new NoAnswerError(`no answer in ${Math.round(limit)} ms`))
@@ -149,7 +149,7 @@
         }
     }
 
-    /** Whether the store came back while a call was out. A call that waits for news is given up soon in any case. */
+    /** Resolves to true if the store recovers during a call. Waits for changes need no such check, as they time out soon. */
     async #untilBack(signal: AbortSignal): Promise<boolean> {
         const isReadingAll = this.#answeredAt === undefined;
         return (isReadingAll || this.#failuresInARow > 0) && await this.options.probe?.untilBack(signal) === true;
--- a/packages/entry/src/following/index.ts
+++ b/packages/entry/src/following/index.ts
@@ -1,4 +1,4 @@
-/** Following what the platform's store holds: workers' entries, the configuration, the keys of the entry VMs. */
+/** Local copies of data in the platform's store: workers' entries, the configuration, the keys of entry VMs. */
 export * from "./constants.js";
 export * from "./follow-loop.js";
 export * from "./limits.js";
--- a/packages/entry/src/following/limits.ts
+++ b/packages/entry/src/following/limits.ts
@@ -1,4 +1,4 @@
-/** How long what is followed may go unheard, worked out from the users' bounds. */
+/** Derives the timing of follow loops from the required freshness. */
 import type { Milliseconds } from "@pebbledale/core";
 import {
     followRetryDelay,
@@ -9,25 +9,25 @@
     waitShare,
 } from "./constants.js";
 
-/** The users' bounds on news. */
+/** Required freshness of what a VM knows, as the operators set it. */
 export interface NewsBounds {
-    /** No start reaches a worker later than this after it said that it leaves. */
+    /** No task is started on a worker later than this after the worker announced that it drains. */
     readonly drainWithin: Milliseconds;
-    /** A configuration is in force this long after the store took it. */
+    /** A configuration is in force this long after the store accepted it. */
     readonly configurationWithin: Milliseconds;
-    /** A VM is bound by the others this long after a fault of its connections. */
+    /** VMs reach each other again this long after a fault of their connections. */
     readonly contact: Milliseconds;
 }
 
-/** Times of one follow loop. */
+/** Timing of one follow loop. */
 export interface FollowLimits {
-    /** How long a call waits for news. */
+    /** How long a call waits for changes. */
     readonly wait: Milliseconds;
-    /** How long an answer may stay out beyond that before its connection is taken for silent. */
+    /** How late an answer may be beyond that before its connection is considered dead. */
     readonly slack: Milliseconds;
 }
 
-/** The limits that keep the bounds. */
+/** Timing that meets the strictest of the bounds. */
 export const followLimitsOf = (bounds: NewsBounds): FollowLimits => {
     const within = Math.min(bounds.drainWithin, bounds.configurationWithin, bounds.contact);
     const wait = Math.max(shortestFollowWait, Math.floor(within * waitShare));
@@ -35,8 +35,8 @@
 };
 
 /**
- * How old what is known gets at most while the store answers, when one connection falls silent: the call that waits on it
- * is given up, and the next one is answered on another within its slack.
+ * Largest age of a followed copy while the store works and one connection dies: the call on the dead connection times out, and the
+ * retry is answered on another connection.
  */
 export const longestUnheard = ({ wait, slack }: FollowLimits): Milliseconds =>
     wait + slack + followRetryDelay + probeWait + slack / 2;
--- a/packages/entry/src/following/store-probe.ts
+++ b/packages/entry/src/following/store-probe.ts
@@ -1,31 +1,32 @@
-/**
- * Notices that a silent store answers again.
- *
- * A call that the store was sent while it was silent stays without an answer, also when it is back, and reading all may rightly
- * take seconds. Small calls beside it show that a later call is answered and the earlier one never will be.
- */
+/** Detects that a silent store answers again. */
 import type { Clock, Milliseconds } from "@pebbledale/core";
 
-/** Time between two small calls: a VM that waits for the store goes on within about that of its return. */
+/** Time between two probes, which bounds the time until a recovery is detected. */
 const probeInterval: Milliseconds = 150;
 
-/** What a probe needs. */
+/** What a {@link StoreProbe} depends on. */
 export interface StoreProbeOptions {
     readonly clock: Clock;
-    /** A small call; rejects when it has no answer. */
+    /** Makes a small call to the store; rejects when it gets no answer. */
     readonly call: () => Promise<unknown>;
-    /** Whether anything hangs on knowing soon: where an owner is heard, nothing does. */
+    /** Whether probes are sent: a VM with a connection to the owner needs none. */
     readonly isWanted: () => boolean;
 }
 
-/** See the module's comment. One for all of a VM that wait for the store. */
+/**
+ * Detects that a silent store has recovered, on behalf of all loops of a VM that wait for it.
+ *
+ * A call that was sent while the store was silent is never answered, even after the recovery, and reading all entries may
+ * legitimately take seconds. Small calls beside it tell the two apart: once a later one is answered and an earlier one is not, the
+ * store has recovered.
+ */
 export class StoreProbe {
     readonly #waiters = new Set<() => void>();
     #isRunning = false;
 
     constructor(private readonly options: StoreProbeOptions) {}
 
-    /** Resolves to true when the store answers after a call that it left without an answer, and to false when `signal` fires. */
+    /** Resolves to true once the store has recovered, to false when `signal` fires. */
     untilBack(signal: AbortSignal): Promise<boolean> {
         return new Promise(resolve => {
             const finish = (isBack: boolean) => {
@@ -55,14 +56,14 @@
             if (this.options.isWanted()) {
                 const number = ++sent;
                 const noteAnswer = () => {
-                    // An earlier call has no answer though this later one has: the store was silent in between.
+                    // A later call is answered and an earlier one is not: the store was silent in between.
                     const isBack = number > answered + 1;
                     answered = Math.max(answered, number);
                     if (isBack) {
                         [...this.#waiters].forEach(noteBack => noteBack());
                     }
                 };
-                // A call without an answer shows by the next one that has one.
+                // A failed call needs no handling: it shows once a later one is answered.
                 this.options.call().then(noteAnswer, () => undefined);
             }
             await this.options.clock.sleep(probeInterval);
--- a/packages/entry/src/front/caller-check.ts
+++ b/packages/entry/src/front/caller-check.ts
@@ -1,25 +1,26 @@
-/** Decides whose a caller's request is, by the key that it shows. */
+/** Authentication of callers by their organisation's key. */
 import { longestKey, type QueueConfiguration, type QueueDirectory } from "@pebbledale/cell";
 import type { OrganisationName } from "@pebbledale/core";
 
-/** HTTP's scheme for keys that are shown as they are (RFC 6750). */
+/** Bearer token of an `Authorization` header (RFC 6750). */
 const credentials = /^Bearer +([\x21-\x7e]+) *$/i;
 
-/** Longest head that is looked at, in characters: a caller's long head may not take a VM's time. */
+/** Longer headers are not parsed, so that a caller cannot use up processor time with them. */
 const longestCredentials = longestKey + "Bearer ".length;
 
-/** Whose a request is, or why it is turned away. */
+/** Outcome of authenticating a request. */
 export type CallerCheck =
-    /** `organisation`: undefined where the queue needs no key. */
+    /** `organisation` is undefined where the queue needs no key. */
     | { readonly kind: "allowed"; readonly organisation: OrganisationName | undefined; }
     | { readonly kind: "refused"; readonly reason: string; }
-    /** The key may be newer than the configuration that is known here. */
+    /** The key may belong to a configuration that has not reached this VM. */
     | { readonly kind: "unsure"; readonly reason: string; };
 
 /**
- * Checks a request.
- * `shown`: the values of its headers that carry credentials.
- * `isCurrent`: whether the configuration was heard of lately. If not, a key that is not known may be of a version that this VM has not heard of.
+ * Authenticates a request to a queue.
+ *
+ * `shown`: values of its `Authorization` headers. `isCurrent`: whether the configuration is up to date. If not, an unknown key may
+ * belong to a newer version and is not refused for good.
  */
 export const checkCaller = (
     { needsKey }: QueueConfiguration,
--- a/packages/entry/src/front/constants.ts
+++ b/packages/entry/src/front/constants.ts
@@ -1,13 +1,13 @@
-/** Times of the front, in milliseconds. */
+/** Timing of the front end, in milliseconds. */
 import type { Milliseconds } from "@pebbledale/core";
 
-/** Kept back from a caller's deadline for the answer's way, which takes 3 ms, and a short wait for the processor. */
+/** Part of a caller's deadline that is kept for sending the answer, which takes about 3 ms, and for processor contention. */
 export const answerMargin: Milliseconds = 25;
-/** With less time left than this nothing is sent to the owner: a record is kept in 10 to 30 ms. */
+/** With less time left a request is not sent to the owner, which needs 10 to 30 ms to persist a record. */
 export const shortestAsk: Milliseconds = 20;
-/** Longest wait for an owner before a request is answered without one. */
+/** Longest wait for an owner before a request is refused. */
 export const ownerWait: Milliseconds = 1_500;
-/** When a caller that was refused for want of an owner is to come back. */
+/** Retry delay given to callers that are refused because there is no owner. */
 export const noOwnerRetryAfter: Milliseconds = 500;
-/** How long a queue's count may be answered again without asking the owner. The users allow two seconds. */
+/** How long the count of a queue is served from memory. Callers tolerate a count that is two seconds old. */
 export const pendingAge: Milliseconds = 700;
--- a/packages/entry/src/front/index.ts
+++ b/packages/entry/src/front/index.ts
@@ -1,4 +1,4 @@
-/** What a front does for callers. */
+/** Front end of an entry VM: authenticates callers and answers their requests with the help of the owner. */
 export { type CallerCheck, checkCaller } from "./caller-check.js";
 export * from "./job-service.js";
 export * from "./request-log.js";
--- a/packages/entry/src/front/job-service.ts
+++ b/packages/entry/src/front/job-service.ts
@@ -1,4 +1,4 @@
-/** What a front does for callers: passes requests to the owner and answers each as truly as it can. */
+/** Answers callers' requests by forwarding them to the owner. */
 import type { JobDefinition } from "@pebbledale/cell";
 import type { Clock, JobId, Milliseconds, OrganisationName, QueueName } from "@pebbledale/core";
 import { createAbortController } from "@pebbledale/runtime";
@@ -7,9 +7,12 @@
 import type { RequestLog } from "./request-log.js";
 import type { JobAnswer, OwnerAccess } from "./types.js";
 
-/** See the module's comment. */
+/**
+ * Forwards callers' requests to the owner and retries while the caller's deadline allows it, which is safe as the owner treats
+ * repeated requests as one. A request is answered as refused only if it surely had no effect, otherwise as uncertain.
+ */
 export class JobService {
-    /** Requests have their answers by this moment, by the monotonic clock: the process ends soon after. */
+    /** By the monotonic clock; set when the process stops. */
     #answerBy: Milliseconds = Infinity;
     readonly #pending = new Map<QueueName, { readonly at: Milliseconds; readonly count: number; }>();
 
@@ -19,27 +22,25 @@
         private readonly log: RequestLog,
     ) {}
 
-    /** This VM stops: requests that come from now on have their answers by a moment of the monotonic clock. */
+    /** Has requests answered by a moment of the monotonic clock, whatever their own deadlines. Called when the process stops. */
     answerBy(moment: Milliseconds): void {
         this.#answerBy = moment;
     }
 
-    /** Hands a job in. `within`: how long the caller waits. */
+    /** `within`: time until the caller's deadline. */
     submit(definition: JobDefinition, within: Milliseconds): Promise<JobAnswer> {
         return this.#ask({ kind: "submit", definition }, within);
     }
 
-    /** The state of a job, for a caller of an organisation. */
     state(job: JobId, organisation: OrganisationName | undefined, within: Milliseconds): Promise<JobAnswer> {
         return this.#ask({ kind: "state", job, organisation }, within);
     }
 
-    /** Cancels a job, for a caller of an organisation. */
     cancel(job: JobId, organisation: OrganisationName | undefined, within: Milliseconds): Promise<JobAnswer> {
         return this.#ask({ kind: "cancel", job, organisation }, within);
     }
 
-    /** How many jobs of a queue wait. */
+    /** Counts the waiting jobs of a queue; the count may be up to {@link pendingAge} old. */
     async pending(queue: QueueName, within: Milliseconds): Promise<JobAnswer> {
         const now = this.clock.monotonic();
         const known = this.#pending.get(queue);
@@ -62,7 +63,7 @@
         return answer;
     }
 
-    /** Asks until there is an answer: each request may be sent to the owner again without harm. */
+    /** Repeats the request until it is answered: repeating has no further effect at the owner. */
     async #askOwner(body: OwnerRequest, within: Milliseconds): Promise<JobAnswer> {
         const deadline = Math.min(this.clock.monotonic() + within, this.#answerBy) - answerMargin;
         let wasSent = false;
@@ -114,7 +115,7 @@
     }
 }
 
-/** Only what was never sent to an owner is surely not done. A state that was not read harms nothing. */
+/** A request that reached an owner may have taken effect, except where it only reads. */
 const unanswered = (body: OwnerRequest, wasSent: boolean, reason: string): JobAnswer => {
     const changesNothing = body.kind === "state" || body.kind === "pending";
     return wasSent && !changesNothing
--- a/packages/entry/src/front/request-log.ts
+++ b/packages/entry/src/front/request-log.ts
@@ -1,21 +1,20 @@
-/** Logs and counts what callers are answered. */
+/** Logs and counts answers to callers. */
 import { type Clock, logEvents, type Milliseconds } from "@pebbledale/core";
 import type { EventLogger } from "@pebbledale/runtime";
 import type { EntryMetrics } from "../observation/index.js";
 import type { OwnerRequest } from "../protocol/index.js";
 import type { JobAnswer } from "./types.js";
 
-/** A path is logged up to this length. */
 const longestPath = 100;
 
-/** What the front believed of the owner when it answered. */
+/** How well an entry VM was in contact with the owner when it answered a caller. */
 export interface OwnerBelief {
     readonly epoch: number;
-    /** How long ago the owner was heard. */
+    /** Time since the last message from the owner. */
     readonly silence: Milliseconds;
 }
 
-/** What the log is made from. */
+/** What a {@link RequestLog} depends on. */
 export interface RequestLogOptions {
     readonly logger: EventLogger;
     readonly metrics: EntryMetrics;
@@ -23,16 +22,15 @@
     readonly owner: () => OwnerBelief;
 }
 
-/** See the module's comment. */
+/** Counts every answer to a caller, and logs those that do not give the caller what it asked for; the owner logs the others. */
 export class RequestLog {
     constructor(private readonly options: RequestLogOptions) {}
 
-    /** Now, by the clock that `since` of {@link answered} is of. */
+    /** Current time by the clock that `since` of {@link answered} refers to. */
     now(): Milliseconds {
         return this.options.clock.monotonic();
     }
 
-    /** A request was answered. An answer that gives what was asked for has its line at the owner. */
     answered(request: OwnerRequest, answer: JobAnswer, since: Milliseconds): void {
         const { logger, metrics, owner } = this.options;
         const took = Math.round(this.now() - since);
@@ -62,7 +60,7 @@
         }
     }
 
-    /** A request was turned away before the owner was asked. `path`: of the queue and the job that it names. */
+    /** Records a request that was rejected before it was sent to the owner. `path` names the queue and the job. */
     turnedAway(method: string, path: string, outcome: string, reason: string): void {
         const { logger, metrics } = this.options;
         metrics.noteRequest(method.toLowerCase(), outcome, 0);
--- a/packages/entry/src/front/types.ts
+++ b/packages/entry/src/front/types.ts
@@ -1,29 +1,29 @@
-/** What a front answers, and the owner as it reaches it. */
+/** Answers to callers, and the front end's access to the owner. */
 import type { CellJobState } from "@pebbledale/cell";
 import type { Milliseconds } from "@pebbledale/core";
 import type { OwnerReply, OwnerRequest } from "../protocol/index.js";
 
-/** Answer to a caller. */
+/** Answer to a caller's request. */
 export type JobAnswer =
     | { readonly kind: "accepted"; }
     | { readonly kind: "cancelled"; }
     | { readonly kind: "state"; readonly state: CellJobState; }
     | { readonly kind: "pending"; readonly count: number; }
     | { readonly kind: "unknown-job"; }
-    /** Another organisation has a job of this id; nothing was taken. */
+    /** The id belongs to a job of another organisation; nothing was stored. */
     | { readonly kind: "id-taken"; }
-    /** Its organisation's limit can never hold one of its steps; nothing was taken. */
+    /** A step exceeds the limit of its organisation and could never run; nothing was stored. */
     | { readonly kind: "beyond-limit"; }
-    /** It was not done and will not be; come back after a while. */
+    /** The request had no effect and may be repeated after `retryAfter`. */
     | { readonly kind: "refused"; readonly retryAfter: Milliseconds; readonly reason: string; }
-    /** Whether it was done is not known; the same request may be sent again. */
+    /** The request may have taken effect; it is safe to repeat it. */
     | { readonly kind: "uncertain"; readonly reason: string; };
 
-/** The owner as a front reaches it. */
+/** Access to the owner of the cell, whichever VM that is at the moment. */
 export interface OwnerAccess {
     hasOwner(): boolean;
-    /** Asks the owner; resolves to undefined when the connection ends before there is an answer. */
+    /** Resolves to undefined when the connection ends before there is an answer. */
     ask(body: OwnerRequest): Promise<OwnerReply | undefined>;
-    /** Resolves when there is an owner, or after `wait`. */
+    /** Resolves once there is an owner, or after `wait`. */
     untilOwner(wait: Milliseconds): Promise<void>;
 }
--- a/packages/entry/src/index.ts
+++ b/packages/entry/src/index.ts
@@ -1,4 +1,4 @@
-/** The program of an entry VM: front, links to workers and the owner of the cell. */
+/** The program of an entry VM: front end for callers, links to workers, and the owner of the cell. */
 export * from "./configuration/index.js";
 export * from "./entry-process.js";
 export * from "./following/index.js";
--- a/packages/entry/src/membership/followed-keys.ts
+++ b/packages/entry/src/membership/followed-keys.ts
@@ -1,16 +1,15 @@
-/** Keys of the store that are followed by prefix. */
+/** Follows all keys of the store that have a prefix. */
 import type { ChangeFeed, KeyChanges, KeysAtCursor, Milliseconds } from "@pebbledale/core";
 import type { Followed, FollowedNews } from "../following/index.js";
 
-/** Takes in what is followed. */
+/** Local copy of the keys under a prefix. */
 export interface KeyFollower {
-    /** All keys as they stand. */
+    /** Replaces the whole content. */
     replace(keys: KeysAtCursor): void;
-    /** Changes since. */
     change(changes: KeyChanges): void;
 }
 
-/** See the module's comment. */
+/** Feeds a {@link KeyFollower} with all keys that have a prefix, and with changes to them. */
 export class FollowedKeys implements Followed {
     constructor(
         private readonly feed: ChangeFeed,
@@ -18,13 +17,11 @@
         private readonly follower: KeyFollower,
     ) {}
 
-    /** See {@link Followed.readAll}. */
     async readAll(signal: AbortSignal): Promise<FollowedNews> {
         const keys = await this.feed.readAll(this.prefix, signal);
         return { cursor: keys.cursor, take: () => this.follower.replace(keys) };
     }
 
-    /** See {@link Followed.changes}. */
     async changes(cursor: string, wait: Milliseconds, signal: AbortSignal): Promise<FollowedNews | undefined> {
         const changes = await this.feed.changes(this.prefix, cursor, wait, signal);
         return changes && { cursor: changes.cursor, take: () => this.follower.change(changes) };
--- a/packages/entry/src/membership/registration.ts
+++ b/packages/entry/src/membership/registration.ts
@@ -1,4 +1,4 @@
-/** This VM's lease in the store, and the keys that hang on it. */
+/** Registration of this VM in the store. */
 import {
     absentVersion,
     type Clock,
@@ -11,25 +11,24 @@
 import { type EventLogger, unlessAborted } from "@pebbledale/runtime";
 import { DependencyWatch } from "../observation/index.js";
 
-/** What a registration needs. */
+/** What a {@link Registration} depends on. */
 export interface RegistrationOptions {
     readonly logger: EventLogger;
     readonly store: PlatformStore;
     readonly clock: Clock;
     readonly key: string;
     readonly value: string;
-    /** How long the lease runs after its last renewal. */
+    /** The lease expires this long after its last renewal. */
     readonly leaseLength: Milliseconds;
 }
 
-/** Longest wait for the end of a lease when a VM stops; without an answer it runs out by itself. */
+/** Longest wait for the revocation of a lease when a process stops. Without an answer the lease expires by itself. */
 export const revokeLimit: Milliseconds = 400;
-/** Wait after a call without an answer: no owner finds a VM whose key has run out. */
+/** Delay before a failed call is retried: a VM whose key has expired is invisible to owners. */
 const retryDelay: Milliseconds = 250;
-/** A lease is renewed this many times in its length. */
 const renewalsPerLease = 3;
 
-/** See the module's comment. */
+/** Keeps this VM's key in the store while the process runs. The key hangs on a lease, so that it disappears with the process. */
 export class Registration {
     readonly #watch: DependencyWatch;
     #lease: PlatformLeaseId | undefined;
@@ -40,12 +39,12 @@
         this.#watch = new DependencyWatch({ logger, clock, lost, regained });
     }
 
-    /** The lease, while it is thought to stand. */
+    /** Undefined while no lease is known to be valid. */
     get lease(): PlatformLeaseId | undefined {
         return this.#lease;
     }
 
-    /** Keeps the lease and this VM's key until `signal` fires, then ends the lease. */
+    /** Keeps the lease and the key until `signal` fires, then revokes the lease. */
     async run(signal: AbortSignal): Promise<void> {
         const { store, clock, leaseLength } = this.options;
         while (!signal.aborted) {
@@ -62,12 +61,11 @@
         }
         if (this.#lease !== undefined) {
             const revoked = store.revokeLease(this.#lease).catch((cause: unknown) => this.#watch.noteFailure(cause));
-            // Without an answer the lease runs out by itself.
             await Promise.race([revoked, clock.sleep(revokeLimit)]);
         }
     }
 
-    /** This VM's key is gone though its lease may stand: the lease is made anew at the next renewal. */
+    /** Has the next renewal grant a new lease and write the key again: the key is gone although the lease may still be valid. */
     renew(): void {
         this.#lease = undefined;
     }
@@ -87,7 +85,7 @@
         const { store, key, value } = this.options;
         const outcome = await store.compareAndSwap(key, expected, value, lease);
         if (outcome.kind === "conflict" && outcome.current !== undefined) {
-            // An earlier life of this VM, or a lost answer: the newer lease replaces it.
+            // The key was written by an earlier process of this VM, or by a call whose answer was lost.
             await this.#put(lease, outcome.current.version);
         }
     }
--- a/packages/entry/src/membership/view.ts
+++ b/packages/entry/src/membership/view.ts
@@ -1,52 +1,52 @@
-/** Entry VMs and the owner as the store shows them. */
+/** Local copy of the keys of entry VMs and of the owner. */
 import type { Clock, KeyChanges, KeysAtCursor, KeyValue, KeyVersion, Milliseconds } from "@pebbledale/core";
 
-/** Keys of the cell's entry VMs and owner. */
+/** Prefix of the keys of entry VMs and of the owner. */
 export const cellPrefix = "cell/";
 /** Key under which the current owner publishes its name and address. */
 export const ownerKey = "cell/owner";
 const vmPrefix = "cell/nodes/";
 
-/** Key of an entry VM. */
+/** Key of the entry VM with a name. */
 export const vmKey = (name: string): string => `${vmPrefix}${name}`;
 
-/** A VM that runs this program, as it registers itself in the store. */
+/** An entry VM as it registers itself in the store. */
 export interface EntryVm {
     readonly name: string;
-    /** IP number and port at which it takes the owner's connection. */
+    /** IP address and port at which it accepts the owner's connection. */
     readonly address: string;
     readonly dataHall: string;
-    /** How much processor it has, in shares of a core. */
+    /** Available processor time, in shares of a core. */
     readonly processorShare: number;
-    /** Names one life of its process. */
+    /** Identifies the process: a restarted VM has another value. */
     readonly process: string;
-    /** When its process started, in whole seconds since 1970 by its own clock. */
+    /** Start of the process in Unix seconds, by its own clock. */
     readonly startedAt: number;
 }
 
-/** The value under {@link ownerKey}: which entry VM places work, and at which address it takes connections. */
+/** Value of {@link ownerKey}. */
 export interface OwnerEntry {
     readonly name: string;
     readonly address: string;
     readonly process: string;
 }
 
-/** See the module's comment. */
+/** Entry VMs and the owner as last seen in the store. Times are of the monotonic clock. */
 export class CellView {
     readonly vms = new Map<string, EntryVm>();
     owner: OwnerEntry | undefined;
-    /** Version of the owner's key as last seen; undefined while it is not there. */
+    /** Version of the owner's key; undefined while the key is missing. */
     ownerVersion: KeyVersion | undefined;
-    /** Since when the owner's key is missing, by the monotonic clock; undefined while it is there or nothing was read. */
+    /** Since when the owner's key is missing; undefined while it exists or nothing has been read. */
     ownerMissingSince: Milliseconds | undefined;
-    /** When the present owner's key was first seen, by the monotonic clock. */
+    /** When the key of the current owner was first seen. */
     ownerSince: Milliseconds = -Infinity;
-    /** When a VM was last seen for the first time, by the monotonic clock. */
+    /** When a VM was last added. */
     grownAt: Milliseconds = -Infinity;
 
     constructor(private readonly clock: Clock) {}
 
-    /** Takes in all keys. */
+    /** Replaces the whole content. */
     replace({ entries }: KeysAtCursor): void {
         const keys = new Set(entries.map(entry => entry.key));
         [...this.vms.keys()].filter(name => !keys.has(vmKey(name))).forEach(name => this.vms.delete(name));
@@ -56,7 +56,6 @@
         entries.forEach(entry => this.#put(entry));
     }
 
-    /** Takes in changes. */
     change({ changed, removed }: KeyChanges): void {
         changed.forEach(entry => this.#put(entry));
         for (const key of removed) {
@@ -84,7 +83,7 @@
         }
     }
 
-    /** An owner that cannot be read is one that is missing: its key can be claimed at the version that was seen. */
+    /** An unreadable entry counts as a missing owner whose key can be claimed at the version that was seen. */
     #putOwner(owner: OwnerEntry | undefined, version: KeyVersion): void {
         if (owner === undefined) {
             this.#removeOwner();
@@ -97,7 +96,7 @@
         this.ownerMissingSince = undefined;
     }
 
-    /** A VM that cannot be read is one that is not there. */
+    /** An unreadable entry counts as a missing VM. */
     #putVm(name: string, vm: EntryVm | undefined): void {
         if (vm === undefined) {
             this.vms.delete(name);
@@ -108,7 +107,7 @@
     }
 }
 
-/** A value that an entry VM wrote; undefined when it is none. */
+/** Parses a value written by an entry VM; undefined when it is malformed. */
 const parse = <Entry extends { readonly process: string; readonly address: string; }>(
     value: string,
 ): Entry | undefined => {
--- a/packages/entry/src/observation/dependency-watch.ts
+++ b/packages/entry/src/observation/dependency-watch.ts
@@ -1,8 +1,8 @@
-/** Logs when something this VM needs stops answering and when it answers again: a line each, however many calls fail. */
+/** Logs outages of what a VM depends on. */
 import type { Clock, LogEvent, Milliseconds } from "@pebbledale/core";
 import type { EventLogger } from "@pebbledale/runtime";
 
-/** What a watch needs. */
+/** What a {@link DependencyWatch} depends on. */
 export interface DependencyWatchOptions {
     readonly logger: EventLogger;
     readonly clock: Clock;
@@ -10,14 +10,13 @@
     readonly regained: LogEvent;
 }
 
-/** See the module's comment. */
+/** Logs one event when a dependency stops answering and one when it answers again, however many calls fail in between. */
 export class DependencyWatch {
     #lostAt: Milliseconds | undefined;
     #failures = 0;
 
     constructor(private readonly options: DependencyWatchOptions) {}
 
-    /** A call was answered. */
     noteAnswer(): void {
         const { logger, clock, regained } = this.options;
         if (this.#lostAt !== undefined) {
@@ -28,7 +27,7 @@
         this.#failures = 0;
     }
 
-    /** A call failed. `age`: how long ago the last answer came, where that is known. */
+    /** `age`: time since the last answer, where it is known. */
     noteFailure(cause: unknown, age?: Milliseconds): void {
         this.#failures++;
         if (this.#lostAt === undefined) {
--- a/packages/entry/src/observation/entry-metrics.ts
+++ b/packages/entry/src/observation/entry-metrics.ts
@@ -1,28 +1,28 @@
-/** Counters and latencies of an entry VM. */
+/** Metrics of an entry VM. */
 import type { CellSummary, CrashSummary } from "@pebbledale/cell";
 import type { Milliseconds } from "@pebbledale/core";
 import { Metrics } from "@pebbledale/runtime";
 
 const millisecondsPerSecond = 1_000;
 
-/** How the cell stands at its owner. */
+/** State of the cell as its owner sees it. */
 export interface CellFigures {
     readonly summary: CellSummary & CrashSummary;
-    /** How long the oldest record has waited to be kept. */
+    /** Age of the oldest record that is not yet persisted. */
     readonly journalWait: Milliseconds;
-    /** How long ago the store last told of the workers' entries. */
+    /** Time since the store last confirmed the workers' entries. */
     readonly entriesAge: Milliseconds;
 }
 
-/** How long ago the store last told of what each VM follows; undefined before it first did. */
+/** Read the time since the store last confirmed what each VM follows; undefined before the first answer. */
 export interface FollowedAges {
     readonly configuration: () => Milliseconds | undefined;
     readonly members: () => Milliseconds | undefined;
 }
 
-/** See the module's comment. */
+/** Counters, gauges and histograms of an entry VM. Gauges of the cell are zero on VMs that do not own it. */
 export class EntryMetrics {
-    /** Without the process's own: watching the event loop wakes a small VM a hundred times a second. */
+    /** Process metrics are left out: measuring the event loop's delay wakes a small VM a hundred times a second. */
     readonly metrics = new Metrics({ hasProcessMetrics: false });
     readonly #requests = this.metrics.counter("pebbledale_requests_total", "Callers' requests", [
         "request",
@@ -88,44 +88,38 @@
         age("members", () => this.#ages?.members());
     }
 
-    /** A caller was answered. */
     noteRequest(request: string, outcome: string, took: Milliseconds): void {
         this.#requests.inc({ request, outcome });
         this.#requestTime.observe({ request }, took / millisecondsPerSecond);
     }
 
-    /** A worker answered a call, or did not. */
     noteWorkerCall(call: string, outcome: string, took: Milliseconds): void {
         this.#workerCalls.inc({ call, outcome });
         this.#workerCallTime.observe({ call }, took / millisecondsPerSecond);
     }
 
-    /** An event was logged. */
     noteEvent(event: number): void {
         this.#events.inc({ event: String(event) });
     }
 
-    /** Tasks of a queue of a priority were ordered. */
+    /** Records how long tasks waited from being ready to being ordered, by the priority of their queue. */
     noteTaskWait(priority: number, waited: Milliseconds): void {
         this.#taskWait.observe({ priority: String(priority) }, waited / millisecondsPerSecond);
     }
 
-    /** The advice service answered. */
     noteAdvice(took: Milliseconds): void {
         this.#adviceTime.observe(took / millisecondsPerSecond);
     }
 
-    /** A job ended. */
     noteJobEnd(state: string, took: Milliseconds): void {
         this.#jobTime.observe({ state }, took / millisecondsPerSecond);
     }
 
-    /** How the cell stands; undefined once this VM no longer owns it. */
+    /** `cell` is undefined once this VM no longer owns the cell. */
     noteCell(cell: CellFigures | undefined): void {
         this.#cell = cell;
     }
 
-    /** Where to read how old what this VM follows is. */
     noteAges(ages: FollowedAges): void {
         this.#ages = ages;
     }
--- a/packages/entry/src/observation/index.ts
+++ b/packages/entry/src/observation/index.ts
@@ -1,4 +1,4 @@
-/** What an entry VM tells of itself besides its answers: counters, latencies, and when something it needs is lost. */
+/** Observability of an entry VM: metrics, and log events about the loss and return of dependencies. */
 export * from "./dependency-watch.js";
 export * from "./entry-metrics.js";
 export * from "./measured-logger.js";
--- a/packages/entry/src/observation/measured-logger.ts
+++ b/packages/entry/src/observation/measured-logger.ts
@@ -1,13 +1,12 @@
-/** Counts every event that is logged, and takes the latencies that some of them carry. */
+/** Metrics taken from log events. */
 import { type LogEvent, logEvents } from "@pebbledale/core";
 import type { EventLogger } from "@pebbledale/runtime";
 import type { EntryMetrics } from "./entry-metrics.js";
 
-/** See the module's comment. The log may leave lines out under overload; the counters are complete. */
+/** Counts every log event and records the durations that some carry. Complete even when the log drops lines under overload. */
 export class MeasuredLogger implements EventLogger {
     constructor(private readonly logger: EventLogger, private readonly metrics: EntryMetrics) {}
 
-    /** See {@link EventLogger.log}. */
     log(event: LogEvent, fields?: Readonly<Record<string, unknown>>): void {
         this.metrics.noteEvent(event.number);
         this.#measure(event, fields ?? {});
--- a/packages/entry/src/observation/measured-workers.ts
+++ b/packages/entry/src/observation/measured-workers.ts
@@ -1,4 +1,4 @@
-/** Measures calls of workers. */
+/** Metrics of calls to workers. */
 import type {
     LookAnswer,
     LookRequest,
@@ -12,7 +12,7 @@
 import type { Clock, Milliseconds, WorkerId } from "@pebbledale/core";
 import type { EntryMetrics } from "./entry-metrics.js";
 
-/** See the module's comment. */
+/** Makes worker clients whose calls are counted and timed. */
 export class MeasuredWorkers implements TaskWorkerClients {
     constructor(
         private readonly clients: TaskWorkerClients,
@@ -20,7 +20,6 @@
         private readonly clock: Clock,
     ) {}
 
-    /** See {@link TaskWorkerClients.clientOf}. */
     clientOf(worker: WorkerId, address: string): TaskWorkerClient {
         return new MeasuredWorker(this.clients.clientOf(worker, address), this.metrics, this.clock);
     }
--- a/packages/entry/src/settings/reload.ts
+++ b/packages/entry/src/settings/reload.ts
@@ -1,22 +1,25 @@
-/** Reads the settings again when it is asked to, and now and then by itself: the file may change without a sign. */
+/** Reloading of the settings file while the process runs. */
 import { type Clock, logEvents, type Milliseconds } from "@pebbledale/core";
 import type { EventLogger } from "@pebbledale/runtime";
 import { isDeepStrictEqual } from "node:util";
 import type { EntrySettings } from "./types.js";
 
-/** Time between two readings without a sign, in milliseconds. */
+/** Interval of reading the file without a signal, in milliseconds. */
 const rereadInterval: Milliseconds = 2_000;
 
-/** What a reload needs. */
+/** What a {@link SettingsReload} depends on. */
 export interface SettingsReloadOptions {
     readonly settings: EntrySettings;
-    /** Reads the file; undefined, after it has logged why, when it cannot be read. */
+    /** Reads the file; logs why and returns undefined when it cannot be used. */
     readonly read: () => EntrySettings | undefined;
     readonly clock: Clock;
     readonly logger: EventLogger;
 }
 
-/** See the module's comment. A file that cannot be read changes nothing. */
+/**
+ * Reads the settings on a signal and at intervals, as the file may change without one, and logs which settings changed. A file
+ * that cannot be read changes nothing.
+ */
 export class SettingsReload {
     #settings: EntrySettings;
 
@@ -24,12 +27,11 @@
         this.#settings = options.settings;
     }
 
-    /** The settings as last read. */
     get settings(): EntrySettings {
         return this.#settings;
     }
 
-    /** Reads the file now. */
+    /** `cause` names in the log what led to the reload. */
     reload(cause: string): void {
         const fresh = this.options.read();
         if (fresh === undefined || isDeepStrictEqual(fresh, this.#settings)) {
@@ -41,7 +43,6 @@
         this.options.logger.log(logEvents.settingsReloaded, { cause, changed });
     }
 
-    /** Reads the file now and then until `signal` fires. */
     async run(signal: AbortSignal): Promise<void> {
         while (!signal.aborted) {
             await this.options.clock.sleep(rereadInterval, signal);
--- a/packages/entry/src/settings/types.ts
+++ b/packages/entry/src/settings/types.ts
@@ -1,48 +1,48 @@
-/** What an entry VM's program is told at its start. */
+/** Settings of an entry VM. */
 import type { Milliseconds } from "@pebbledale/core";
 import type { NewsBounds } from "../following/index.js";
 
-/** Bounds that the users set. */
+/** Time limits set by the operators. */
 export interface EntryBounds extends NewsBounds {
     /** Longest lease that a worker grants. */
     readonly longestLease: Milliseconds;
     /** The process is killed this long after it was asked to stop. */
     readonly stopWithin: Milliseconds;
-    /** Members of a gang wait this long for the others. */
+    /** Members of a gang wait this long for each other. */
     readonly gangWait: Milliseconds;
-    /** How long a VM is down for its upkeep. */
+    /** How long one VM is down for upkeep. */
     readonly upkeepTime: Milliseconds;
-    /** Two holders that both order a VM may not take turns within this time. */
+    /** Two owners that both order upkeep must not alternate within this time. */
     readonly orderTurn: Milliseconds;
 }
 
-/** The platform's store and what it allows. */
+/** Address and limits of the platform's store. */
 export interface StoreSettings {
     readonly address: string;
     readonly shortestLease: Milliseconds;
-    /** Largest value in bytes. */
+    /** In bytes. */
     readonly largestValue: number;
 }
 
-/** Settings of one entry VM. */
+/** Settings of one entry VM. Addresses consist of an IP address and a port. */
 export interface EntrySettings {
     readonly vm: string;
     readonly dataHall: string;
-    /** How much processor the VM has, in shares of one core. */
+    /** Available processor time, in shares of a core. */
     readonly processorShare: number;
     readonly memoryMebibytes: number;
-    /** IP number and port where callers are served. */
+    /** Where callers are served. */
     readonly callersAddress: string;
-    /** IP number and port where the platform asks whether this VM is ready. */
+    /** Where the platform probes readiness. */
     readonly readinessAddress: string;
-    /** IP number and port where the owner connects. */
+    /** Where the owner connects. */
     readonly peerAddress: string;
-    /** IP number and port where metrics are served. */
+    /** Where metrics are served. */
     readonly metricsAddress: string;
     readonly store: StoreSettings;
-    /** IP number and port of the advice service; undefined where there is none. */
+    /** Address of the advice service; undefined where there is none. */
     readonly adviceAddress: string | undefined;
-    /** IP number and port of the platform's service of VMs; undefined where there is none. */
+    /** Address of the platform's VM service; undefined where there is none. */
     readonly vmServiceAddress: string | undefined;
     readonly bounds: EntryBounds;
 }
--- a/packages/entry/src/stop-times.ts
+++ b/packages/entry/src/stop-times.ts
@@ -1,26 +1,26 @@
-/** When a VM that was told to stop does what. */
+/** Deadlines of a graceful shutdown. */
 import type { Milliseconds } from "@pebbledale/core";
 
-/** New connections are taken for so long: the platform asks once a second whether a VM is ready, and two misses take it out. */
+/** The platform probes readiness once a second and takes a VM out after two failures; until then it sends new connections. */
 const unreadyFor: Milliseconds = 2_300;
-/** New connections are taken for this share of the time at most, however short that is. */
+/** Limits the time for which new connections are accepted to this share of the whole shutdown. */
 const mostUnreadyShare = 0.5;
-/** Kept back from the time after which the process is killed: open requests have their answers by then. */
+/** Time between the last answer to an open request and the kill. */
 const answerReserve: Milliseconds = 900;
-/** The same for the end of the process, which must come by itself. */
+/** Time between the end of the process and the kill. */
 const endReserve: Milliseconds = 300;
 
-/** Times after the word to stop, in milliseconds. */
+/** Deadlines in milliseconds, counted from the request to stop. */
 export interface StopTimes {
-    /** New connections are taken until then. */
+    /** New connections are accepted until then. */
     readonly closesAfter: Milliseconds;
-    /** Every request has its answer by then. */
+    /** Every open request is answered by then. */
     readonly answersWithin: Milliseconds;
-    /** The process ends by then, whatever still waits. */
+    /** The process exits by then, even if work is still pending. */
     readonly endsWithin: Milliseconds;
 }
 
-/** The times of a VM that is killed after `stopWithin`. */
+/** Deadlines of a process that is killed `stopWithin` after it was asked to stop. */
 export const stopTimesOf = (stopWithin: Milliseconds): StopTimes => ({
     closesAfter: Math.min(unreadyFor, stopWithin * mostUnreadyShare),
     answersWithin: Math.max(0, stopWithin - answerReserve),
--- a/packages/entry/src/store-relay/index.ts
+++ b/packages/entry/src/store-relay/index.ts
@@ -1,3 +1,3 @@
-/** The platform's store through other VMs. */
+/** Access to the platform's store through other VMs. */
 export * from "./operations.js";
 export * from "./relayed-store.js";
--- a/packages/entry/src/store-relay/operations.ts
+++ b/packages/entry/src/store-relay/operations.ts
@@ -1,7 +1,7 @@
-/** Calls of the platform's store as data, so that one VM can make them for another. */
+/** Calls to the platform's store as messages, so that one VM can make them for another. */
 import type { ChangeFeed, KeyVersion, Milliseconds, PlatformLeaseId, PlatformStore } from "@pebbledale/core";
 
-/** One call of the store. */
+/** One call to the store, with its arguments. */
 export type StoreOperation =
     | { readonly kind: "get"; readonly key: string; }
     | { readonly kind: "read-all"; readonly prefix: string; }
@@ -23,7 +23,7 @@
     | { readonly kind: "renew"; readonly lease: PlatformLeaseId; }
     | { readonly kind: "revoke"; readonly lease: PlatformLeaseId; };
 
-/** Makes a call. */
+/** Makes the call on a store; resolves to its result. */
 export const performOperation = (
     store: PlatformStore & ChangeFeed,
     operation: StoreOperation,
--- a/packages/entry/src/store-relay/relayed-store.ts
+++ b/packages/entry/src/store-relay/relayed-store.ts
@@ -1,9 +1,4 @@
-/**
- * The platform's store, reached directly or through another VM.
- *
- * The store may turn one VM away and serve the others. A call that stays without an answer for a while is then also made
- * through another VM; the first answer counts. Each call may be made twice without harm: writes carry conditions.
- */
+/** Access to the platform's store with fallback to other VMs. */
 import {
     AnswerTimes,
     type ChangeFeed,
@@ -23,60 +18,61 @@
 import { createAbortController, type EventLogger, withLinkedSignal } from "@pebbledale/runtime";
 import { performOperation, type StoreOperation } from "./operations.js";
 
-/** Makes a call through another VM; rejects when it had no answer there either. */
+/** Has another VM make a call; rejects when that VM gets no answer either. */
 export type StoreRelay = (operation: StoreOperation) => Promise<unknown>;
 
-/** What a relayed store needs. */
+/** What a {@link RelayedStore} depends on. */
 export interface RelayedStoreOptions {
     readonly direct: PlatformStore & ChangeFeed;
-    /** VMs that may make calls for this one, in the order in which they are to be tried. */
+    /** VMs that can make calls for this one, in order of preference. */
     readonly relays: () => readonly StoreRelay[];
     readonly clock: Clock;
     readonly logger: EventLogger;
 }
 
 /**
- * A direct call is also made through another VM once its answer is late by what answers take, within these bounds. The store
- * answers in about 4 ms; a slow one in up to 0.4 s, and turns calls away where all are made several times.
+ * Bounds of the delay after which an unanswered direct call is also made through another VM; between them it follows the store's
+ * usual response time. That is about 4 ms, up to 0.4 s under load, when additional calls would make the store reject more of them.
  */
 const shortestRelayAfter: Milliseconds = 250;
 const longestRelayAfter: Milliseconds = 600;
-/** After a call that only another VM could make, direct ones are not tried for this long; twice as long each time. */
+/** Time without direct calls after only another VM could make a call. It doubles each time. */
 const avoidDirectFor: Milliseconds = 1_000;
 const avoidDirectAtMost: Milliseconds = 4_000;
-/** Another VM is asked too when the one before has no answer for this long: it may be turned away as well. */
+/** Delay before each further VM is asked, as the store may be unreachable from the first one too. */
 const nextRelayAfter: Milliseconds = 80;
 /** Most VMs that are asked for one call. */
 const mostRelays = 3;
-/** Longest wait in one watch that another VM makes. */
+/** Longest wait for changes in one call of another VM. */
 const relayedWatch: Milliseconds = 2_000;
 
-/** See the module's comment. */
+/**
+ * The platform's store, reached directly or through another VM.
+ *
+ * The store may be unreachable from one VM while it serves the others. A call that fails or is not answered in time is therefore
+ * also made through other VMs, and the first answer counts. Making a call twice is safe, as writes are conditional.
+ */
 export class RelayedStore implements PlatformStore, ChangeFeed {
     #avoidDirectUntil = -Infinity;
     #avoidNext = avoidDirectFor;
-    /** Fires when the way to the store changes, so that long waits begin anew on the other way. */
+    /** Fires when calls move from one route to the other, so that long waits are restarted on the new route. */
     #wayChanged = createAbortController();
     readonly #answerTimes = new AnswerTimes({ shortest: shortestRelayAfter, longest: longestRelayAfter });
 
     constructor(private readonly options: RelayedStoreOptions) {}
 
-    /** See {@link PlatformStore.get}. */
     async get(key: string): Promise<KeyValue | undefined> {
         return await this.#perform({ kind: "get", key }) as KeyValue | undefined;
     }
 
-    /** See {@link PlatformStore.list}. */
     async list(prefix: string): Promise<readonly KeyValue[]> {
         return (await this.readAll(prefix)).entries;
     }
 
-    /** See {@link ChangeFeed.readAll}. */
     async readAll(prefix: string): Promise<KeysAtCursor> {
         return await this.#perform({ kind: "read-all", prefix }) as KeysAtCursor;
     }
 
-    /** See {@link ChangeFeed.changes}. */
     async changes(
         prefix: string,
         cursor: string,
@@ -86,7 +82,7 @@
         const relay = this.#avoidsDirect() ? this.options.relays()[0] : undefined;
         if (relay !== undefined) {
             const wait = Math.min(duration, relayedWatch);
-            // One VM alone: a watch waits, so that another's turn would always come.
+            // One VM only: a wait for changes is long, so that further VMs would always be asked.
             return await relay({ kind: "changes", prefix, cursor, duration: wait }) as KeyChanges | undefined;
         }
         const sources = [signal, this.#wayChanged.signal];
@@ -97,12 +93,10 @@
         );
     }
 
-    /** See {@link PlatformStore.watch}. */
     watch(prefix: string, cursor: string, duration: Milliseconds, signal: AbortSignal): Promise<WatchEvents> {
         return this.options.direct.watch(prefix, cursor, duration, signal);
     }
 
-    /** See {@link PlatformStore.compareAndSwap}. */
     async compareAndSwap(
         key: string,
         expected: KeyVersion,
@@ -112,22 +106,18 @@
         return await this.#perform({ kind: "swap", key, expected, value, lease }) as SwapOutcome;
     }
 
-    /** See {@link PlatformStore.remove}. */
     async remove(key: string, expected: KeyVersion): Promise<boolean> {
         return await this.#perform({ kind: "remove", key, expected }) as boolean;
     }
 
-    /** See {@link PlatformStore.grantLease}. */
     async grantLease(duration: Milliseconds): Promise<PlatformLeaseId> {
         return await this.#perform({ kind: "grant", duration }) as PlatformLeaseId;
     }
 
-    /** See {@link PlatformStore.renewLease}. */
     async renewLease(lease: PlatformLeaseId): Promise<boolean> {
         return await this.#perform({ kind: "renew", lease }) as boolean;
     }
 
-    /** See {@link PlatformStore.revokeLease}. */
     async revokeLease(lease: PlatformLeaseId): Promise<void> {
         await this.#perform({ kind: "revoke", lease });
     }
@@ -142,12 +132,12 @@
             : this.#directFirst(operation);
     }
 
-    /** Before the first answer nothing is known of the store, and a call is not left alone for long. */
+    /** Before the first answer the response time is unknown, and the shortest delay applies. */
     get #relayAfter(): Milliseconds {
         return this.#answerTimes.hasAny ? this.#answerTimes.limit : shortestRelayAfter;
     }
 
-    /** The direct call; when it fails or stays out, another VM's as well. */
+    /** Makes the call directly, and also through other VMs when it fails or is late. */
     #directFirst(operation: StoreOperation): Promise<unknown> {
         const { direct, relays, clock } = this.options;
         const { signal } = createAbortController();
@@ -180,7 +170,7 @@
         });
     }
 
-    /** Asks VMs one after the other, each a little later than the one before; the first answer counts. */
+    /** Asks other VMs, each a little after the one before; the first answer counts. */
     #throughOthers(operation: StoreOperation): Promise<unknown> {
         const relays = this.options.relays().slice(0, mostRelays);
         if (relays.length === 0) {
