--- a/packages/entry/src/observation/entry-metrics.ts
+++ b/packages/entry/src/observation/entry-metrics.ts
@@ -24,28 +24,38 @@
 export class EntryMetrics {
     /** Process metrics are left out: measuring the event loop's delay wakes a small VM a hundred times a second. */
     readonly metrics = new Metrics({ hasProcessMetrics: false });
-    readonly #requests = this.metrics.counter("pebbledale_requests_total", "Callers' requests", [
+    readonly #requests = this.metrics.counter("pebbledale_requests_total", "Requests of callers", [
         "request",
         "outcome",
     ]);
-    readonly #requestTime = this.metrics.waiting("pebbledale_request_seconds", "Time to answer a caller", ["request"]);
-    readonly #workerCalls = this.metrics.counter("pebbledale_worker_calls_total", "Calls of workers", [
+    readonly #requestTime = this.metrics.waiting(
+        "pebbledale_request_seconds",
+        "Time from a caller's request to its answer",
+        ["request"],
+    );
+    readonly #workerCalls = this.metrics.counter("pebbledale_worker_calls_total", "Calls to workers", [
         "call",
         "outcome",
     ]);
-    readonly #workerCallTime = this.metrics.waiting("pebbledale_worker_call_seconds", "Time of a worker's answer", [
+    readonly #workerCallTime = this.metrics.waiting("pebbledale_worker_call_seconds", "Response time of workers", [
         "call",
     ]);
-    readonly #events = this.metrics.counter("pebbledale_events_total", "Log events, also those left out of the log", [
-        "event",
-    ]);
+    readonly #events = this.metrics.counter(
+        "pebbledale_events_total",
+        "Log events, including those that the log dropped",
+        [
+            "event",
+        ],
+    );
     readonly #taskWait = this.metrics.waiting(
         "pebbledale_task_wait_seconds",
-        "Time from a step's being ready to its tasks' being ordered",
+        "Time from a step being ready to the order that starts its tasks",
         ["priority"],
     );
-    readonly #adviceTime = this.metrics.waiting("pebbledale_advice_seconds", "Time of an answer to a question", []);
-    readonly #jobTime = this.metrics.waiting("pebbledale_job_seconds", "Time from acceptance to the end", ["state"]);
+    readonly #adviceTime = this.metrics.waiting("pebbledale_advice_seconds", "Response time of the advice service", []);
+    readonly #jobTime = this.metrics.waiting("pebbledale_job_seconds", "Time from the acceptance of a job to its end", [
+        "state",
+    ]);
     #cell: CellFigures | undefined;
     #ages: FollowedAges | undefined;
 
@@ -53,34 +63,42 @@
         const ofCell = (name: string, help: string, read: (summary: CellSummary & CrashSummary) => number) =>
             this.metrics.gauge(name, help, () => this.#cell === undefined ? 0 : read(this.#cell.summary));
         ofCell("pebbledale_owner", "1 while this VM owns the cell", () => 1);
-        ofCell("pebbledale_workers", "Workers that are known", summary => summary.workers);
-        ofCell("pebbledale_open_workers", "Workers that may be ordered", summary => summary.openWorkers);
-        ofCell("pebbledale_free_cores", "Free cores of these", summary => summary.freeProcessor / 1_000);
-        ofCell("pebbledale_runs", "Runs that are not over", summary => summary.runs);
-        ofCell("pebbledale_held_back_tasks", "Patient tasks that wait for a gang's room", ({ heldBack }) => heldBack);
+        ofCell("pebbledale_workers", "Known workers", summary => summary.workers);
+        ofCell("pebbledale_open_workers", "Workers that accept new tasks", summary => summary.openWorkers);
+        ofCell(
+            "pebbledale_free_cores",
+            "Free cores of the workers that accept new tasks",
+            summary => summary.freeProcessor / 1_000,
+        );
+        ofCell("pebbledale_runs", "Runs that have not ended", summary => summary.runs);
+        ofCell(
+            "pebbledale_held_back_tasks",
+            "Deferrable tasks held back to make room for a gang",
+            ({ heldBack }) => heldBack,
+        );
         ofCell(
             "pebbledale_kept_cores",
-            "Cores that patient work leaves free for urgent work",
+            "Cores kept free of deferrable work for urgent work",
             ({ services }) =>
                 Object.values(services).reduce((sum, { keptProcessor }) => sum + keptProcessor, 0) / 1_000,
         );
         ofCell(
             "pebbledale_organisations_at_limit",
-            "Organisations whose work waits for their own limit (ten at most are counted)",
+            "Organisations whose work waits for their own limit (at most ten are counted)",
             ({ atLimit }) => atLimit.length,
         );
-        ofCell("pebbledale_suspect_tasks", "Tasks under which workers may have crashed", ({ suspects }) => suspects);
-        ofCell("pebbledale_trial_runs", "Runs that are tried apart from others", ({ trials }) => trials);
-        ofCell("pebbledale_open_jobs", "Jobs that are not over", summary => summary.openJobs);
+        ofCell("pebbledale_suspect_tasks", "Tasks that may have crashed workers", ({ suspects }) => suspects);
+        ofCell("pebbledale_trial_runs", "Trial runs of tasks that may crash workers", ({ trials }) => trials);
+        ofCell("pebbledale_open_jobs", "Jobs that have not ended", summary => summary.openJobs);
         this.metrics.gauge(
             "pebbledale_journal_wait_seconds",
-            "How long the oldest record has waited to be kept",
+            "Age of the oldest record that is not yet persisted",
             () => (this.#cell?.journalWait ?? 0) / millisecondsPerSecond,
         );
         const age = (followed: string, read: () => Milliseconds | undefined) =>
             this.metrics.gauge(
                 `pebbledale_${followed}_age_seconds`,
-                `How long ago the store last told of the ${followed}`,
+                `Time since the store last confirmed the ${followed}`,
                 () => (read() ?? 0) / millisecondsPerSecond,
             );
         age("worker_entries", () => this.#cell?.entriesAge);
--- a/packages/entry/src/store-relay/relayed-store.ts
+++ b/packages/entry/src/store-relay/relayed-store.ts
@@ -182,13 +182,15 @@
                 await this.options.clock.sleep(index * nextRelayAfter, answered.signal);
             }
             if (answered.signal.aborted) {
-                throw new PlatformUnavailableError("another VM answered");
+                throw new PlatformUnavailableError("another VM has already answered");
             }
             return relay(operation);
         });
         return Promise.any(asked)
             .catch((cause: AggregateError) => {
-                throw new PlatformUnavailableError(`no VM had an answer: ${String(cause.errors[0])}`);
+                throw new PlatformUnavailableError(
+                    `no other VM got an answer from the store: ${String(cause.errors[0])}`,
+                );
             })
             .finally(() => answered.abort());
     }
