--- a/packages/core/src/ids/index.ts
+++ b/packages/core/src/ids/index.ts
@@ -13,7 +13,7 @@
  * Tells the lives of a worker apart that start one after the other under its id: the Unix millisecond of the start. Clocks step back, so
  * another value is another life, and neither of two is the newer one by its value.
  */
-export type WorkerLife = Branded<number, "WorkerLife">;
+export type WorkerIncarnation = Branded<number, "WorkerLife">;
 /** Names one job as it was accepted. */
 export type JobId = Branded<string, "JobId">;
 /** Names one task of a job: the job's id, a slash and the task's index. */
@@ -50,7 +50,7 @@
 /** Makes a worker id from text that is known to be one. */
 export const workerId = (text: string): WorkerId => text as WorkerId;
 /** Makes the name of a worker's life from a whole number. */
-export const workerLife = (value: number): WorkerLife => value as WorkerLife;
+export const workerIncarnation = (value: number): WorkerIncarnation => value as WorkerIncarnation;
 /** Makes a job id from text that is known to be one. */
 export const jobId = (text: string): JobId => text as JobId;
 /** Makes a process id from text that is known to be one. */
--- a/packages/core/src/journal/journal.ts
+++ b/packages/core/src/journal/journal.ts
@@ -12,18 +12,18 @@
 import type { Random } from "../random/index.js";
 import type { Clock, Milliseconds } from "../time/index.js";
 import { JournalDamagedError, JournalFencedError } from "./errors.js";
-import { RepeatedSwaps } from "./repeated-swap.js";
+import { HedgedWriter } from "./repeated-swap.js";
 import { parseSegment, ringKey } from "./segments.js";
 import { removeSnapshot, snapshotKey, snapshotName, splitText } from "./snapshots.js";
 import type { JournalOptions, Segment, SnapshotPointer } from "./types.js";
 
 /** A ring this full gets a snapshot whatever that costs. */
-const fullShare = 0.6;
+const snapshotFillRatio = 0.6;
 /** A ring this full takes no more segments before a snapshot has freed keys. */
-const shortShare = 0.9;
+const blockingFillRatio = 0.9;
 
 /** Records of one append that are not kept yet. */
-interface Waiting {
+interface PendingAppend {
     readonly records: readonly unknown[];
     readonly bytes: number;
     readonly resolve: () => void;
@@ -31,9 +31,9 @@
 }
 
 /** One segment that is on its way. */
-interface SentSegment {
-    readonly group: readonly Waiting[];
-    isKept: boolean;
+interface InFlightSegment {
+    readonly group: readonly PendingAppend[];
+    isCommitted: boolean;
 }
 
 /** A snapshot that a newer one replaces, once a segment that names that one is kept. */
@@ -62,49 +62,49 @@
     readonly sequence: number;
     readonly snapshot: SnapshotPointer | undefined;
     /** When the claim was sent, by the monotonic clock. */
-    readonly contact: Milliseconds;
+    readonly claimSentAt: Milliseconds;
 }
 
 /** Writes of one owner to its shard's journal. Made by {@link openJournal}. */
 export class Journal {
-    readonly #swaps: RepeatedSwaps;
+    readonly #writer: HedgedWriter;
     readonly #versions: Map<number, KeyVersion>;
     /** Segments on their way, by sequence. */
-    readonly #sent = new Map<number, SentSegment>();
+    readonly #inFlight = new Map<number, InFlightSegment>();
     /** The last segment that was sent. */
     #sequence: number;
     /** All segments up to this one are kept. */
-    #keptThrough: number;
+    #committedThrough: number;
     #snapshot: SnapshotPointer | undefined;
     #obsolete: ObsoleteSnapshot | undefined;
-    #waiting: Waiting[] = [];
+    #pending: PendingAppend[] = [];
     #isRunning = false;
     #fenced: JournalFencedError | undefined;
     #lastContact: Milliseconds;
-    #takeSnapshot: (() => unknown) | undefined;
+    #snapshotSource: (() => unknown) | undefined;
     #snapshotBytes = 0;
-    #bytesSince = 0;
+    #bytesSinceSnapshot = 0;
     /** Wake what waits for a segment to be kept. */
     #progressListeners: (() => void)[] = [];
     /** Resolves once the snapshot that is on its way is written; undefined when none is. */
-    #snapshotOnItsWay: Promise<void> | undefined;
+    #snapshotWrite: Promise<void> | undefined;
 
     constructor(
         private readonly dependencies: JournalDependencies,
         readonly epoch: Epoch,
-        { versions, sequence, snapshot, contact }: OpenedJournal,
+        { versions, sequence, snapshot, claimSentAt: contact }: OpenedJournal,
     ) {
-        this.#swaps = new RepeatedSwaps(dependencies);
+        this.#writer = new HedgedWriter(dependencies);
         this.#versions = versions;
         this.#sequence = sequence;
-        this.#keptThrough = sequence;
+        this.#committedThrough = sequence;
         this.#snapshot = snapshot;
         this.#lastContact = contact;
     }
 
     /** Number of calls that wrote to the platform. */
     get writes(): number {
-        return this.#swaps.calls;
+        return this.#writer.calls;
     }
 
     /** When the last write that confirmed ownership was sent, by the monotonic clock. */
@@ -114,22 +114,22 @@
 
     /** How long the platform has not answered; 0 when it answers. */
     stalledFor(): Milliseconds {
-        return this.#swaps.failingFor();
+        return this.#writer.failingFor();
     }
 
     /** How long the oldest write that is on its way has been without an answer; 0 when none is. */
     waitingFor(): Milliseconds {
-        return this.#swaps.waitingFor();
+        return this.#writer.waitingFor();
     }
 
     /** How long no write has been answered while some wait; 0 when none is on its way. */
     silentFor(): Milliseconds {
-        return this.#swaps.silentFor();
+        return this.#writer.silentFor();
     }
 
     /** Gives the function that returns the whole state, in a form that JSON holds, for snapshots. */
     setSnapshotSource(source: () => unknown): void {
-        this.#takeSnapshot = source;
+        this.#snapshotSource = source;
     }
 
     /**
@@ -141,7 +141,7 @@
             return Promise.reject(this.#fenced);
         }
         return new Promise((resolve, reject) => {
-            this.#waiting.push({ records, bytes: Buffer.byteLength(JSON.stringify(records)), resolve, reject });
+            this.#pending.push({ records, bytes: Buffer.byteLength(JSON.stringify(records)), resolve, reject });
             if (!this.#isRunning) {
                 this.#isRunning = true;
                 void this.#run();
@@ -152,13 +152,13 @@
     async #run(): Promise<void> {
         const { clock, options, signal } = this.dependencies;
         try {
-            while (this.#waiting.length > 0) {
+            while (this.#pending.length > 0) {
                 await this.#snapshotIfDue();
-                await this.#untilSent(options.mostOnTheirWay - 1);
-                if (this.#waiting.length === 0) {
+                await this.#untilInFlight(options.maxInFlight - 1);
+                if (this.#pending.length === 0) {
                     break;
                 }
-                this.#send(this.#takeGroup(this.#waiting.length));
+                this.#send(this.#dequeueGroup(this.#pending.length));
                 await clock.sleep(options.commitInterval, signal);
             }
         }
@@ -171,8 +171,8 @@
     }
 
     /** Waits until at most this many segments are on their way. */
-    #untilSent(most: number): Promise<void> {
-        return this.#until(() => this.#sent.size <= most);
+    #untilInFlight(most: number): Promise<void> {
+        return this.#until(() => this.#inFlight.size <= most);
     }
 
     /** Waits for a condition that can only become true when a segment is kept. */
@@ -185,43 +185,43 @@
         }
     }
 
-    #noteProgress(): void {
+    #notifyProgress(): void {
         const listeners = this.#progressListeners;
         this.#progressListeners = [];
         listeners.forEach(listener => listener());
     }
 
     /** Takes the first entries that wait, at most `most` of them and as many as one value holds. */
-    #takeGroup(most: number): Waiting[] {
+    #dequeueGroup(most: number): PendingAppend[] {
         let bytes = 0;
         let count = 0;
         while (count < most) {
-            bytes += this.#waiting[count].bytes;
-            if (count > 0 && bytes > this.dependencies.options.largestBytes) {
+            bytes += this.#pending[count].bytes;
+            if (count > 0 && bytes > this.dependencies.options.maxValueBytes) {
                 break;
             }
             count++;
         }
-        this.#bytesSince += bytes;
-        return this.#waiting.splice(0, count);
+        this.#bytesSinceSnapshot += bytes;
+        return this.#pending.splice(0, count);
     }
 
-    #send(group: readonly Waiting[]): void {
+    #send(group: readonly PendingAppend[]): void {
         const { shard, options } = this.dependencies;
         const sequence = this.#sequence + 1;
-        const sent = { group, isKept: false };
-        this.#sent.set(sequence, sent);
+        const sent = { group, isCommitted: false };
+        this.#inFlight.set(sequence, sent);
         if (sequence - (this.#snapshot?.through ?? 0) >= options.ringSize) {
             throw new JournalDamagedError(`the ring of shard ${shard} holds no key that a snapshot has freed`);
         }
         this.#sequence = sequence;
         this.#write(this.#makeSegment(sequence, group)).then(
-            () => this.#noteKept(sent),
+            () => this.#markCommitted(sent),
             cause => this.#fail(cause),
         );
     }
 
-    #makeSegment(sequence: number, group: readonly Waiting[]): Segment {
+    #makeSegment(sequence: number, group: readonly PendingAppend[]): Segment {
         const { random, writer } = this.dependencies;
         const records = group.flatMap(entry => entry.records);
         return { sequence, epoch: this.epoch, writer, nonce: random.name(), snapshot: this.#snapshot, records };
@@ -234,7 +234,7 @@
         const value = JSON.stringify(segment);
         while (true) {
             const expected = this.#versions.get(slot) ?? absentVersion;
-            const { outcome, sent } = await this.#swaps.untilAnswered(ringKey(shard, slot), expected, value);
+            const { outcome, sentAt: sent } = await this.#writer.write(ringKey(shard, slot), expected, value);
             if (outcome.kind === "swapped") {
                 this.#versions.set(slot, outcome.version);
                 this.#lastContact = Math.max(this.#lastContact, sent);
@@ -243,7 +243,7 @@
             const { current } = outcome;
             const found = current === undefined ? undefined : parseSegment(current);
             if (current === undefined || found === undefined || found.epoch > this.epoch) {
-                throw takenByAnother(segment);
+                throw createFencedError(segment);
             }
             this.#versions.set(slot, current.version);
             if (found.nonce === segment.nonce) {
@@ -251,37 +251,37 @@
                 return;
             }
             if (found.epoch === this.epoch) {
-                throw takenByAnother(segment);
+                throw createFencedError(segment);
             }
             // An earlier owner's segment that arrived late, beyond this owner's claim: it does not count.
         }
     }
 
     /** Tells of all that is kept without a gap. */
-    #noteKept(sent: SentSegment): void {
-        sent.isKept = true;
+    #markCommitted(sent: InFlightSegment): void {
+        sent.isCommitted = true;
         for (;;) {
-            const next = this.#sent.get(this.#keptThrough + 1);
-            if (next?.isKept !== true) {
+            const next = this.#inFlight.get(this.#committedThrough + 1);
+            if (next?.isCommitted !== true) {
                 break;
             }
-            this.#keptThrough++;
-            this.#sent.delete(this.#keptThrough);
+            this.#committedThrough++;
+            this.#inFlight.delete(this.#committedThrough);
             next.group.forEach(entry => entry.resolve());
         }
         this.#removeObsolete();
-        this.#noteProgress();
+        this.#notifyProgress();
     }
 
     #fail(cause: unknown): void {
         this.#fenced ??= cause instanceof JournalFencedError
             ? cause
             : new JournalFencedError(`stopped: ${String(cause)}`);
-        const refused = [...[...this.#sent.values()].flatMap(sent => sent.group), ...this.#waiting];
-        this.#sent.clear();
-        this.#waiting = [];
+        const refused = [...[...this.#inFlight.values()].flatMap(sent => sent.group), ...this.#pending];
+        this.#inFlight.clear();
+        this.#pending = [];
         refused.forEach(entry => entry.reject(this.#fenced));
-        this.#noteProgress();
+        this.#notifyProgress();
     }
 
     /**
@@ -289,14 +289,14 @@
      * ring's keys would run out: a snapshot takes two answers of the store, in which nothing would be kept.
      */
     async #snapshotIfDue(): Promise<void> {
-        if (this.#takeSnapshot === undefined || !this.#isSnapshotDue()) {
+        if (this.#snapshotSource === undefined || !this.#isSnapshotDue()) {
             return;
         }
-        if (this.#snapshotOnItsWay === undefined) {
-            this.#beginSnapshot(JSON.stringify(this.#takeSnapshot()));
+        if (this.#snapshotWrite === undefined) {
+            this.#beginSnapshot(JSON.stringify(this.#snapshotSource()));
         }
-        else if (this.#isRingShort()) {
-            await this.#snapshotOnItsWay;
+        else if (this.#isRingNearlyFull()) {
+            await this.#snapshotWrite;
         }
     }
 
@@ -305,16 +305,16 @@
      * journal up to the last of them.
      */
     #beginSnapshot(text: string): void {
-        let included = this.#waiting.length;
+        let included = this.#pending.length;
         while (included > 0) {
-            const group = this.#takeGroup(included);
+            const group = this.#dequeueGroup(included);
             included -= group.length;
             this.#send(group);
         }
-        this.#bytesSince = 0;
-        this.#snapshotOnItsWay = this.#writeSnapshot(text, this.#sequence)
+        this.#bytesSinceSnapshot = 0;
+        this.#snapshotWrite = this.#writeSnapshot(text, this.#sequence)
             .catch(cause => this.#fail(cause))
-            .finally(() => this.#snapshotOnItsWay = undefined);
+            .finally(() => this.#snapshotWrite = undefined);
     }
 
     /**
@@ -324,7 +324,7 @@
     async #writeSnapshot(text: string, through: number): Promise<void> {
         const name = snapshotName(this.epoch, through, this.dependencies.random.name());
         const parts = await this.#writeParts(name, text);
-        await this.#until(() => this.#keptThrough >= through);
+        await this.#until(() => this.#committedThrough >= through);
         if (this.#snapshot !== undefined) {
             this.#obsolete = { pointer: this.#snapshot, replacedBy: this.#sequence + 1 };
         }
@@ -335,10 +335,10 @@
     /** Writes the parts of a snapshot side by side; returns their number. */
     async #writeParts(name: string, text: string): Promise<number> {
         const { shard, options } = this.dependencies;
-        const parts = splitText(text, options.largestBytes);
+        const parts = splitText(text, options.maxValueBytes);
         // The name is drawn once, so a conflict means that a copy of this very part arrived first.
         await Promise.all(parts.map((part, index) =>
-            this.#swaps.untilAnswered(snapshotKey(shard, name, index), absentVersion, part)
+            this.#writer.write(snapshotKey(shard, name, index), absentVersion, part)
         ));
         return parts.length;
     }
@@ -348,25 +348,25 @@
      * at most double what is written, or before the ring runs out of keys.
      */
     #isSnapshotDue(): boolean {
-        const { snapshotEvery, ringSize, largestBytes } = this.dependencies.options;
+        const { snapshotEvery, ringSize, maxValueBytes: largestBytes } = this.dependencies.options;
         const since = this.#sequence - (this.#snapshot?.through ?? 0);
         if (since < snapshotEvery) {
             return false;
         }
-        const waitingBytes = this.#waiting.reduce((sum, entry) => sum + entry.bytes, 0);
+        const waitingBytes = this.#pending.reduce((sum, entry) => sum + entry.bytes, 0);
         const expected = since + Math.ceil(2 * waitingBytes / largestBytes);
-        return this.#bytesSince >= this.#snapshotBytes || expected >= ringSize * fullShare;
+        return this.#bytesSinceSnapshot >= this.#snapshotBytes || expected >= ringSize * snapshotFillRatio;
     }
 
     /** Whether the keys of the ring are nearly used up, so that a snapshot has to free some first. */
-    #isRingShort(): boolean {
-        const { ringSize, mostOnTheirWay } = this.dependencies.options;
-        return this.#sequence - (this.#snapshot?.through ?? 0) >= ringSize * shortShare - mostOnTheirWay;
+    #isRingNearlyFull(): boolean {
+        const { ringSize, maxInFlight: mostOnTheirWay } = this.dependencies.options;
+        return this.#sequence - (this.#snapshot?.through ?? 0) >= ringSize * blockingFillRatio - mostOnTheirWay;
     }
 
     #removeObsolete(): void {
         const { store, shard } = this.dependencies;
-        if (this.#obsolete !== undefined && this.#keptThrough >= this.#obsolete.replacedBy) {
+        if (this.#obsolete !== undefined && this.#committedThrough >= this.#obsolete.replacedBy) {
             const { pointer } = this.#obsolete;
             this.#obsolete = undefined;
             // Not awaited: a part left behind costs room only.
@@ -375,5 +375,5 @@
     }
 }
 
-const takenByAnother = ({ sequence }: Segment): JournalFencedError =>
+const createFencedError = ({ sequence }: Segment): JournalFencedError =>
     new JournalFencedError(`segment ${sequence} of the journal was taken by another owner`);
--- a/packages/core/src/journal/types.ts
+++ b/packages/core/src/journal/types.ts
@@ -34,9 +34,9 @@
     /** A write that has no answer for this long is sent again beside the first; undefined: only after that has failed. */
     readonly repeatAfter: Milliseconds | undefined;
     /** Most segments that are on their way at once: a slow store then delays a record by one answer, not by two. */
-    readonly mostOnTheirWay: number;
+    readonly maxInFlight: number;
     /** Largest segment or snapshot part in bytes. */
-    readonly largestBytes: number;
+    readonly maxValueBytes: number;
 }
 
 /** What an opened journal held. */
--- a/packages/core/src/placement/fleet-index.ts
+++ b/packages/core/src/placement/fleet-index.ts
@@ -11,8 +11,8 @@
 /** Levels of free processors and of free memory; one 32-bit mask holds a row of cells. */
 const levelCount = 32;
 /** A search stops after this many workers that fit. */
-const enoughFitting = 8;
-const initialRoom = 64;
+const maxFeasible = 8;
+const initialCapacity = 64;
 const processorDimension = 0;
 const memoryDimension = 1;
 const slotDimension = 3;
@@ -21,18 +21,18 @@
 
 /** Capacity and use of workers; answers which worker a task goes to. */
 export class FleetIndex {
-    #capacity = new Float64Array(initialRoom * dimensionCount);
-    #free = new Float64Array(initialRoom * dimensionCount);
-    #next = new Int32Array(initialRoom).fill(noWorker);
-    #previous = new Int32Array(initialRoom).fill(noWorker);
-    #cellOf = new Int32Array(initialRoom).fill(noWorker);
+    #capacity = new Float64Array(initialCapacity * dimensionCount);
+    #free = new Float64Array(initialCapacity * dimensionCount);
+    #next = new Int32Array(initialCapacity).fill(noWorker);
+    #previous = new Int32Array(initialCapacity).fill(noWorker);
+    #cellOf = new Int32Array(initialCapacity).fill(noWorker);
     readonly #heads = new Int32Array(levelCount * levelCount).fill(noWorker);
     readonly #rowMasks = new Uint32Array(levelCount);
     #largestProcessors = 1;
     #largestMemory = 1;
     #count = 0;
-    #roomVersion = 0;
-    readonly #open: boolean[] = [];
+    #capacityVersion = 0;
+    readonly #schedulable: boolean[] = [];
     readonly #needed = new Float64Array(dimensionCount);
 
     /** Number of workers ever added. */
@@ -41,18 +41,18 @@
     }
 
     /** Changes whenever room came free: what did not fit before need not be tried while this stands still. */
-    get roomVersion(): number {
-        return this.#roomVersion;
+    get capacityVersion(): number {
+        return this.#capacityVersion;
     }
 
     /** Adds a worker with nothing placed on it; it takes placements at once. */
     add(capacity: Resources): WorkerSlot {
         const worker = this.#count++;
-        this.#makeRoom(worker);
+        this.#ensureCapacity(worker);
         const amounts = toArray(capacity);
         this.#capacity.set(amounts, worker * dimensionCount);
         this.#free.set(amounts, worker * dimensionCount);
-        this.#open[worker] = true;
+        this.#schedulable[worker] = true;
         if (capacity.processorThousandths > this.#largestProcessors || capacity.memoryMebibytes > this.#largestMemory) {
             this.#largestProcessors = Math.max(this.#largestProcessors, capacity.processorThousandths);
             this.#largestMemory = Math.max(this.#largestMemory, capacity.memoryMebibytes);
@@ -65,18 +65,18 @@
     }
 
     /** Whether a worker takes placements; what is placed on it stays counted. */
-    setOpen(worker: WorkerSlot, open: boolean): void {
-        if (this.#open[worker] === open) {
+    setSchedulable(worker: WorkerSlot, schedulable: boolean): void {
+        if (this.#schedulable[worker] === schedulable) {
             return;
         }
-        this.#open[worker] = open;
-        this.#roomVersion += open ? 1 : 0;
+        this.#schedulable[worker] = schedulable;
+        this.#capacityVersion += schedulable ? 1 : 0;
         this.#relink(worker);
     }
 
     /** Whether a worker takes placements. */
-    isOpen(worker: WorkerSlot): boolean {
-        return this.#open[worker];
+    isSchedulable(worker: WorkerSlot): boolean {
+        return this.#schedulable[worker];
     }
 
     /** Takes `size` from a worker's room. The caller has checked that it fits. */
@@ -86,7 +86,7 @@
 
     /** Gives `size` back to a worker's room. */
     release(worker: WorkerSlot, size: Resources): void {
-        this.#roomVersion++;
+        this.#capacityVersion++;
         this.#change(worker, size, 1);
     }
 
@@ -114,20 +114,20 @@
         const pack = request.preference === Preference.Pack;
         const allowed = (0xffff_ffff << firstColumn) >>> 0;
         let considered = 0;
-        let fitted = 0;
+        let feasible = 0;
         let best = noWorker;
         let bestScore = Infinity;
-        for (let step = 0; step < levelCount - firstRow && fitted < enoughFitting; step++) {
+        for (let step = 0; step < levelCount - firstRow && feasible < maxFeasible; step++) {
             const row = pack ? firstRow + step : levelCount - 1 - step;
             let mask = (this.#rowMasks[row] & allowed) >>> 0;
-            while (mask !== 0 && fitted < enoughFitting) {
+            while (mask !== 0 && feasible < maxFeasible) {
                 const column = pack ? 31 - Math.clz32(mask & -mask) : 31 - Math.clz32(mask);
                 mask = (mask & ~(1 << column)) >>> 0;
                 let worker = this.#heads[row * levelCount + column];
-                while (worker !== noWorker && fitted < enoughFitting) {
+                while (worker !== noWorker && feasible < maxFeasible) {
                     considered++;
                     if (this.#hasRoom(worker, request.headroom) && request.isExcluded?.(worker) !== true) {
-                        fitted++;
+                        feasible++;
                         const score = pack ? this.#leftover(worker) : -this.#leftover(worker);
                         if (score < bestScore) {
                             best = worker;
@@ -138,7 +138,7 @@
                 }
             }
         }
-        return { worker: best, considered, fitted };
+        return { worker: best, considered, feasible: feasible };
     }
 
     #setNeeded(size: Resources): void {
@@ -204,7 +204,7 @@
 
     #cell(worker: WorkerSlot): number {
         const base = worker * dimensionCount;
-        if (!this.#open[worker] || this.#free[base + slotDimension] <= 0) {
+        if (!this.#schedulable[worker] || this.#free[base + slotDimension] <= 0) {
             return noWorker;
         }
         const row = this.#level(this.#free[base + processorDimension], this.#largestProcessors);
@@ -269,7 +269,7 @@
         }
     }
 
-    #makeRoom(worker: WorkerSlot): void {
+    #ensureCapacity(worker: WorkerSlot): void {
         if (worker < this.#next.length) {
             return;
         }
--- a/packages/core/src/placement/types.ts
+++ b/packages/core/src/placement/types.ts
@@ -28,7 +28,7 @@
     /** Number of workers whose room was looked at. */
     readonly considered: number;
     /** Number of those that fitted. */
-    readonly fitted: number;
+    readonly feasible: number;
 }
 
 /** The slot that stands for "no worker". */
--- a/packages/core/src/platform/index.ts
+++ b/packages/core/src/platform/index.ts
@@ -10,7 +10,7 @@
 /** The version of a key that does not exist. */
 export const absentVersion = 0 as KeyVersion;
 /** Largest value in bytes that the platform's service holds. */
-export const largestValueBytes = 1_000_000;
+export const maxValueBytes = 1_000_000;
 
 /** One key with its value. */
 export interface KeyValue {
--- a/packages/core/src/shard/job-lifecycle.ts
+++ b/packages/core/src/shard/job-lifecycle.ts
@@ -6,37 +6,37 @@
 import { type Resources, resourcesKey } from "../resources/index.js";
 import type { Milliseconds } from "../time/index.js";
 import { EndKind, StopMode } from "../worker/index.js";
-import { isEnding, verdictOf } from "./job-view.js";
+import { finalStateOf, isEnding } from "./job-view.js";
 import { type PendingUnit } from "./pending-queue.js";
 import { sizeOf } from "./size.js";
-import { StepBuilder } from "./step-builder.js";
+import { TransitionBuilder } from "./step-builder.js";
 import { type JobEntry, type TaskEntry, TaskPhase } from "./types.js";
 import { type WorkerEntry } from "./worker-table.js";
 
 import type { ShardContext } from "./shard-context.js";
 
-interface Due {
+interface Deadline {
     readonly at: number;
     readonly job: JobId;
 }
 
-interface Delayed {
+interface DelayedUnit {
     readonly at: Milliseconds;
     readonly unit: PendingUnit;
 }
 
 /** See the module's comment. */
 export class JobLifecycle {
-    readonly #deadlines = new TinyQueue<Due>([], (left, right) => left.at - right.at);
-    readonly #delayed = new TinyQueue<Delayed>([], (left, right) => left.at - right.at);
+    readonly #deadlines = new TinyQueue<Deadline>([], (left, right) => left.at - right.at);
+    readonly #delayed = new TinyQueue<DelayedUnit>([], (left, right) => left.at - right.at);
     readonly #finished: JobEntry[] = [];
-    #nextTicket = 1;
+    #nextSequence = 1;
 
     constructor(private readonly context: ShardContext) {}
 
     /** The order that the next unit of the queue gets; changes with each. */
-    get nextTicket(): number {
-        return this.#nextTicket;
+    get nextSequence(): number {
+        return this.#nextSequence;
     }
 
     /** Takes over a job of the journal. */
@@ -47,15 +47,15 @@
         }
         this.watchDeadline(job);
         this.context.services.add(job);
-        const isWhole = job.submission.class !== WorkloadClass.Gang
+        const isReady = job.submission.class !== WorkloadClass.Gang
             || job.tasks.every(task => task.phase === TaskPhase.Waiting);
-        if (isWhole && !isEnding(job)) {
+        if (isReady && !isEnding(job)) {
             this.enqueue(job, job.tasks.filter(task => task.phase === TaskPhase.Waiting));
         }
     }
 
     /** Puts units back into the queue whose wait before a further try is over. */
-    requeueDue(now: Milliseconds): void {
+    requeueDelayed(now: Milliseconds): void {
         while (this.#delayed.length > 0 && this.#delayed.peek()!.at <= now) {
             this.#requeue(this.#delayed.pop()!.unit);
         }
@@ -89,17 +89,17 @@
             tasks: group.map(task => task.task),
             size,
             priority,
-            signature: group.length === 1 ? common : `${common}|${group.length}`,
-            ticket: this.#nextTicket++,
+            equivalenceKey: group.length === 1 ? common : `${common}|${group.length}`,
+            sequence: this.#nextSequence++,
             since,
         }));
     }
 
     /** Puts a unit that waited for a further try behind those that wait now, unless its job ended meanwhile. */
     #requeue(unit: PendingUnit): void {
-        const job = this.context.book.jobs.get(unit.job);
+        const job = this.context.registry.jobs.get(unit.job);
         if (job !== undefined && !isEnding(job)) {
-            this.context.queue.add({ ...unit, ticket: this.#nextTicket++ });
+            this.context.queue.add({ ...unit, sequence: this.#nextSequence++ });
         }
     }
 
@@ -114,21 +114,21 @@
         if (kind === EndKind.Stopped && !isEnding(job) && job.submission.class === WorkloadClass.Gang) {
             return false;
         }
-        return this.#isLastTry(job, task);
+        return this.#isLastAttempt(job, task);
     }
 
     /** Whether a task may not be tried again once this attempt was run or lost. */
-    #isLastTry({ submission }: JobEntry, task: TaskEntry): boolean {
+    #isLastAttempt({ submission }: JobEntry, task: TaskEntry): boolean {
         return submission.unrepeatable
             || task.spent + 1 > this.context.options.settings(submission.class).retryAttempts;
     }
 
     /** Records that an attempt was not run and will not be. */
-    notStarted(task: TaskEntry, reason: string, builder: StepBuilder): void {
-        this.#leave(task, () => {
+    recordNotStarted(task: TaskEntry, reason: string, builder: TransitionBuilder): void {
+        this.#endAttempt(task, () => {
             builder.record({
                 kind: "not-started",
-                at: this.context.at(),
+                at: this.context.timestamp(),
                 task: task.task,
                 attempt: task.attempt,
                 reason,
@@ -137,13 +137,13 @@
     }
 
     /** Records that an attempt can no longer run and may have run. */
-    lose(task: TaskEntry, reason: string, builder: StepBuilder): void {
+    recordLost(task: TaskEntry, reason: string, builder: TransitionBuilder): void {
         const job = this.context.jobOf(jobOfTask(task.task));
-        const isFinal = job.submission.class !== WorkloadClass.Service && this.#isLastTry(job, task);
-        this.#leave(task, () => {
+        const isFinal = job.submission.class !== WorkloadClass.Service && this.#isLastAttempt(job, task);
+        this.#endAttempt(task, () => {
             builder.record({
                 kind: "lost",
-                at: this.context.at(),
+                at: this.context.timestamp(),
                 task: task.task,
                 attempt: task.attempt,
                 reason,
@@ -152,7 +152,7 @@
         }, builder);
     }
 
-    #leave(task: TaskEntry, record: () => void, builder: StepBuilder): void {
+    #endAttempt(task: TaskEntry, record: () => void, builder: TransitionBuilder): void {
         const { assignment } = task;
         if (assignment === undefined) {
             return;
@@ -160,29 +160,29 @@
         record();
         const entry = this.context.workers.get(assignment.worker);
         if (entry !== undefined) {
-            this.discharge(task, entry, assignment.grant);
+            this.releaseResources(task, entry, assignment.grant);
         }
-        this.afterTask(this.context.jobOf(jobOfTask(task.task)), task, builder);
+        this.onAttemptEnded(this.context.jobOf(jobOfTask(task.task)), task, builder);
     }
 
     /** Gives back what a task held at its worker. */
-    discharge(task: TaskEntry, entry: WorkerEntry, grant: Resources): void {
+    releaseResources(task: TaskEntry, entry: WorkerEntry, grant: Resources): void {
         if (entry.tasks.has(task.task)) {
-            this.context.workers.discharge(entry, task, grant);
-            this.context.teams.giveBack(this.context.teamOf(task), grant);
+            this.context.workers.release(entry, task, grant);
+            this.context.teamUsage.release(this.context.teamOf(task), grant);
         }
     }
 
     /** Loses all tasks of a worker. */
-    loseTasks(entry: WorkerEntry, reason: string, builder: StepBuilder): void {
+    recordAllLost(entry: WorkerEntry, reason: string, builder: TransitionBuilder): void {
         for (const task of [...entry.tasks.values()]) {
-            this.lose(task, reason, builder);
+            this.recordLost(task, reason, builder);
         }
     }
 
     /** What follows from a task that left its worker: the job's end, a retry, or the next try of a whole gang. */
-    afterTask(job: JobEntry, task: TaskEntry, builder: StepBuilder): void {
-        builder.changed(job.job);
+    onAttemptEnded(job: JobEntry, task: TaskEntry, builder: TransitionBuilder): void {
+        builder.jobChanged(job.job);
         if (isEnding(job) || job.tasks.every(other => other.phase === TaskPhase.Succeeded)) {
             this.endJob(job, builder);
             return;
@@ -213,32 +213,32 @@
     }
 
     /** Ends a job that is to end: drops what waits, stops what runs, and answers once nothing runs. */
-    endJob(job: JobEntry, builder: StepBuilder): void {
+    endJob(job: JobEntry, builder: TransitionBuilder): void {
         job.tasks.forEach(task => this.context.queue.remove(task.task));
-        this.context.saver.done(job.job);
+        this.context.gangReservation.release(job.job);
         const assigned = job.tasks.filter(task => task.assignment !== undefined);
         if (assigned.length > 0) {
             assigned.filter(task => task.phase === TaskPhase.Running)
                 .forEach(task => this.stop(task, StopMode.Stop, builder));
             return;
         }
-        const { state, reason } = verdictOf(job);
+        const { state, reason } = finalStateOf(job);
         this.#finish(job, state, reason, builder);
     }
 
-    #finish(job: JobEntry, state: JobState, reason: string, builder: StepBuilder): void {
+    #finish(job: JobEntry, state: JobState, reason: string, builder: TransitionBuilder): void {
         if (isFinalState(job.state)) {
             return;
         }
-        builder.record({ kind: "finished", at: this.context.at(), job: job.job, state, ran: job.ran, reason });
-        builder.changed(job.job);
+        builder.record({ kind: "finished", at: this.context.timestamp(), job: job.job, state, ran: job.ran, reason });
+        builder.jobChanged(job.job);
         this.#finished.push(job);
         this.context.health.forgetJob(job.job);
         this.context.services.remove(job);
     }
 
     /** Asks the worker of a task to end it; once an attempt. */
-    stop(task: TaskEntry, mode: StopMode, builder: StepBuilder): void {
+    stop(task: TaskEntry, mode: StopMode, builder: TransitionBuilder): void {
         const { assignment } = task;
         if (assignment === undefined || task.stopSent === true) {
             return;
@@ -253,7 +253,7 @@
     }
 
     /** A start that was confirmed after its job was ended, or after its gang fell apart, is stopped. */
-    stopIfUnwanted(task: TaskEntry, builder: StepBuilder): void {
+    stopIfUnwanted(task: TaskEntry, builder: TransitionBuilder): void {
         const job = this.context.jobOf(jobOfTask(task.task));
         const isBrokenGang = job.submission.class === WorkloadClass.Gang
             && job.tasks.some(other => other.phase === TaskPhase.Waiting);
@@ -263,21 +263,21 @@
     }
 
     /** Ends jobs whose deadline passed while nothing of them runs. */
-    passDeadlines(builder: StepBuilder): void {
+    expireOverdue(builder: TransitionBuilder): void {
         const now = this.context.options.clock.now().getTime();
         while (this.#deadlines.length > 0 && this.#deadlines.peek()!.at <= now) {
-            const job = this.context.book.jobs.get(this.#deadlines.pop()!.job);
+            const job = this.context.registry.jobs.get(this.#deadlines.pop()!.job);
             const isIdle = job !== undefined && !isFinalState(job.state) && job.tasks.every(task => !task.assignment);
             if (isIdle) {
                 job.tasks.forEach(task => this.context.queue.remove(task.task));
-                this.context.saver.done(job.job);
+                this.context.gangReservation.release(job.job);
                 this.#finish(job, JobState.Expired, "its deadline passed while it waited", builder);
             }
         }
     }
 
     /** Forgets jobs whose retention is over. */
-    forgetOld(builder: StepBuilder): void {
+    purgeExpired(builder: TransitionBuilder): void {
         const oldest = this.context.options.clock.now().getTime() - this.context.options.settings().retention;
         while (this.#finished.length > 0 && Date.parse(this.#finished[0].finishedAt ?? "") <= oldest) {
             builder.record({ kind: "forgotten", job: this.#finished.shift()!.job });
--- a/packages/core/src/shard/job-view.ts
+++ b/packages/core/src/shard/job-view.ts
@@ -1,9 +1,9 @@
 /** What is told of a job, and how its end is judged. */
-import { isFinalState, JobState, type JobView, RanAnswer, type TaskOutcome } from "../jobs/index.js";
+import { ExecutionStatus, isFinalState, JobState, type JobView, type TaskOutcome } from "../jobs/index.js";
 import { type JobEntry, type SubmitOutcome, type TaskEntry, TaskPhase } from "./types.js";
 
 /** The state that a job ends in, and why. */
-export interface JobVerdict {
+export interface FinalState {
     readonly state: JobState;
     readonly reason: string;
 }
@@ -11,24 +11,24 @@
 /** What a caller is told of a job. A final state is told only once it is kept. */
 export const describeJob = (job: JobEntry, waiting: Pick<JobView, "place" | "expectedWait">): JobView => {
     const isFinal = isFinalState(job.state);
-    const isTold = !isFinal || job.unkept === 0;
+    const isDurable = !isFinal || job.unkept === 0;
     return {
         job: job.job,
         key: job.key,
-        state: isTold ? job.state : JobState.Running,
-        ran: isTold ? toldRan(job) : RanAnswer.MayHaveRun,
-        reason: isTold ? job.reason : "its end is being recorded",
+        state: isDurable ? job.state : JobState.Running,
+        ran: isDurable ? reportedExecutionStatus(job) : ExecutionStatus.MayHaveRun,
+        reason: isDurable ? job.reason : "its end is being recorded",
         attempts: job.tasks.reduce((most, task) => Math.max(most, task.attempt), 0),
         workers: job.tasks.flatMap(task => task.assignment?.worker ?? []),
         ...waiting,
-        outcomes: isTold && isFinal ? job.tasks.map(outcomeOf) : [],
+        outcomes: isDurable && isFinal ? job.tasks.map(outcomeOf) : [],
     };
 };
 
 /** "Not run" is said only while no start is on its way. */
-const toldRan = (job: JobEntry): RanAnswer => {
-    const mayRun = job.ran === RanAnswer.NotRun && job.tasks.some(task => task.assignment !== undefined);
-    return mayRun ? RanAnswer.MayHaveRun : job.ran;
+const reportedExecutionStatus = (job: JobEntry): ExecutionStatus => {
+    const mayRun = job.ran === ExecutionStatus.NotRun && job.tasks.some(task => task.assignment !== undefined);
+    return mayRun ? ExecutionStatus.MayHaveRun : job.ran;
 };
 
 const outcomeOf = (task: TaskEntry): TaskOutcome => ({
@@ -43,7 +43,7 @@
     || job.tasks.some(task => task.phase === TaskPhase.Failed);
 
 /** How a job ends of which nothing runs any more. */
-export const verdictOf = (job: JobEntry): JobVerdict => {
+export const finalStateOf = (job: JobEntry): FinalState => {
     if (job.tasks.every(task => task.phase === TaskPhase.Succeeded)) {
         return { state: JobState.Succeeded, reason: "all tasks succeeded" };
     }
--- a/packages/core/src/shard/pending-queue.ts
+++ b/packages/core/src/shard/pending-queue.ts
@@ -12,9 +12,9 @@
     readonly size: Resources;
     readonly priority: Priority;
     /** Equal for units that ask for the same; if one does not fit, its equals do not either. */
-    readonly signature: string;
+    readonly equivalenceKey: string;
     /** Order of arrival. */
-    readonly ticket: number;
+    readonly sequence: number;
     /** When it began to wait, by the monotonic clock. */
     readonly since: number;
 }
@@ -29,16 +29,16 @@
 
 const ranks: Readonly<Record<Priority, number>> = { [Priority.Urgent]: 0, [Priority.Normal]: 1, [Priority.Patient]: 2 };
 /** Taken units are dropped from a group's array once there are this many. */
-const compactAfter = 1024;
+const compactionThreshold = 1024;
 
-const isBefore = (left: Group, right: Group): number =>
-    left.rank - right.rank || left.units[left.first].ticket - right.units[right.first].ticket;
+const compareGroups = (left: Group, right: Group): number =>
+    left.rank - right.rank || left.units[left.first].sequence - right.units[right.first].sequence;
 
 /** A queue whose cancelled units cost constant work: they are skipped when they come up. */
 export class PendingQueue {
     readonly #groups = new Map<string, Group>();
     /** Groups by their heads. A head only changes while its group is out of here, so the order stays right. */
-    readonly #order = new TinyQueue<Group>([], isBefore);
+    readonly #order = new TinyQueue<Group>([], compareGroups);
     readonly #removed = new Set<PendingUnit>();
     readonly #byTask = new Map<TaskId, PendingUnit>();
     #waiting = 0;
@@ -50,7 +50,7 @@
 
     /** Adds a unit behind its equals. */
     add(unit: PendingUnit): void {
-        const name = `${unit.priority}|${unit.signature}`;
+        const name = `${unit.priority}|${unit.equivalenceKey}`;
         let group = this.#groups.get(name);
         if (group === undefined) {
             group = { name, rank: ranks[unit.priority], units: [unit], first: 0 };
@@ -68,7 +68,7 @@
     remove(task: TaskId): void {
         const unit = this.#byTask.get(task);
         if (unit !== undefined) {
-            this.#forget(unit);
+            this.#drop(unit);
             this.#removed.add(unit);
         }
     }
@@ -79,7 +79,7 @@
     }
 
     /** Number of units that come before a unit, itself included; counted by group. */
-    placeOf(unit: PendingUnit): number {
+    positionOf(unit: PendingUnit): number {
         let ahead = 1;
         for (const group of this.#groups.values()) {
             if (group.first >= group.units.length) {
@@ -89,7 +89,7 @@
                 ahead += group.units.length - group.first;
             }
             else if (group.rank === ranks[unit.priority]) {
-                ahead += countBefore(group, unit.ticket);
+                ahead += countBefore(group, unit.sequence);
             }
         }
         return ahead;
@@ -99,9 +99,9 @@
      * Offers units in order; `place` says whether it took one. Equals of a refused unit are passed over.
      * Stops after `depth` refusals, so that a long queue costs no more than a short one.
      */
-    offer(place: (unit: PendingUnit) => boolean, depth = Infinity): void {
+    offer(tryPlace: (unit: PendingUnit) => boolean, maxRefusals = Infinity): void {
         const refused: Group[] = [];
-        while (refused.length < depth) {
+        while (refused.length < maxRefusals) {
             const group = this.#order.pop();
             if (group === undefined) {
                 break;
@@ -110,25 +110,25 @@
             this.#skipRemoved(group);
             const unit = group.units[group.first];
             if (unit !== head) {
-                this.#putBack(group);
+                this.#reinsert(group);
                 continue;
             }
-            if (!place(unit)) {
+            if (!tryPlace(unit)) {
                 refused.push(group);
                 continue;
             }
             if (this.#byTask.get(unit.tasks[0]) === unit) {
-                this.#forget(unit);
+                this.#drop(unit);
             }
             group.first++;
             this.#skipRemoved(group);
-            this.#putBack(group);
+            this.#reinsert(group);
         }
-        refused.forEach(group => this.#putBack(group));
+        refused.forEach(group => this.#reinsert(group));
     }
 
     /** Puts a group back in its order, or forgets it when it is empty. */
-    #putBack(group: Group): void {
+    #reinsert(group: Group): void {
         if (group.first < group.units.length) {
             this.#order.push(group);
         }
@@ -137,7 +137,7 @@
         }
     }
 
-    #forget(unit: PendingUnit): void {
+    #drop(unit: PendingUnit): void {
         unit.tasks.forEach(task => this.#byTask.delete(task));
         this.#waiting--;
     }
@@ -146,7 +146,7 @@
         while (group.first < group.units.length && this.#removed.delete(group.units[group.first])) {
             group.first++;
         }
-        if (group.first >= compactAfter) {
+        if (group.first >= compactionThreshold) {
             group.units = group.units.slice(group.first);
             group.first = 0;
         }
@@ -154,12 +154,12 @@
 }
 
 /** Units of a group with a smaller ticket, by binary search. */
-const countBefore = (group: Group, ticket: number): number => {
+const countBefore = (group: Group, sequence: number): number => {
     let low = group.first;
     let high = group.units.length;
     while (low < high) {
         const middle = (low + high) >>> 1;
-        if (group.units[middle].ticket < ticket) {
+        if (group.units[middle].sequence < sequence) {
             low = middle + 1;
         }
         else {
--- a/packages/core/src/shard/records.ts
+++ b/packages/core/src/shard/records.ts
@@ -1,9 +1,9 @@
 /** Records of a shard's journal. Applying them in order gives the state of all jobs. */
 import { type Attempt, type Incarnation, type JobId, jobOfTask, type TaskId, type WorkerId } from "../ids/index.js";
-import type { JobState, JobSubmission, RanAnswer } from "../jobs/index.js";
+import type { ExecutionStatus, JobState, JobSubmission } from "../jobs/index.js";
 import type { Resources } from "../resources/index.js";
 import type { EndKind } from "../worker/index.js";
-import type { Terms } from "./lease-terms.js";
+import type { LeaseTerms } from "./lease-terms.js";
 
 /** One task given to one worker; the start is sent only once this is kept. */
 export interface RecordedPlacement {
@@ -79,7 +79,7 @@
     readonly at: string;
     readonly job: JobId;
     readonly state: JobState;
-    readonly ran: RanAnswer;
+    readonly ran: ExecutionStatus;
     readonly reason: string;
 }
 
@@ -90,7 +90,7 @@
 }
 
 /** An unrepeatable live request is about to be sent. */
-export interface OnceBeganRecord {
+export interface UnrepeatableBeganRecord {
     readonly kind: "once-began";
     readonly at: string;
     readonly key: string;
@@ -100,7 +100,7 @@
 }
 
 /** An unrepeatable live request was answered, or surely not run. */
-export interface OnceEndedRecord {
+export interface UnrepeatableEndedRecord {
     readonly kind: "once-ended";
     readonly at: string;
     readonly key: string;
@@ -109,9 +109,9 @@
 }
 
 /** Lengths of leases that this owner gives from now on; kept before the first of them is given. */
-export interface TermsRecord {
+export interface LeaseTermsRecord {
     readonly kind: "terms";
-    readonly terms: Terms;
+    readonly terms: LeaseTerms;
 }
 
 /** Any record of a shard's journal. */
@@ -124,9 +124,9 @@
     | CancelRecord
     | FinishedRecord
     | ForgottenRecord
-    | OnceBeganRecord
-    | OnceEndedRecord
-    | TermsRecord;
+    | UnrepeatableBeganRecord
+    | UnrepeatableEndedRecord
+    | LeaseTermsRecord;
 
 /** The job that a record is of, if it is of one. */
 export const jobOfRecord = (record: ShardRecord): JobId | undefined => {
--- a/packages/core/src/shard/room-saver.ts
+++ b/packages/core/src/shard/room-saver.ts
@@ -10,7 +10,7 @@
 import type { TaskEntry } from "./types.js";
 import type { WorkerEntry, WorkerTable } from "./worker-table.js";
 
-interface Saving {
+interface Reservation {
     readonly job: JobId;
     readonly workers: ReadonlySet<WorkerEntry>;
     /** When it began, by the monotonic clock. */
@@ -20,11 +20,11 @@
 }
 
 /** A gang that has not started by then gives its place to the next. */
-const longestSaving: Milliseconds = 600_000;
+const maxReservationDuration: Milliseconds = 600_000;
 
 /** Keeps workers free for one gang. */
-export class RoomSaver {
-    #saving: Saving | undefined;
+export class GangReservation {
+    #reservation: Reservation | undefined;
 
     constructor(
         private readonly workers: WorkerTable,
@@ -32,60 +32,60 @@
     ) {}
 
     /** Ends a saving that took too long. */
-    refresh(now: Milliseconds): void {
-        if (this.#saving !== undefined && now - this.#saving.since > longestSaving) {
-            this.#saving = undefined;
+    expire(now: Milliseconds): void {
+        if (this.#reservation !== undefined && now - this.#reservation.since > maxReservationDuration) {
+            this.#reservation = undefined;
         }
     }
 
     /** Begins to save workers for a gang, unless another one saves. */
-    save(job: JobId, size: Resources, count: number, now: Milliseconds): void {
-        if (this.#saving !== undefined) {
+    reserve(job: JobId, size: Resources, count: number, now: Milliseconds): void {
+        if (this.#reservation !== undefined) {
             return;
         }
         const chosen = new Set<WorkerEntry>();
-        let places = 0;
+        let taskCapacity = 0;
         const byLoad = [...this.workers.values()]
-            .filter(entry => this.workers.index.isOpen(entry.slot))
+            .filter(entry => this.workers.index.isSchedulable(entry.slot))
             .sort((left, right) => left.tasks.size - right.tasks.size);
         for (const entry of byLoad) {
-            if (places >= count) {
+            if (taskCapacity >= count) {
                 break;
             }
-            const fitting = countFitting(size, entry.listed.capacity, count - places);
+            const fitting = countFitting(size, entry.listed.capacity, count - taskCapacity);
             if (fitting > 0) {
                 chosen.add(entry);
-                places += fitting;
+                taskCapacity += fitting;
             }
         }
-        if (places >= count) {
+        if (taskCapacity >= count) {
             const ends = [...chosen].flatMap(entry => [...entry.tasks.values()]).map(this.expectedEndOf);
-            this.#saving = { job, workers: chosen, since: now, expectedStart: Math.max(now, ...ends) };
+            this.#reservation = { job, workers: chosen, since: now, expectedStart: Math.max(now, ...ends) };
         }
     }
 
     /** Ends the saving of a job. */
-    done(job: JobId): void {
-        if (this.#saving?.job === job) {
-            this.#saving = undefined;
+    release(job: JobId): void {
+        if (this.#reservation?.job === job) {
+            this.#reservation = undefined;
         }
     }
 
     /** Whether a worker is kept for another job than this one. */
-    isSavedForAnother(entry: WorkerEntry, job: JobId, expectedEnd: Milliseconds): boolean {
-        const saving = this.#saving;
-        if (saving === undefined || saving.job === job || !saving.workers.has(entry)) {
+    isReservedForAnother(entry: WorkerEntry, job: JobId, expectedEnd: Milliseconds): boolean {
+        const reservation = this.#reservation;
+        if (reservation === undefined || reservation.job === job || !reservation.workers.has(entry)) {
             return false;
         }
-        const endsInTime = saving.expectedStart < Infinity && expectedEnd <= saving.expectedStart;
+        const endsInTime = reservation.expectedStart < Infinity && expectedEnd <= reservation.expectedStart;
         return !endsInTime;
     }
 }
 
-const countFitting = (size: Resources, capacity: Resources, most: number): number => {
+const countFitting = (size: Resources, capacity: Resources, limit: number): number => {
     let room = capacity;
     let count = 0;
-    while (count < most && fitsInto(size, room)) {
+    while (count < limit && fitsInto(size, room)) {
         room = subtractResources(room, size);
         count++;
     }
--- a/packages/core/src/shard/service-directory.ts
+++ b/packages/core/src/shard/service-directory.ts
@@ -1,7 +1,7 @@
 /** Services by name: their instances, and the slots of these that gateways hold. */
 import type { TaskId } from "../ids/index.js";
 import type { Milliseconds } from "../time/index.js";
-import { gatewaysRegisterWithin } from "./constants.js";
+import { gatewayRegistrationPeriod } from "./constants.js";
 import { type ServiceInstance, type SlotGrant, SlotLedger, type SlotRequest } from "./slot-ledger.js";
 import { type JobEntry, type TaskEntry, TaskPhase } from "./types.js";
 import { isLeaving, type WorkerEntry, type WorkerTable } from "./worker-table.js";
@@ -50,8 +50,8 @@
     }
 
     /** Whether gateways may still send to an instance. */
-    isGranted(service: string, task: TaskId): boolean {
-        return this.#ledgerOf(service).grantedOf(task, this.options.now()) > 0;
+    hasGrants(service: string, task: TaskId): boolean {
+        return this.#ledgerOf(service).grantedSlots(task, this.options.now()) > 0;
     }
 
     #ledgerOf(service: string): SlotLedger {
@@ -59,7 +59,7 @@
         if (ledger === undefined) {
             const { hasFormerOwner, now, slotGrant } = this.options;
             // Counted from the first request: gateways may have found the new owner only now.
-            const settledAt = hasFormerOwner ? now() + Math.min(gatewaysRegisterWithin, slotGrant()) : -Infinity;
+            const settledAt = hasFormerOwner ? now() + Math.min(gatewayRegistrationPeriod, slotGrant()) : -Infinity;
             ledger = new SlotLedger(settledAt);
             this.#ledgers.set(service, ledger);
         }
@@ -93,6 +93,6 @@
         }
         const isUnheard = entry.incarnation === undefined && this.options.hasFormerOwner;
         const isRunning = task.phase === TaskPhase.Running && task.serviceAddress !== undefined;
-        return isUnheard || (isRunning && this.options.workers.index.isOpen(entry.slot));
+        return isUnheard || (isRunning && this.options.workers.index.isSchedulable(entry.slot));
     }
 }
--- a/packages/core/src/shard/team-use.ts
+++ b/packages/core/src/shard/team-use.ts
@@ -10,7 +10,7 @@
 import type { ShardSettings } from "./settings.js";
 
 /** Sums of grants by team. */
-export class TeamUse {
+export class TeamUsage {
     readonly #used = new Map<string, Resources>();
 
     /** Whether a team may hold `count` more of a size. */
@@ -24,12 +24,12 @@
     }
 
     /** Counts a grant. */
-    take(team: string, grant: Resources): void {
+    charge(team: string, grant: Resources): void {
         this.#used.set(team, addResources(this.#usedBy(team), grant));
     }
 
     /** Gives a grant back. */
-    giveBack(team: string, grant: Resources): void {
+    release(team: string, grant: Resources): void {
         this.#used.set(team, subtractResources(this.#usedBy(team), grant));
     }
 
--- a/packages/core/src/shard/worker-table.ts
+++ b/packages/core/src/shard/worker-table.ts
@@ -14,20 +14,20 @@
     listed: ListedWorker;
     /** Set once the worker has accepted this owner's epoch. */
     incarnation?: Incarnation;
-    number: number;
+    reportNumber: number;
     /** When the last answer came, by the monotonic clock. */
-    answeredAt: Milliseconds;
+    lastAnswerAt: Milliseconds;
     /** From then on no lease that any owner gave here can still run. */
-    leasesLapseAt: Milliseconds;
-    saidLeaving: boolean;
+    leasesExpireAt: Milliseconds;
+    reportedLeaving: boolean;
     /** Since when the platform's list lacks it, by the monotonic clock. */
     unlistedSince?: Milliseconds;
     /** Tasks charged to this worker. */
     readonly tasks: Map<TaskId, TaskEntry>;
     /** Ends that are kept and not yet acknowledged to the worker. */
-    acknowledgements: TaskAttempt[];
+    pendingAcknowledgements: TaskAttempt[];
     /** Attempts running there that this owner did not place; nothing is placed until they are gone. */
-    strangers: number;
+    unknownAttempts: number;
     quarantinedUntil: Milliseconds;
 }
 
@@ -63,25 +63,25 @@
     }
 
     /** The entry at a place of the index. */
-    at(slot: WorkerSlot): WorkerEntry {
+    entryAt(slot: WorkerSlot): WorkerEntry {
         return this.#bySlot[slot];
     }
 
     /** Adds a listed worker, closed until it has been claimed. */
-    add(listed: ListedWorker, leasesLapseAt: Milliseconds): WorkerEntry {
+    add(listed: ListedWorker, leasesExpireAt: Milliseconds): WorkerEntry {
         const slot = this.index.add(listed.capacity);
-        this.index.setOpen(slot, false);
+        this.index.setSchedulable(slot, false);
         const entry: WorkerEntry = {
             worker: listed.worker,
             slot,
             listed,
-            number: 0,
-            answeredAt: -Infinity,
-            leasesLapseAt,
-            saidLeaving: false,
+            reportNumber: 0,
+            lastAnswerAt: -Infinity,
+            leasesExpireAt: leasesExpireAt,
+            reportedLeaving: false,
             tasks: new Map(),
-            acknowledgements: [],
-            strangers: 0,
+            pendingAcknowledgements: [],
+            unknownAttempts: 0,
             quarantinedUntil: -Infinity,
         };
         this.#entries.set(listed.worker, entry);
@@ -92,7 +92,7 @@
 
     /** Forgets a worker that is gone; its place in the index stays closed. */
     remove(entry: WorkerEntry): void {
-        this.index.setOpen(entry.slot, false);
+        this.index.setSchedulable(entry.slot, false);
         this.#entries.delete(entry.worker);
         this.#shapes = undefined;
     }
@@ -104,21 +104,21 @@
     }
 
     /** Gives the room of a task back. */
-    discharge(entry: WorkerEntry, task: TaskEntry, grant: Resources): void {
+    release(entry: WorkerEntry, task: TaskEntry, grant: Resources): void {
         if (entry.tasks.delete(task.task)) {
             this.index.release(entry.slot, grant);
         }
     }
 
     /** Opens or closes a worker for placements by all that is known of it. */
-    refresh(entry: WorkerEntry, now: Milliseconds, silentAfter: Milliseconds): void {
-        const open = entry.incarnation !== undefined
-            && entry.strangers === 0
+    updateSchedulable(entry: WorkerEntry, now: Milliseconds, silentAfter: Milliseconds): void {
+        const schedulable = entry.incarnation !== undefined
+            && entry.unknownAttempts === 0
             && !isLeaving(entry)
             && entry.unlistedSince === undefined
-            && now - entry.answeredAt <= silentAfter
+            && now - entry.lastAnswerAt <= silentAfter
             && entry.quarantinedUntil <= now;
-        this.index.setOpen(entry.slot, open);
+        this.index.setSchedulable(entry.slot, schedulable);
     }
 
     /** Workers by capacity: what can never fit is found without a look at each worker. */
@@ -139,4 +139,5 @@
 }
 
 /** Whether the list or the worker itself says that it is leaving. */
-export const isLeaving = (entry: WorkerEntry): boolean => entry.saidLeaving || entry.listed.state === VmState.Leaving;
+export const isLeaving = (entry: WorkerEntry): boolean =>
+    entry.reportedLeaving || entry.listed.state === VmState.Leaving;
--- a/packages/core/src/time/answer-times.ts
+++ b/packages/core/src/time/answer-times.ts
@@ -7,57 +7,57 @@
 import type { Milliseconds } from "./milliseconds.js";
 
 /** Weight of one answer in the smoothed time (RFC 6298). */
-const timeWeight = 1 / 8;
+const smoothedWeight = 1 / 8;
 /** Weight of one answer in the deviation (RFC 6298). */
 const deviationWeight = 1 / 4;
 /** An answer is lost once it is later than the smoothed time by this many deviations (RFC 6298). */
-const deviations = 4;
+const deviationFactor = 4;
 
 /** Bounds of the estimate. */
-export interface AnswerTimeBounds {
+export interface TimeoutBounds {
     /** No answer is taken for lost before this. */
-    readonly shortest: Milliseconds;
+    readonly min: Milliseconds;
     /** An answer is taken for lost after this, whatever earlier ones took; also before there was any. */
-    readonly longest: Milliseconds;
+    readonly max: Milliseconds;
 }
 
 /** See the module's comment. */
-export class AnswerTimes {
+export class ResponseTimeEstimator {
     #smoothed: Milliseconds | undefined;
     #deviation: Milliseconds = 0;
-    #lostInARow = 0;
+    #consecutiveTimeouts = 0;
 
-    constructor(private readonly bounds: AnswerTimeBounds) {}
+    constructor(private readonly bounds: TimeoutBounds) {}
 
     /** An answer came after this time. */
-    note(took: Milliseconds): void {
-        this.#lostInARow = 0;
+    recordResponse(took: Milliseconds): void {
+        this.#consecutiveTimeouts = 0;
         if (this.#smoothed === undefined) {
             this.#smoothed = took;
             this.#deviation = took / 2;
             return;
         }
         this.#deviation += (Math.abs(took - this.#smoothed) - this.#deviation) * deviationWeight;
-        this.#smoothed += (took - this.#smoothed) * timeWeight;
+        this.#smoothed += (took - this.#smoothed) * smoothedWeight;
     }
 
     /** An answer did not come in time. */
-    noteLost(): void {
-        this.#lostInARow++;
+    recordTimeout(): void {
+        this.#consecutiveTimeouts++;
     }
 
     /** Whether there was an answer. */
-    get hasAny(): boolean {
+    get hasSamples(): boolean {
         return this.#smoothed !== undefined;
     }
 
     /** An answer that stays out for this long is taken for lost. */
-    get limit(): Milliseconds {
-        const { shortest, longest } = this.bounds;
+    get timeout(): Milliseconds {
+        const { min: shortest, max: longest } = this.bounds;
         if (this.#smoothed === undefined) {
             return longest;
         }
-        const expected = (this.#smoothed + deviations * this.#deviation) * 2 ** this.#lostInARow;
+        const expected = (this.#smoothed + deviationFactor * this.#deviation) * 2 ** this.#consecutiveTimeouts;
         return Math.min(longest, Math.max(shortest, expected));
     }
 }
--- a/packages/core/src/time/clock.ts
+++ b/packages/core/src/time/clock.ts
@@ -1,6 +1,6 @@
 /** Time as the product sees it: an interface that is passed in, never the process's own clock. */
 
-import { GapWatch } from "./gap-watch.js";
+import { SuspensionDetector } from "./gap-watch.js";
 import type { Milliseconds } from "./milliseconds.js";
 
 /** Source of time and of waiting. */
@@ -14,21 +14,21 @@
 }
 
 /** A clock that knows when it may have missed time. */
-export interface GapClock extends Clock {
+export interface SuspensionAwareClock extends Clock {
     /**
      * By the monotonic clock: since when it is sure to have counted all time; -Infinity while there was no sign of a gap.
      * What was confirmed before that moment may be older than it looks. Cheap enough to be asked at each use.
      */
-    countedSince(): Milliseconds;
+    uninterruptedSince(): Milliseconds;
 }
 
 /** The clock of the process. The only place that reads it. */
-export class SystemClock implements GapClock {
-    readonly #gaps = new GapWatch();
+export class SystemClock implements SuspensionAwareClock {
+    readonly #suspensions = new SuspensionDetector();
 
-    /** See {@link GapClock.countedSince}. */
-    countedSince(): Milliseconds {
-        return this.#gaps.check(this.monotonic(), this.now().getTime());
+    /** See {@link SuspensionAwareClock.uninterruptedSince}. */
+    uninterruptedSince(): Milliseconds {
+        return this.#suspensions.check(this.monotonic(), this.now().getTime());
     }
 
     /** See {@link Clock.monotonic}. */
@@ -60,12 +60,12 @@
 }
 
 /** A clock that stands still until a test moves it. */
-export class ManualClock implements GapClock {
-    readonly #gaps = new GapWatch();
+export class ManualClock implements SuspensionAwareClock {
+    readonly #suspensions = new SuspensionDetector();
     #elapsed = 0;
     /** By how much the time of day is ahead of the monotonic clock since the start. */
-    #ahead = 0;
-    readonly #waiting = new Set<{ readonly at: Milliseconds; readonly resolve: () => void; }>();
+    #wallClockOffset = 0;
+    readonly #sleepers = new Set<{ readonly at: Milliseconds; readonly resolve: () => void; }>();
 
     constructor(private readonly start: Date = new Date("2026-01-01T00:00:00Z")) {}
 
@@ -76,7 +76,7 @@
 
     /** See {@link Clock.now}. */
     now(): Date {
-        return new Date(this.start.getTime() + this.#elapsed + this.#ahead);
+        return new Date(this.start.getTime() + this.#elapsed + this.#wallClockOffset);
     }
 
     /** See {@link Clock.sleep}. */
@@ -92,30 +92,30 @@
             };
             const entry = { at: this.#elapsed + duration, resolve: finish };
             const abort = () => {
-                this.#waiting.delete(entry);
+                this.#sleepers.delete(entry);
                 finish();
             };
-            this.#waiting.add(entry);
+            this.#sleepers.add(entry);
             signal?.addEventListener("abort", abort, { once: true });
         });
     }
 
-    /** See {@link GapClock.countedSince}. */
-    countedSince(): Milliseconds {
-        return this.#gaps.check(this.monotonic(), this.now().getTime());
+    /** See {@link SuspensionAwareClock.uninterruptedSince}. */
+    uninterruptedSince(): Milliseconds {
+        return this.#suspensions.check(this.monotonic(), this.now().getTime());
     }
 
     /** The machine is suspended for `duration`, or its time of day is set ahead: the monotonic clock stands still. */
     suspend(duration: Milliseconds): void {
-        this.countedSince();
-        this.#ahead += duration;
+        this.uninterruptedSince();
+        this.#wallClockOffset += duration;
     }
 
     /** Moves time on by `duration` and wakes all who waited for it. */
     advance(duration: Milliseconds): void {
         this.#elapsed += duration;
-        const due = [...this.#waiting].filter(entry => entry.at <= this.#elapsed);
-        due.forEach(entry => this.#waiting.delete(entry));
+        const due = [...this.#sleepers].filter(entry => entry.at <= this.#elapsed);
+        due.forEach(entry => this.#sleepers.delete(entry));
         due.forEach(entry => entry.resolve());
     }
 }
--- a/packages/core/src/time/gap-watch.ts
+++ b/packages/core/src/time/gap-watch.ts
@@ -13,20 +13,20 @@
  * The time of day may get ahead by this much without a sign: it is read in whole milliseconds and is slewed by half a
  * millisecond a second at most. Shorter suspensions are within what leases have to spare for messages.
  */
-const leastGap: Milliseconds = 100;
+const minGap: Milliseconds = 100;
 
 /** See the module's comment. */
-export class GapWatch {
+export class SuspensionDetector {
     #offset: Milliseconds | undefined;
-    #countedSince: Milliseconds = -Infinity;
+    #uninterruptedSince: Milliseconds = -Infinity;
 
     /** Compares both clocks; the moment by the monotonic clock since which there was no gap, as far as is known. */
     check(monotonic: Milliseconds, timeOfDay: number): Milliseconds {
         const offset = timeOfDay - monotonic;
-        if (this.#offset !== undefined && offset - this.#offset > leastGap) {
-            this.#countedSince = monotonic;
+        if (this.#offset !== undefined && offset - this.#offset > minGap) {
+            this.#uninterruptedSince = monotonic;
         }
         this.#offset = offset;
-        return this.#countedSince;
+        return this.#uninterruptedSince;
     }
 }
--- a/packages/entry/src/following/constants.ts
+++ b/packages/entry/src/following/constants.ts
@@ -12,14 +12,14 @@
 /** Shortest time by which an answer may be late: a pause of this process takes up to 0.1 s. */
 export const shortestSlack: Milliseconds = 250;
 /** The slack doubles with each consecutive failure, up to this. A slow store answers within 0.4 s. */
-export const mostSlack: Milliseconds = 1_500;
+export const maxSlack: Milliseconds = 1_500;
 /** Wait of the first call after a failure: kept short to learn soon whether the store answers again. */
-export const probeWait: Milliseconds = 20;
+export const retryWait: Milliseconds = 20;
 /** Delay before the first retry of a failed call. */
 export const followRetryDelay: Milliseconds = 50;
 /** Delay before further retries. */
 export const repeatedRetryDelay: Milliseconds = 150;
 /** Timeout of reading all entries. A page of a megabyte takes 1.2 s on a VM with 7 Mbit/s. */
-export const readAllLimit: Milliseconds = 2_000;
+export const readAllTimeout: Milliseconds = 2_000;
 /** The timeout doubles with each consecutive failure, up to this. */
-export const mostReadAllLimit: Milliseconds = 8_000;
+export const maxReadAllTimeout: Milliseconds = 8_000;
--- a/packages/entry/src/following/follow-loop.ts
+++ b/packages/entry/src/following/follow-loop.ts
@@ -1,37 +1,37 @@
 /** Follows a source of changes in the store. */
-import { AnswerTimes, type Clock, type Milliseconds } from "@pebbledale/core";
+import { type Clock, type Milliseconds, ResponseTimeEstimator } from "@pebbledale/core";
 import { createAbortController, NoAnswerError } from "@pebbledale/runtime";
 import {
     followRetryDelay,
-    mostReadAllLimit,
-    mostSlack,
-    probeWait,
-    readAllLimit,
+    maxReadAllTimeout,
+    maxSlack,
+    readAllTimeout,
     repeatedRetryDelay,
+    retryWait,
     shortestSlack,
 } from "./constants.js";
 import type { FollowLimits } from "./limits.js";
 import type { StoreProbe } from "./store-probe.js";
 
 /** Result of one call. */
-export interface FollowedNews {
+export interface FollowedUpdate {
     /** Cursor for the next call. */
     readonly cursor: string;
     /** Applies the result. Not called when the call was abandoned: a newer result may have been applied by then. */
-    readonly take: () => void;
+    readonly apply: () => void;
 }
 
 /** What a {@link FollowLoop} follows. Calls reject when no answer arrives. */
-export interface Followed {
+export interface FollowSource {
     /** Reads the whole current state. */
-    readAll(signal: AbortSignal): Promise<FollowedNews>;
+    readAll(signal: AbortSignal): Promise<FollowedUpdate>;
     /** Waits up to `wait` for changes after the cursor; undefined when the whole state has to be read again. */
-    changes(cursor: string, wait: Milliseconds, signal: AbortSignal): Promise<FollowedNews | undefined>;
+    changes(cursor: string, wait: Milliseconds, signal: AbortSignal): Promise<FollowedUpdate | undefined>;
 }
 
 /** What a {@link FollowLoop} depends on. */
 export interface FollowLoopOptions {
-    readonly followed: Followed;
+    readonly source: FollowSource;
     readonly clock: Clock;
     readonly limits: FollowLimits;
     /** Detects that the store answers again. Without one, a call to a silent store ends only by its timeout. */
@@ -43,7 +43,7 @@
 }
 
 /** Ends a call that was sent while the store was silent: the store has recovered and will not answer that call. */
-class StoreBackError extends Error {
+class StoreRecoveredError extends Error {
     override readonly name = "StoreBackError";
 }
 
@@ -57,11 +57,11 @@
 export class FollowLoop {
     #answeredAt: Milliseconds | undefined;
     #failuresInARow = 0;
-    readonly #answerTimes: AnswerTimes;
+    readonly #answerTimes: ResponseTimeEstimator;
 
     constructor(private readonly options: FollowLoopOptions) {
         const { slack } = options.limits;
-        this.#answerTimes = new AnswerTimes({ shortest: Math.min(shortestSlack, slack), longest: slack });
+        this.#answerTimes = new ResponseTimeEstimator({ min: Math.min(shortestSlack, slack), max: slack });
     }
 
     /** Age of the copy: time since the store last answered, undefined before the first answer. */
@@ -74,15 +74,15 @@
         let cursor: string | undefined;
         while (!signal.aborted) {
             try {
-                const news = await this.#followOnce(cursor, signal);
-                news?.take();
+                const news = await this.#fetchNext(cursor, signal);
+                news?.apply();
                 cursor = news?.cursor;
                 this.#answeredAt = clock.monotonic();
                 this.#failuresInARow = 0;
                 onAnswer();
             }
             catch (cause) {
-                if (!signal.aborted && !(cause instanceof StoreBackError)) {
+                if (!signal.aborted && !(cause instanceof StoreRecoveredError)) {
                     onFailure(cause, this.age);
                     this.#failuresInARow++;
                     await clock.sleep(this.#failuresInARow > 1 ? repeatedRetryDelay : followRetryDelay, signal);
@@ -91,30 +91,30 @@
         }
     }
 
-    #followOnce(cursor: string | undefined, signal: AbortSignal): Promise<FollowedNews | undefined> {
-        const { followed, limits } = this.options;
+    #fetchNext(cursor: string | undefined, signal: AbortSignal): Promise<FollowedUpdate | undefined> {
+        const { source: followed, limits } = this.options;
         if (cursor === undefined) {
-            const limit = Math.min(mostReadAllLimit, readAllLimit * 2 ** this.#failuresInARow);
-            return this.#within(limit, signal, linked => followed.readAll(linked));
+            const limit = Math.min(maxReadAllTimeout, readAllTimeout * 2 ** this.#failuresInARow);
+            return this.#withTimeout(limit, signal, linked => followed.readAll(linked));
         }
-        const wait = this.#failuresInARow > 0 ? probeWait : limits.wait;
-        return this.#within(wait + this.#slack, signal, async linked => {
+        const wait = this.#failuresInARow > 0 ? retryWait : limits.wait;
+        return this.#withTimeout(wait + this.#slack, signal, async linked => {
             const sentAt = this.options.clock.monotonic();
             const news = await followed.changes(cursor, wait, linked);
-            this.#noteAnswerTime(this.options.clock.monotonic() - sentAt - wait);
+            this.#recordAnswerTime(this.options.clock.monotonic() - sentAt - wait);
             return news;
         });
     }
 
     /** How late the answer to a call may be, counted from the end of its wait. */
     get #slack(): Milliseconds {
-        return Math.min(mostSlack, this.#answerTimes.limit * 2 ** this.#failuresInARow);
+        return Math.min(maxSlack, this.#answerTimes.timeout * 2 ** this.#failuresInARow);
     }
 
     /** Ignores answers that arrive before the wait is over: they carry changes and say nothing about the store's response time. */
-    #noteAnswerTime(took: Milliseconds): void {
+    #recordAnswerTime(took: Milliseconds): void {
         if (took >= 0) {
-            this.#answerTimes.note(took);
+            this.#answerTimes.recordResponse(took);
         }
     }
 
@@ -122,7 +122,7 @@
      * Abandons a call after `limit`. A call that another VM makes for this one ignores the signal; its result is discarded when it
      * arrives.
      */
-    async #within<Value>(
+    async #withTimeout<Value>(
         limit: Milliseconds,
         signal: AbortSignal,
         call: (linked: AbortSignal) => Promise<Value>,
@@ -134,8 +134,8 @@
         const givenUp = new Promise<never>((_resolve, reject) =>
             ended.signal.addEventListener("abort", () => reject(ended.signal.reason as Error))
         );
-        void this.#untilBack(finished.signal).then(isBack =>
-            isBack ? ended.abort(new StoreBackError("the store recovered")) : undefined
+        void this.#waitForRecovery(finished.signal).then(isBack =>
+            isBack ? ended.abort(new StoreRecoveredError("the store recovered")) : undefined
         );
         void this.options.clock.sleep(limit, finished.signal).then(() =>
             finished.signal.aborted ? undefined : ended.abort(new NoAnswerError(`no answer in ${Math.round(limit)} ms`))
@@ -150,8 +150,8 @@
     }
 
     /** Resolves to true if the store recovers during a call. Waits for changes need no such check, as they time out soon. */
-    async #untilBack(signal: AbortSignal): Promise<boolean> {
+    async #waitForRecovery(signal: AbortSignal): Promise<boolean> {
         const isReadingAll = this.#answeredAt === undefined;
-        return (isReadingAll || this.#failuresInARow > 0) && await this.options.probe?.untilBack(signal) === true;
+        return (isReadingAll || this.#failuresInARow > 0) && await this.options.probe?.waitForRecovery(signal) === true;
     }
 }
--- a/packages/entry/src/following/limits.ts
+++ b/packages/entry/src/following/limits.ts
@@ -3,20 +3,20 @@
 import {
     followRetryDelay,
     longestFollowWait,
-    probeWait,
+    retryWait,
     shortestFollowWait,
     slackShare,
     waitShare,
 } from "./constants.js";
 
 /** Required freshness of what a VM knows, as the operators set it. */
-export interface NewsBounds {
+export interface FreshnessBounds {
     /** No task is started on a worker later than this after the worker announced that it drains. */
     readonly drainWithin: Milliseconds;
     /** A configuration is in force this long after the store accepted it. */
     readonly configurationWithin: Milliseconds;
     /** VMs reach each other again this long after a fault of their connections. */
-    readonly contact: Milliseconds;
+    readonly contactWithin: Milliseconds;
 }
 
 /** Timing of one follow loop. */
@@ -28,8 +28,8 @@
 }
 
 /** Timing that meets the strictest of the bounds. */
-export const followLimitsOf = (bounds: NewsBounds): FollowLimits => {
-    const within = Math.min(bounds.drainWithin, bounds.configurationWithin, bounds.contact);
+export const followLimitsOf = (bounds: FreshnessBounds): FollowLimits => {
+    const within = Math.min(bounds.drainWithin, bounds.configurationWithin, bounds.contactWithin);
     const wait = Math.max(shortestFollowWait, Math.floor(within * waitShare));
     return { wait: Math.min(longestFollowWait, wait), slack: within * slackShare };
 };
@@ -38,5 +38,5 @@
  * Largest age of a followed copy while the store works and one connection dies: the call on the dead connection times out, and the
  * retry is answered on another connection.
  */
-export const longestUnheard = ({ wait, slack }: FollowLimits): Milliseconds =>
-    wait + slack + followRetryDelay + probeWait + slack / 2;
+export const maxStaleness = ({ wait, slack }: FollowLimits): Milliseconds =>
+    wait + slack + followRetryDelay + retryWait + slack / 2;
--- a/packages/entry/src/following/store-probe.ts
+++ b/packages/entry/src/following/store-probe.ts
@@ -10,7 +10,7 @@
     /** Makes a small call to the store; rejects when it gets no answer. */
     readonly call: () => Promise<unknown>;
     /** Whether probes are sent: a VM with a connection to the owner needs none. */
-    readonly isWanted: () => boolean;
+    readonly isNeeded: () => boolean;
 }
 
 /**
@@ -27,7 +27,7 @@
     constructor(private readonly options: StoreProbeOptions) {}
 
     /** Resolves to true once the store has recovered, to false when `signal` fires. */
-    untilBack(signal: AbortSignal): Promise<boolean> {
+    waitForRecovery(signal: AbortSignal): Promise<boolean> {
         return new Promise(resolve => {
             const finish = (isBack: boolean) => {
                 this.#waiters.delete(noteBack);
@@ -53,7 +53,7 @@
         let answered = 0;
         await this.options.clock.sleep(probeInterval);
         while (this.#waiters.size > 0) {
-            if (this.options.isWanted()) {
+            if (this.options.isNeeded()) {
                 const number = ++sent;
                 const noteAnswer = () => {
                     // A later call is answered and an earlier one is not: the store was silent in between.
--- a/packages/entry/src/front/caller-check.ts
+++ b/packages/entry/src/front/caller-check.ts
@@ -1,15 +1,15 @@
 /** Authentication of callers by their organisation's key. */
-import { longestKey, type QueueConfiguration, type QueueDirectory } from "@pebbledale/cell";
+import { maxKeyLength, type QueueConfiguration, type QueueDirectory } from "@pebbledale/cell";
 import type { OrganisationName } from "@pebbledale/core";
 
 /** Bearer token of an `Authorization` header (RFC 6750). */
 const credentials = /^Bearer +([\x21-\x7e]+) *$/i;
 
 /** Longer headers are not parsed, so that a caller cannot use up processor time with them. */
-const longestCredentials = longestKey + "Bearer ".length;
+const longestCredentials = maxKeyLength + "Bearer ".length;
 
 /** Outcome of authenticating a request. */
-export type CallerCheck =
+export type CallerAuthentication =
     /** `organisation` is undefined where the queue needs no key. */
     | { readonly kind: "allowed"; readonly organisation: OrganisationName | undefined; }
     | { readonly kind: "refused"; readonly reason: string; }
@@ -22,12 +22,12 @@
  * `shown`: values of its `Authorization` headers. `isCurrent`: whether the configuration is up to date. If not, an unknown key may
  * belong to a newer version and is not refused for good.
  */
-export const checkCaller = (
+export const authenticateCaller = (
     { needsKey }: QueueConfiguration,
     { keys }: QueueDirectory,
     shown: readonly string[],
     isCurrent: boolean,
-): CallerCheck => {
+): CallerAuthentication => {
     if (!needsKey) {
         return { kind: "allowed", organisation: undefined };
     }
--- a/packages/entry/src/front/job-service.ts
+++ b/packages/entry/src/front/job-service.ts
@@ -2,8 +2,8 @@
 import type { JobDefinition } from "@pebbledale/cell";
 import type { Clock, JobId, Milliseconds, OrganisationName, QueueName } from "@pebbledale/core";
 import { createAbortController } from "@pebbledale/runtime";
-import { NotNowReason, type OwnerReply, type OwnerRequest } from "../protocol/index.js";
-import { answerMargin, noOwnerRetryAfter, ownerWait, pendingAge, shortestAsk } from "./constants.js";
+import { type OwnerReply, type OwnerRequest, RetryLaterReason } from "../protocol/index.js";
+import { answerMargin, maxOwnerWait, minOwnerCall, noOwnerRetryAfter, pendingCountLifetime } from "./constants.js";
 import type { RequestLog } from "./request-log.js";
 import type { JobAnswer, OwnerAccess } from "./types.js";
 
@@ -13,7 +13,7 @@
  */
 export class JobService {
     /** By the monotonic clock; set when the process stops. */
-    #answerBy: Milliseconds = Infinity;
+    #answerDeadline: Milliseconds = Infinity;
     readonly #pending = new Map<QueueName, { readonly at: Milliseconds; readonly count: number; }>();
 
     constructor(
@@ -23,8 +23,8 @@
     ) {}
 
     /** Has requests answered by a moment of the monotonic clock, whatever their own deadlines. Called when the process stops. */
-    answerBy(moment: Milliseconds): void {
-        this.#answerBy = moment;
+    limitAnswersTo(moment: Milliseconds): void {
+        this.#answerDeadline = moment;
     }
 
     /** `within`: time until the caller's deadline. */
@@ -40,13 +40,13 @@
         return this.#ask({ kind: "cancel", job, organisation }, within);
     }
 
-    /** Counts the waiting jobs of a queue; the count may be up to {@link pendingAge} old. */
+    /** Counts the waiting jobs of a queue; the count may be up to {@link pendingCountLifetime} old. */
     async pending(queue: QueueName, within: Milliseconds): Promise<JobAnswer> {
         const now = this.clock.monotonic();
         const known = this.#pending.get(queue);
-        if (known !== undefined && now - known.at < pendingAge) {
+        if (known !== undefined && now - known.at < pendingCountLifetime) {
             const remembered: JobAnswer = { kind: "pending", count: known.count };
-            this.log.answered({ kind: "pending", queue }, remembered, now);
+            this.log.logAnswer({ kind: "pending", queue }, remembered, now);
             return remembered;
         }
         const answer = await this.#ask({ kind: "pending", queue }, within);
@@ -59,27 +59,27 @@
     async #ask(body: OwnerRequest, within: Milliseconds): Promise<JobAnswer> {
         const since = this.log.now();
         const answer = await this.#askOwner(body, within);
-        this.log.answered(body, answer, since);
+        this.log.logAnswer(body, answer, since);
         return answer;
     }
 
     /** Repeats the request until it is answered: repeating has no further effect at the owner. */
     async #askOwner(body: OwnerRequest, within: Milliseconds): Promise<JobAnswer> {
-        const deadline = Math.min(this.clock.monotonic() + within, this.#answerBy) - answerMargin;
+        const deadline = Math.min(this.clock.monotonic() + within, this.#answerDeadline) - answerMargin;
         let wasSent = false;
         let hasAskedNext = false;
         for (;;) {
             const left = deadline - this.clock.monotonic();
             if (!this.owner.hasOwner() && left > 0) {
-                await this.owner.untilOwner(Math.min(left, ownerWait));
+                await this.owner.waitForOwner(Math.min(left, maxOwnerWait));
             }
             if (!this.owner.hasOwner()) {
                 return unanswered(body, wasSent, "no owner is known");
             }
-            if (deadline - this.clock.monotonic() < shortestAsk) {
+            if (deadline - this.clock.monotonic() < minOwnerCall) {
                 return unanswered(body, wasSent, "too little of the caller's time is left");
             }
-            const reply = await this.#withLimit(this.owner.ask(body), deadline);
+            const reply = await this.#withDeadline(this.owner.ask(body), deadline);
             if (reply === "late") {
                 return unanswered(body, true, "the owner gave no answer in time");
             }
@@ -88,7 +88,7 @@
                     return unanswered(body, wasSent, "the cell is being handed over");
                 }
                 hasAskedNext = true;
-                await this.owner.untilOwner(Math.min(deadline - this.clock.monotonic(), ownerWait));
+                await this.owner.waitForOwner(Math.min(deadline - this.clock.monotonic(), maxOwnerWait));
             }
             else if (reply !== undefined) {
                 return answerOf(reply);
@@ -99,7 +99,7 @@
         }
     }
 
-    async #withLimit(
+    async #withDeadline(
         asked: Promise<OwnerReply | undefined>,
         deadline: Milliseconds,
     ): Promise<OwnerReply | undefined | "late"> {
@@ -123,11 +123,11 @@
         : { kind: "refused", retryAfter: noOwnerRetryAfter, reason };
 };
 
-const notNowReasons: Readonly<Record<NotNowReason, string>> = {
-    [NotNowReason.JournalStalled]: "the store keeps no records now",
-    [NotNowReason.QueueUnknown]: "the owner does not know the queue or the organisation yet",
-    [NotNowReason.OwnerUnconfirmed]: "the owner does not know the job and is not confirmed to own the cell",
-    [NotNowReason.NotKeptYet]: "the job's acceptance is not kept yet",
+const notNowReasons: Readonly<Record<RetryLaterReason, string>> = {
+    [RetryLaterReason.JournalStalled]: "the store keeps no records now",
+    [RetryLaterReason.QueueUnknown]: "the owner does not know the queue or the organisation yet",
+    [RetryLaterReason.OwnerUnconfirmed]: "the owner does not know the job and is not confirmed to own the cell",
+    [RetryLaterReason.NotCommittedYet]: "the job's acceptance is not kept yet",
 };
 
 const answerOf = (reply: Exclude<OwnerReply, { readonly kind: "handing-over"; }>): JobAnswer => {
--- a/packages/entry/src/front/request-log.ts
+++ b/packages/entry/src/front/request-log.ts
@@ -8,7 +8,7 @@
 const longestPath = 100;
 
 /** How well an entry VM was in contact with the owner when it answered a caller. */
-export interface OwnerBelief {
+export interface OwnerContact {
     readonly epoch: number;
     /** Time since the last message from the owner. */
     readonly silence: Milliseconds;
@@ -19,25 +19,25 @@
     readonly logger: EventLogger;
     readonly metrics: EntryMetrics;
     readonly clock: Clock;
-    readonly owner: () => OwnerBelief;
+    readonly owner: () => OwnerContact;
 }
 
 /** Counts every answer to a caller, and logs those that do not give the caller what it asked for; the owner logs the others. */
 export class RequestLog {
     constructor(private readonly options: RequestLogOptions) {}
 
-    /** Current time by the clock that `since` of {@link answered} refers to. */
+    /** Current time by the clock that `since` of {@link logAnswer} refers to. */
     now(): Milliseconds {
         return this.options.clock.monotonic();
     }
 
-    answered(request: OwnerRequest, answer: JobAnswer, since: Milliseconds): void {
+    logAnswer(request: OwnerRequest, answer: JobAnswer, since: Milliseconds): void {
         const { logger, metrics, owner } = this.options;
         const took = Math.round(this.now() - since);
-        metrics.noteRequest(request.kind, answer.kind, took);
+        metrics.recordRequest(request.kind, answer.kind, took);
         const fields = () => {
             const { epoch, silence } = owner();
-            return { request: request.kind, ...nameOf(request), took, epoch, ownerSilence: Math.round(silence) };
+            return { request: request.kind, ...subjectOf(request), took, epoch, ownerSilence: Math.round(silence) };
         };
         switch (answer.kind) {
             case "refused":
@@ -61,14 +61,14 @@
     }
 
     /** Records a request that was rejected before it was sent to the owner. `path` names the queue and the job. */
-    turnedAway(method: string, path: string, outcome: string, reason: string): void {
+    logRejection(method: string, path: string, outcome: string, reason: string): void {
         const { logger, metrics } = this.options;
-        metrics.noteRequest(method.toLowerCase(), outcome, 0);
+        metrics.recordRequest(method.toLowerCase(), outcome, 0);
         logger.log(logEvents.callerTurnedAway, { method, path: path.slice(0, longestPath), outcome, reason });
     }
 }
 
-const nameOf = (request: OwnerRequest): { readonly job: string; } | { readonly queue: string; } => {
+const subjectOf = (request: OwnerRequest): { readonly job: string; } | { readonly queue: string; } => {
     switch (request.kind) {
         case "submit":
             return { job: request.definition.job };
--- a/packages/entry/src/membership/registration.ts
+++ b/packages/entry/src/membership/registration.ts
@@ -9,10 +9,10 @@
     type PlatformStore,
 } from "@pebbledale/core";
 import { type EventLogger, unlessAborted } from "@pebbledale/runtime";
-import { DependencyWatch } from "../observation/index.js";
+import { DependencyMonitor } from "../observation/index.js";
 
-/** What a {@link Registration} depends on. */
-export interface RegistrationOptions {
+/** What a {@link VmRegistration} depends on. */
+export interface VmRegistrationOptions {
     readonly logger: EventLogger;
     readonly store: PlatformStore;
     readonly clock: Clock;
@@ -23,20 +23,20 @@
 }
 
 /** Longest wait for the revocation of a lease when a process stops. Without an answer the lease expires by itself. */
-export const revokeLimit: Milliseconds = 400;
+export const revokeTimeout: Milliseconds = 400;
 /** Delay before a failed call is retried: a VM whose key has expired is invisible to owners. */
 const retryDelay: Milliseconds = 250;
 const renewalsPerLease = 3;
 
 /** Keeps this VM's key in the store while the process runs. The key hangs on a lease, so that it disappears with the process. */
-export class Registration {
-    readonly #watch: DependencyWatch;
+export class VmRegistration {
+    readonly #watch: DependencyMonitor;
     #lease: PlatformLeaseId | undefined;
 
-    constructor(private readonly options: RegistrationOptions) {
+    constructor(private readonly options: VmRegistrationOptions) {
         const { logger, clock } = options;
         const { registrationFailed: lost, registrationRestored: regained } = logEvents;
-        this.#watch = new DependencyWatch({ logger, clock, lost, regained });
+        this.#watch = new DependencyMonitor({ logger, clock, lostEvent: lost, recoveredEvent: regained });
     }
 
     /** Undefined while no lease is known to be valid. */
@@ -49,28 +49,28 @@
         const { store, clock, leaseLength } = this.options;
         while (!signal.aborted) {
             let isKept = false;
-            const kept = this.#keep().then(
+            const kept = this.#maintain().then(
                 () => {
                     isKept = true;
-                    this.#watch.noteAnswer();
+                    this.#watch.recordSuccess();
                 },
-                cause => this.#watch.noteFailure(cause),
+                cause => this.#watch.recordFailure(cause),
             );
             await unlessAborted(kept, signal);
             await clock.sleep(isKept ? leaseLength / renewalsPerLease : retryDelay, signal);
         }
         if (this.#lease !== undefined) {
-            const revoked = store.revokeLease(this.#lease).catch((cause: unknown) => this.#watch.noteFailure(cause));
-            await Promise.race([revoked, clock.sleep(revokeLimit)]);
+            const revoked = store.revokeLease(this.#lease).catch((cause: unknown) => this.#watch.recordFailure(cause));
+            await Promise.race([revoked, clock.sleep(revokeTimeout)]);
         }
     }
 
     /** Has the next renewal grant a new lease and write the key again: the key is gone although the lease may still be valid. */
-    renew(): void {
+    invalidateLease(): void {
         this.#lease = undefined;
     }
 
-    async #keep(): Promise<void> {
+    async #maintain(): Promise<void> {
         const { store } = this.options;
         if (this.#lease !== undefined && await store.renewLease(this.#lease)) {
             return;
--- a/packages/entry/src/membership/view.ts
+++ b/packages/entry/src/membership/view.ts
@@ -42,7 +42,7 @@
     /** When the key of the current owner was first seen. */
     ownerSince: Milliseconds = -Infinity;
     /** When a VM was last added. */
-    grownAt: Milliseconds = -Infinity;
+    lastVmAddedAt: Milliseconds = -Infinity;
 
     constructor(private readonly clock: Clock) {}
 
@@ -56,7 +56,7 @@
         entries.forEach(entry => this.#put(entry));
     }
 
-    change({ changed, removed }: KeyChanges): void {
+    apply({ changed, removed }: KeyChanges): void {
         changed.forEach(entry => this.#put(entry));
         for (const key of removed) {
             if (key === ownerKey) {
@@ -102,7 +102,7 @@
             this.vms.delete(name);
             return;
         }
-        this.grownAt = this.vms.has(name) ? this.grownAt : this.clock.monotonic();
+        this.lastVmAddedAt = this.vms.has(name) ? this.lastVmAddedAt : this.clock.monotonic();
         this.vms.set(name, vm);
     }
 }
--- a/packages/entry/src/observation/entry-metrics.ts
+++ b/packages/entry/src/observation/entry-metrics.ts
@@ -6,16 +6,16 @@
 const millisecondsPerSecond = 1_000;
 
 /** State of the cell as its owner sees it. */
-export interface CellFigures {
+export interface CellStatistics {
     readonly summary: CellSummary & CrashSummary;
     /** Age of the oldest record that is not yet persisted. */
     readonly journalWait: Milliseconds;
     /** Time since the store last confirmed the workers' entries. */
-    readonly entriesAge: Milliseconds;
+    readonly workerEntriesAge: Milliseconds;
 }
 
 /** Read the time since the store last confirmed what each VM follows; undefined before the first answer. */
-export interface FollowedAges {
+export interface AgeSources {
     readonly configuration: () => Milliseconds | undefined;
     readonly members: () => Milliseconds | undefined;
 }
@@ -56,8 +56,8 @@
     readonly #jobTime = this.metrics.waiting("pebbledale_job_seconds", "Time from the acceptance of a job to its end", [
         "state",
     ]);
-    #cell: CellFigures | undefined;
-    #ages: FollowedAges | undefined;
+    #cell: CellStatistics | undefined;
+    #ages: AgeSources | undefined;
 
     constructor() {
         const ofCell = (name: string, help: string, read: (summary: CellSummary & CrashSummary) => number) =>
@@ -101,44 +101,44 @@
                 `Time since the store last confirmed the ${followed}`,
                 () => (read() ?? 0) / millisecondsPerSecond,
             );
-        age("worker_entries", () => this.#cell?.entriesAge);
+        age("worker_entries", () => this.#cell?.workerEntriesAge);
         age("configuration", () => this.#ages?.configuration());
         age("members", () => this.#ages?.members());
     }
 
-    noteRequest(request: string, outcome: string, took: Milliseconds): void {
+    recordRequest(request: string, outcome: string, took: Milliseconds): void {
         this.#requests.inc({ request, outcome });
         this.#requestTime.observe({ request }, took / millisecondsPerSecond);
     }
 
-    noteWorkerCall(call: string, outcome: string, took: Milliseconds): void {
+    recordWorkerCall(call: string, outcome: string, took: Milliseconds): void {
         this.#workerCalls.inc({ call, outcome });
         this.#workerCallTime.observe({ call }, took / millisecondsPerSecond);
     }
 
-    noteEvent(event: number): void {
+    recordEvent(event: number): void {
         this.#events.inc({ event: String(event) });
     }
 
     /** Records how long tasks waited from being ready to being ordered, by the priority of their queue. */
-    noteTaskWait(priority: number, waited: Milliseconds): void {
+    recordTaskWait(priority: number, waited: Milliseconds): void {
         this.#taskWait.observe({ priority: String(priority) }, waited / millisecondsPerSecond);
     }
 
-    noteAdvice(took: Milliseconds): void {
+    recordAdvice(took: Milliseconds): void {
         this.#adviceTime.observe(took / millisecondsPerSecond);
     }
 
-    noteJobEnd(state: string, took: Milliseconds): void {
+    recordJobEnd(state: string, took: Milliseconds): void {
         this.#jobTime.observe({ state }, took / millisecondsPerSecond);
     }
 
     /** `cell` is undefined once this VM no longer owns the cell. */
-    noteCell(cell: CellFigures | undefined): void {
+    setCellStatistics(cell: CellStatistics | undefined): void {
         this.#cell = cell;
     }
 
-    noteAges(ages: FollowedAges): void {
+    setAgeSources(ages: AgeSources): void {
         this.#ages = ages;
     }
 }
--- a/packages/entry/src/settings/reload.ts
+++ b/packages/entry/src/settings/reload.ts
@@ -5,10 +5,10 @@
 import type { EntrySettings } from "./types.js";
 
 /** Interval of reading the file without a signal, in milliseconds. */
-const rereadInterval: Milliseconds = 2_000;
+const reloadInterval: Milliseconds = 2_000;
 
-/** What a {@link SettingsReload} depends on. */
-export interface SettingsReloadOptions {
+/** What a {@link SettingsReloader} depends on. */
+export interface SettingsReloaderOptions {
     readonly settings: EntrySettings;
     /** Reads the file; logs why and returns undefined when it cannot be used. */
     readonly read: () => EntrySettings | undefined;
@@ -20,10 +20,10 @@
  * Reads the settings on a signal and at intervals, as the file may change without one, and logs which settings changed. A file
  * that cannot be read changes nothing.
  */
-export class SettingsReload {
+export class SettingsReloader {
     #settings: EntrySettings;
 
-    constructor(private readonly options: SettingsReloadOptions) {
+    constructor(private readonly options: SettingsReloaderOptions) {
         this.#settings = options.settings;
     }
 
@@ -45,7 +45,7 @@
 
     async run(signal: AbortSignal): Promise<void> {
         while (!signal.aborted) {
-            await this.options.clock.sleep(rereadInterval, signal);
+            await this.options.clock.sleep(reloadInterval, signal);
             this.reload("interval");
         }
     }
--- a/packages/entry/src/settings/types.ts
+++ b/packages/entry/src/settings/types.ts
@@ -1,9 +1,9 @@
 /** Settings of an entry VM. */
 import type { Milliseconds } from "@pebbledale/core";
-import type { NewsBounds } from "../following/index.js";
+import type { FreshnessBounds } from "../following/index.js";
 
 /** Time limits set by the operators. */
-export interface EntryBounds extends NewsBounds {
+export interface EntryBounds extends FreshnessBounds {
     /** Longest lease that a worker grants. */
     readonly longestLease: Milliseconds;
     /** The process is killed this long after it was asked to stop. */
--- a/packages/entry/src/store-relay/relayed-store.ts
+++ b/packages/entry/src/store-relay/relayed-store.ts
@@ -1,6 +1,5 @@
 /** Access to the platform's store with fallback to other VMs. */
 import {
-    AnswerTimes,
     type ChangeFeed,
     type Clock,
     type KeyChanges,
@@ -12,6 +11,7 @@
     type PlatformLeaseId,
     type PlatformStore,
     PlatformUnavailableError,
+    ResponseTimeEstimator,
     type SwapOutcome,
     type WatchEvents,
 } from "@pebbledale/core";
@@ -34,17 +34,17 @@
  * Bounds of the delay after which an unanswered direct call is also made through another VM; between them it follows the store's
  * usual response time. That is about 4 ms, up to 0.4 s under load, when additional calls would make the store reject more of them.
  */
-const shortestRelayAfter: Milliseconds = 250;
-const longestRelayAfter: Milliseconds = 600;
+const minRelayDelay: Milliseconds = 250;
+const maxRelayDelay: Milliseconds = 600;
 /** Time without direct calls after only another VM could make a call. It doubles each time. */
-const avoidDirectFor: Milliseconds = 1_000;
-const avoidDirectAtMost: Milliseconds = 4_000;
+const initialDirectBackoff: Milliseconds = 1_000;
+const maxDirectBackoff: Milliseconds = 4_000;
 /** Delay before each further VM is asked, as the store may be unreachable from the first one too. */
-const nextRelayAfter: Milliseconds = 80;
+const nextRelayDelay: Milliseconds = 80;
 /** Most VMs that are asked for one call. */
-const mostRelays = 3;
+const maxRelays = 3;
 /** Longest wait for changes in one call of another VM. */
-const relayedWatch: Milliseconds = 2_000;
+const maxRelayedWait: Milliseconds = 2_000;
 
 /**
  * The platform's store, reached directly or through another VM.
@@ -53,11 +53,11 @@
  * also made through other VMs, and the first answer counts. Making a call twice is safe, as writes are conditional.
  */
 export class RelayedStore implements PlatformStore, ChangeFeed {
-    #avoidDirectUntil = -Infinity;
-    #avoidNext = avoidDirectFor;
+    #directBackoffUntil = -Infinity;
+    #nextDirectBackoff = initialDirectBackoff;
     /** Fires when calls move from one route to the other, so that long waits are restarted on the new route. */
-    #wayChanged = createAbortController();
-    readonly #answerTimes = new AnswerTimes({ shortest: shortestRelayAfter, longest: longestRelayAfter });
+    #routeChanged = createAbortController();
+    readonly #answerTimes = new ResponseTimeEstimator({ min: minRelayDelay, max: maxRelayDelay });
 
     constructor(private readonly options: RelayedStoreOptions) {}
 
@@ -79,13 +79,13 @@
         duration: Milliseconds,
         signal: AbortSignal,
     ): Promise<KeyChanges | undefined> {
-        const relay = this.#avoidsDirect() ? this.options.relays()[0] : undefined;
+        const relay = this.#isDirectAvoided() ? this.options.relays()[0] : undefined;
         if (relay !== undefined) {
-            const wait = Math.min(duration, relayedWatch);
+            const wait = Math.min(duration, maxRelayedWait);
             // One VM only: a wait for changes is long, so that further VMs would always be asked.
             return await relay({ kind: "changes", prefix, cursor, duration: wait }) as KeyChanges | undefined;
         }
-        const sources = [signal, this.#wayChanged.signal];
+        const sources = [signal, this.#routeChanged.signal];
         return withLinkedSignal(
             sources,
             undefined,
@@ -122,23 +122,23 @@
         await this.#perform({ kind: "revoke", lease });
     }
 
-    #avoidsDirect(): boolean {
-        return this.options.clock.monotonic() < this.#avoidDirectUntil;
+    #isDirectAvoided(): boolean {
+        return this.options.clock.monotonic() < this.#directBackoffUntil;
     }
 
     #perform(operation: StoreOperation): Promise<unknown> {
-        return this.#avoidsDirect() && this.options.relays().length > 0
-            ? this.#throughOthers(operation)
-            : this.#directFirst(operation);
+        return this.#isDirectAvoided() && this.options.relays().length > 0
+            ? this.#performRelayed(operation)
+            : this.#performHedged(operation);
     }
 
     /** Before the first answer the response time is unknown, and the shortest delay applies. */
-    get #relayAfter(): Milliseconds {
-        return this.#answerTimes.hasAny ? this.#answerTimes.limit : shortestRelayAfter;
+    get #relayDelay(): Milliseconds {
+        return this.#answerTimes.hasSamples ? this.#answerTimes.timeout : minRelayDelay;
     }
 
     /** Makes the call directly, and also through other VMs when it fails or is late. */
-    #directFirst(operation: StoreOperation): Promise<unknown> {
+    #performHedged(operation: StoreOperation): Promise<unknown> {
         const { direct, relays, clock } = this.options;
         const { signal } = createAbortController();
         const sentAt = clock.monotonic();
@@ -154,32 +154,32 @@
                 resolve(value);
             };
             const answerDirect = (value: unknown) => {
-                this.#answerTimes.note(clock.monotonic() - sentAt);
-                this.#avoidNext = isAnswered ? this.#avoidNext : avoidDirectFor;
+                this.#answerTimes.recordResponse(clock.monotonic() - sentAt);
+                this.#nextDirectBackoff = isAnswered ? this.#nextDirectBackoff : initialDirectBackoff;
                 answer(value);
             };
             const alsoRelay = (): Promise<void> =>
-                relayed ??= this.#throughOthers(operation).then(value => {
+                relayed ??= this.#performRelayed(operation).then(value => {
                     if (!isAnswered) {
-                        this.#avoidDirect();
+                        this.#backOffDirect();
                         answer(value);
                     }
                 });
             called.then(answerDirect, cause => alsoRelay().catch(() => reject(cause)));
-            void clock.sleep(this.#relayAfter).then(() => isAnswered ? undefined : alsoRelay().catch(() => undefined));
+            void clock.sleep(this.#relayDelay).then(() => isAnswered ? undefined : alsoRelay().catch(() => undefined));
         });
     }
 
     /** Asks other VMs, each a little after the one before; the first answer counts. */
-    #throughOthers(operation: StoreOperation): Promise<unknown> {
-        const relays = this.options.relays().slice(0, mostRelays);
+    #performRelayed(operation: StoreOperation): Promise<unknown> {
+        const relays = this.options.relays().slice(0, maxRelays);
         if (relays.length === 0) {
             return Promise.reject(new PlatformUnavailableError("no other VM is connected"));
         }
         const answered = createAbortController();
         const asked = relays.map(async (relay, index) => {
             if (index > 0) {
-                await this.options.clock.sleep(index * nextRelayAfter, answered.signal);
+                await this.options.clock.sleep(index * nextRelayDelay, answered.signal);
             }
             if (answered.signal.aborted) {
                 throw new PlatformUnavailableError("another VM has already answered");
@@ -195,14 +195,14 @@
             .finally(() => answered.abort());
     }
 
-    #avoidDirect(): void {
-        const wasAvoided = this.#avoidsDirect();
-        this.#avoidDirectUntil = this.options.clock.monotonic() + this.#avoidNext;
-        this.#avoidNext = Math.min(this.#avoidNext * 2, avoidDirectAtMost);
+    #backOffDirect(): void {
+        const wasAvoided = this.#isDirectAvoided();
+        this.#directBackoffUntil = this.options.clock.monotonic() + this.#nextDirectBackoff;
+        this.#nextDirectBackoff = Math.min(this.#nextDirectBackoff * 2, maxDirectBackoff);
         if (!wasAvoided) {
             this.options.logger.log(logEvents.storeRelayed);
-            const former = this.#wayChanged;
-            this.#wayChanged = createAbortController();
+            const former = this.#routeChanged;
+            this.#routeChanged = createAbortController();
             former.abort();
         }
     }
--- a/packages/entry/test/explorer/rules.ts
+++ b/packages/entry/test/explorer/rules.ts
@@ -1,11 +1,11 @@
 /** Rules that each walk must satisfy, checked by what workers and callers observe. */
 import { RunEnd } from "@pebbledale/cell";
-import { describeRepeat, type LivesWorld, type Repeat, TaskKind } from "../support/lives/index.js";
+import { describeDuplicate, type DuplicateRun, type SimulationWorld, TaskKind } from "../support/lives/index.js";
 import type { Scenario, ScenarioJob } from "./scenarios.js";
 
 /** A finished walk. */
 export interface Outcome {
-    readonly world: LivesWorld;
+    readonly world: SimulationWorld;
     readonly scenario: Scenario;
     /** Names of the jobs whose callers were told that they are accepted. */
     readonly accepted: ReadonlySet<string>;
@@ -20,26 +20,30 @@
 const attempts = 3;
 /** Crashes after which a task fails. Each fault may hide one of them from the product. */
 const crashingStarts = 3;
-const roomOfWorker = 8_000;
+const workerCapacity = 8_000;
 
 /**
  * Whether a duplicate is unavoidable: an order to an earlier incarnation arrives at the next one before that has seen a higher token,
  * while the task was started elsewhere because the earlier incarnation had reported that it does not have the run. Orders that are
  * sent after the stray run has started are not excused.
  */
-const isStray = ({ run, other }: Repeat): boolean => run.isStray || other.isStray && run.sentAt <= other.startedAt;
+const isStrayDuplicate = ({ run, other }: DuplicateRun): boolean =>
+    run.isStray || other.isStray && run.sentAt <= other.startedAt;
 
 /** Duplicates that are caused by orders to earlier incarnations. */
-export const strayRepeats = ({ world }: Outcome): Repeat[] => world.record.repeats().filter(isStray);
+export const strayDuplicates = ({ world }: Outcome): DuplicateRun[] =>
+    world.history.duplicates().filter(isStrayDuplicate);
 
 const doneOnce: Rule = ({ world }) =>
-    world.record.repeats().filter(repeat => !isStray(repeat) && repeat.isAfterDone).map(describeRepeat);
+    world.history.duplicates().filter(repeat => !isStrayDuplicate(repeat) && repeat.isAfterDone).map(describeDuplicate);
 
 const oneAtWork: Rule = ({ world }) =>
-    world.record.repeats().filter(repeat => !isStray(repeat) && !repeat.isAfterDone).map(describeRepeat);
+    world.history.duplicates().filter(repeat => !isStrayDuplicate(repeat) && !repeat.isAfterDone).map(
+        describeDuplicate,
+    );
 
 const hasItsEnd: Rule = ({ world, scenario, accepted }) =>
-    scenario.jobs.filter(job => accepted.has(job.name) && !isOver(world, job))
+    scenario.jobs.filter(job => accepted.has(job.name) && !isSettled(world, job))
         .map(({ name }) => `${name} is ${world.stateOf(name) ?? "not known"} long after the last fault`);
 
 const trueEnds: Rule = ({ world, scenario }) =>
@@ -57,7 +61,7 @@
 
 const fewFailures: Rule = ({ world, scenario }) =>
     scenario.jobs.filter(({ payload }) => payload.startsWith(TaskKind.Failed)).flatMap(({ name }) => {
-        const noted = world.runsOf(name).filter(run => run.end === RunEnd.Failed && run.isNoted);
+        const noted = world.runsOf(name).filter(run => run.end === RunEnd.Failed && run.isAcknowledged);
         const last = noted[attempts - 1];
         const later = world.runsOf(name)
             .filter(run => last !== undefined && !run.isStray && run.startedAt > last.endedAt!);
@@ -65,19 +69,23 @@
     });
 
 const withinRoom: Rule = ({ world }) => {
-    const hasStrays = world.record.runs.some(run => run.isStray);
-    return world.machines.filter(({ mostCharged }) => !hasStrays && mostCharged > roomOfWorker)
-        .map(({ id, mostCharged }) => `${id} was given ${mostCharged} thousandths of a processor`);
+    const hasStrays = world.history.runs.some(run => run.isStray);
+    return world.workers.filter(({ peakProcessorThousandths: mostCharged }) =>
+        !hasStrays && mostCharged > workerCapacity
+    )
+        .map(({ id, peakProcessorThousandths: mostCharged }) =>
+            `${id} was given ${mostCharged} thousandths of a processor`
+        );
 };
 
 /** In the end the owner uses each running worker with its present incarnation, and knows exactly the runs that it has. */
 const seesWorkers: Rule = ({ world }) =>
-    world.machines.filter(machine => machine.isUp).flatMap(machine => {
+    world.workers.filter(machine => machine.isUp).flatMap(machine => {
         const worker = world.owner.cell.workers.get(machine.id);
-        if (worker?.isOpen(world.clock.monotonic()) !== true || worker.life !== machine.born) {
+        if (worker?.isOpen(world.clock.monotonic()) !== true || worker.incarnation !== machine.born) {
             return [`${machine.id} is up and not used`];
         }
-        const atWork = world.record.runs.filter(run => run.worker === machine.id && run.endedAt === undefined).length;
+        const atWork = world.history.runs.filter(run => run.worker === machine.id && run.endedAt === undefined).length;
         return worker.runs.size === atWork
             ? []
             : [`${machine.id} has ${atWork} runs, the owner knows of ${worker.runs.size}`];
@@ -96,7 +104,7 @@
 };
 
 /** Whether a job has reached its final state, or runs if it is a lasting one. */
-export const isOver = (world: LivesWorld, { name, payload }: ScenarioJob): boolean => {
+export const isSettled = (world: SimulationWorld, { name, payload }: ScenarioJob): boolean => {
     const state = world.stateOf(name);
     if (payload.startsWith(TaskKind.Lasting)) {
         return state === "failed" || world.runsOf(name).some(run => run.endedAt === undefined);
@@ -104,13 +112,13 @@
     return state === "completed" || state === "failed";
 };
 
-const isDone = (world: LivesWorld, { name, payload, tasks }: ScenarioJob): boolean => {
+const isDone = (world: SimulationWorld, { name, payload, tasks }: ScenarioJob): boolean => {
     const hasDone = (task: number) => world.runsOf(name, task).some(run => run.end === RunEnd.Done);
     const all = Array.from({ length: tasks }, (_, task) => hasDone(task));
     return payload.startsWith(TaskKind.Gang) ? all.some(Boolean) : all.every(Boolean);
 };
 
-const mayFail = (world: LivesWorld, { name, payload }: ScenarioJob): boolean => {
+const mayFail = (world: SimulationWorld, { name, payload }: ScenarioJob): boolean => {
     const runs = world.runsOf(name);
     if (payload.startsWith(TaskKind.Crash)) {
         // It can never finish, whichever crashes were attributed to it.
--- a/packages/entry/test/following/follow-loop.test.ts
+++ b/packages/entry/test/following/follow-loop.test.ts
@@ -6,20 +6,20 @@
 import { expect } from "earl";
 import { describe, it } from "node:test";
 import {
-    type Followed,
-    type FollowedNews,
+    type FollowedUpdate,
     followLimitsOf,
     FollowLoop,
-    longestUnheard,
+    type FollowSource,
+    maxStaleness,
     StoreProbe,
 } from "../../src/index.js";
-import { pass } from "../support/index.js";
+import { advanceTime } from "../support/index.js";
 
 /** Shortest freshness that operators require. */
 const boundOfUsers: Milliseconds = 2_000;
 
 /** A store without changes, whose calls wait as requested. Calls on connections that died never end. */
-class QuietStore implements Followed {
+class QuietStore implements FollowSource {
     calls = 0;
     answerTime: Milliseconds = 4;
     /** Whether a call ends when it is abandoned. */
@@ -37,11 +37,11 @@
         this.#generation++;
     }
 
-    readAll(signal: AbortSignal): Promise<FollowedNews> {
+    readAll(signal: AbortSignal): Promise<FollowedUpdate> {
         return this.#answer(0, signal);
     }
 
-    changes(_cursor: string, wait: Milliseconds, signal: AbortSignal): Promise<FollowedNews | undefined> {
+    changes(_cursor: string, wait: Milliseconds, signal: AbortSignal): Promise<FollowedUpdate | undefined> {
         return this.#answer(wait, signal);
     }
 
@@ -50,14 +50,14 @@
         this.#hanging.splice(0).forEach(answer => answer());
     }
 
-    async #answer(wait: Milliseconds, signal: AbortSignal): Promise<FollowedNews> {
+    async #answer(wait: Milliseconds, signal: AbortSignal): Promise<FollowedUpdate> {
         const generation = this.#generation;
         this.calls++;
         await this.clock.sleep(wait + this.answerTime);
         if (generation !== this.#generation) {
             await this.#hang(signal);
         }
-        return { cursor: "cursor", take: () => this.taken++ };
+        return { cursor: "cursor", apply: () => this.taken++ };
     }
 
     #hang(signal: AbortSignal): Promise<void> {
@@ -72,7 +72,7 @@
     }
 }
 
-const limits = followLimitsOf({ drainWithin: boundOfUsers, configurationWithin: 2_500, contact: 3_000 });
+const limits = followLimitsOf({ drainWithin: boundOfUsers, configurationWithin: 2_500, contactWithin: 3_000 });
 
 const begin = () => {
     const clock = new ManualClock();
@@ -80,7 +80,7 @@
     const stop = new AbortController();
     const failures: (Milliseconds | undefined)[] = [];
     const loop = new FollowLoop({
-        followed: store,
+        source: store,
         clock,
         limits,
         onAnswer: () => undefined,
@@ -94,7 +94,7 @@
 const oldestIn = async (clock: ManualClock, loop: FollowLoop, length: Milliseconds): Promise<Milliseconds> => {
     let oldest = 0;
     for (let elapsed = 0; elapsed < length; elapsed += 10) {
-        await pass(clock, 10);
+        await advanceTime(clock, 10);
         oldest = Math.max(oldest, loop.age ?? 0);
     }
     return oldest;
@@ -104,7 +104,7 @@
     it("is as old as the last answer", async () => {
         const { clock, loop, stop } = begin();
         expect(loop.age).toEqual(undefined);
-        await pass(clock, 10);
+        await advanceTime(clock, 10);
         clock.advance(300);
         expect(loop.age).toEqual(300);
         stop.abort();
@@ -113,7 +113,7 @@
     it("stays within the required freshness whenever its connection dies", async () => {
         for (let at = 100; at <= 1_500; at += 350) {
             const { clock, store, loop, stop, failures } = begin();
-            await pass(clock, at);
+            await advanceTime(clock, at);
             store.silenceOpen();
             expect(await oldestIn(clock, loop, 3_000)).toBeLessThan(boundOfUsers);
             expect(failures.length).toEqual(1);
@@ -122,20 +122,20 @@
     });
 
     it("does not exceed the derived staleness limit", async () => {
-        expect(longestUnheard(limits)).toBeLessThan(boundOfUsers);
+        expect(maxStaleness(limits)).toBeLessThan(boundOfUsers);
         const { clock, store, loop, stop } = begin();
         let oldest = 0;
         for (let falls = 0; falls < 8; falls++) {
             oldest = Math.max(oldest, await oldestIn(clock, loop, 1_700 + falls * 130));
             store.silenceOpen();
         }
-        expect(oldest).toBeLessThan(longestUnheard(limits));
+        expect(oldest).toBeLessThan(maxStaleness(limits));
         stop.abort();
     });
 
     it("is followed with one call a second while nothing changes", async () => {
         const { clock, store, stop } = begin();
-        await pass(clock, 20_000);
+        await advanceTime(clock, 20_000);
         const readings = 1;
         expect(store.calls).toEqual(readings + 20);
         stop.abort();
@@ -144,22 +144,22 @@
     it("abandons a call that ignores its signal, such as one through another VM, and discards a late result", async () => {
         const { clock, store, loop, stop } = begin();
         store.heedsSignals = false;
-        await pass(clock, 700);
+        await advanceTime(clock, 700);
         store.silenceOpen();
         expect(await oldestIn(clock, loop, 3_000)).toBeLessThan(boundOfUsers);
         const taken = store.taken;
         store.answerSilent();
-        await pass(clock, 100);
+        await advanceTime(clock, 100);
         expect(store.taken).toEqual(taken);
         stop.abort();
     });
 
     it("is still updated when the store answers later than any slack", async () => {
         const { clock, store, loop, stop } = begin();
-        await pass(clock, 3_000);
+        await advanceTime(clock, 3_000);
         store.answerTime = 600;
         // The first call and the retry are abandoned before their answers arrive; the next one waits twice as long.
-        expect(await oldestIn(clock, loop, 10_000)).toBeLessThan(longestUnheard(limits) + 2 * store.answerTime);
+        expect(await oldestIn(clock, loop, 10_000)).toBeLessThan(maxStaleness(limits) + 2 * store.answerTime);
         stop.abort();
     });
 });
@@ -176,24 +176,24 @@
             }
             await clock.sleep(time);
         };
-        const probe = new StoreProbe({ clock, call: () => call(4), isWanted: () => true });
+        const probe = new StoreProbe({ clock, call: () => call(4), isNeeded: () => true });
         const stop = new AbortController();
         const loop = new FollowLoop({
-            followed: {
+            source: {
                 readAll: async () => {
                     await call(answerTime);
-                    return { cursor: "cursor", take: () => undefined };
+                    return { cursor: "cursor", apply: () => undefined };
                 },
                 changes: async (_cursor, wait) => {
                     await clock.sleep(wait);
-                    return { cursor: "cursor", take: () => undefined };
+                    return { cursor: "cursor", apply: () => undefined };
                 },
             },
             clock,
             limits: followLimitsOf({
                 drainWithin: boundOfUsers,
                 configurationWithin: boundOfUsers,
-                contact: boundOfUsers,
+                contactWithin: boundOfUsers,
             }),
             probe,
             onAnswer: () => undefined,
@@ -206,7 +206,7 @@
     for (const backAt of [700, 1_900, 3_100]) {
         it(`has read everything within 0.3 s of a recovery after ${backAt} ms`, async () => {
             const { clock, loop, stop } = begin({ backAt });
-            await pass(clock, backAt + 300);
+            await advanceTime(clock, backAt + 300);
             expect(loop.age !== undefined).toEqual(true);
             stop.abort();
         });
@@ -214,10 +214,10 @@
 
     it("does not abandon a page that takes long", async () => {
         const { clock, loop, stop, calls } = begin({ backAt: 0, answerTime: 1_200 });
-        await pass(clock, 1_300);
+        await advanceTime(clock, 1_300);
         expect(loop.age !== undefined).toEqual(true);
         const callsBefore = calls();
-        await pass(clock, 500);
+        await advanceTime(clock, 500);
         expect(calls()).toEqual(callsBefore);
         stop.abort();
     });
--- a/packages/entry/test/support/lives/record.ts
+++ b/packages/entry/test/support/lives/record.ts
@@ -4,13 +4,13 @@
 import { type Behaviour, TaskKind } from "./behaviour.js";
 
 /** A run as its worker observed it. */
-export interface SeenRun {
+export interface RecordedRun {
     readonly task: TaskAddress;
     readonly run: RunNumber;
     readonly worker: WorkerId;
     readonly behaviour: Behaviour;
     /** Incarnation of the worker that started it, counted from 1. */
-    readonly life: number;
+    readonly incarnation: number;
     /** Whether the order was sent to an earlier incarnation and arrived late. */
     readonly isStray: boolean;
     readonly sentAt: Milliseconds;
@@ -22,35 +22,35 @@
     /** Whether it crashed its worker. */
     hasCrashed: boolean;
     /** Whether the product has acknowledged its end to the worker. */
-    isNoted: boolean;
+    isAcknowledged: boolean;
 }
 
 /** Two runs of a task of which the later one must not have started. */
-export interface Repeat {
+export interface DuplicateRun {
     /** The later run. */
-    readonly run: SeenRun;
-    readonly other: SeenRun;
+    readonly run: RecordedRun;
+    readonly other: RecordedRun;
     /** Whether the other run had finished and was acknowledged, at once or later; otherwise both ran at the same time. */
     readonly isAfterDone: boolean;
 }
 
 /** Records what workers observe: starts, ends, and which ends were acknowledged to them. */
-export class RunRecord {
-    readonly runs: SeenRun[] = [];
+export class RunHistory {
+    readonly runs: RecordedRun[] = [];
 
     /** All runs of a task in the order of their starts. */
-    of(task: TaskAddress): SeenRun[] {
+    of(task: TaskAddress): RecordedRun[] {
         return this.runs.filter(run => run.task === task);
     }
 
     /** The members of a gang: all runs of a step with one number. */
-    membersOf({ task, run }: SeenRun): SeenRun[] {
+    membersOf({ task, run }: RecordedRun): RecordedRun[] {
         const step = stepOf(task);
         return this.runs.filter(other => other.run === run && stepOf(other.task) === step);
     }
 
     /** Runs that started although another run of the task had finished or was running. */
-    repeats(): Repeat[] {
+    duplicates(): DuplicateRun[] {
         return this.runs.flatMap(run =>
             this.runs.filter(other => other !== run).flatMap(other => {
                 const isAfterDone = isRepeatOf(run, other) && hasEndedDone(other) && other.endedAt! < run.startedAt;
@@ -62,16 +62,16 @@
 }
 
 /** Describes a duplicate run in one line. */
-export const describeRepeat = ({ run, other, isAfterDone }: Repeat): string =>
+export const describeDuplicate = ({ run, other, isAfterDone }: DuplicateRun): string =>
     `${run.task} run ${run.run} started at ${run.worker} at ${run.startedAt} ms `
     + (isAfterDone
         ? `after run ${other.run} had ended done at ${other.worker}`
         : `beside run ${other.run} at ${other.worker}`);
 
-const hasEndedDone = ({ end, isNoted }: SeenRun): boolean => end === RunEnd.Done && isNoted;
+const hasEndedDone = ({ end, isAcknowledged: isNoted }: RecordedRun): boolean => end === RunEnd.Done && isNoted;
 
 /** Whether a run must not start once another has finished. The end of one gang member counts for the whole gang. */
-const isRepeatOf = ({ task, run, behaviour }: SeenRun, other: SeenRun): boolean => {
+const isRepeatOf = ({ task, run, behaviour }: RecordedRun, other: RecordedRun): boolean => {
     if (behaviour.kind === TaskKind.Copied) {
         return false;
     }
@@ -81,7 +81,7 @@
 };
 
 /** Whether two runs of a task overlap, the first being the later one: by its start, or by its number if they start together. */
-const areBeside = (run: SeenRun, other: SeenRun): boolean => {
+const areBeside = (run: RecordedRun, other: RecordedRun): boolean => {
     if (run.behaviour.kind === TaskKind.Copied || (other.endedAt ?? Infinity) <= run.startedAt) {
         return false;
     }
--- a/packages/entry/test/support/lives/world.ts
+++ b/packages/entry/test/support/lives/world.ts
@@ -30,11 +30,11 @@
 } from "../../../src/index.js";
 import { configuration, queue, service } from "../configuration.js";
 import { makeVm, settle } from "../index.js";
-import { KeptLog, type LoggedEvent } from "../observation.js";
+import { type LoggedEvent, RecordingLogger } from "../observation.js";
 import { makeStep, smallTask } from "../steps.js";
-import { longestLease, Machine, type MachineStart } from "./machine.js";
-import { Network } from "./network.js";
-import { describeRepeat, RunRecord } from "./record.js";
+import { longestLease, SimulatedWorker, type WorkerStart } from "./machine.js";
+import { SimulatedNetwork } from "./network.js";
+import { describeDuplicate, RunHistory } from "./record.js";
 
 /** Capacity of each worker. */
 const room = { processorThousandths: 8_000, memoryMebibytes: 32_768, accelerators: 0 };
@@ -42,7 +42,7 @@
 const step: Milliseconds = 10;
 
 /** The platform's list of workers, in memory. */
-class ListedWorkers implements WorkerDirectory {
+class InMemoryWorkerDirectory implements WorkerDirectory {
     readonly #entries = new Map<WorkerId, WorkerEntry>();
     #revision = 0;
     readonly #changes: { readonly revision: number; readonly worker: WorkerId; }[] = [];
@@ -87,28 +87,28 @@
 }
 
 /** An incarnation of a worker as its entry describes it. */
-export type ListedLife = Pick<Machine, "address" | "born">;
+export type ListedIncarnation = Pick<SimulatedWorker, "address" | "born">;
 
 /** Differences between a job's only step and a plain step of small tasks. */
 export type StepChanges = Partial<JobDefinition["steps"][0]>;
 
 /** Parameters of a simulation. */
-export interface LivesOptions {
+export interface SimulationOptions {
     readonly workers: number;
     /** Whether workers report their incarnations. */
-    readonly namesLives?: boolean;
+    readonly namesIncarnations?: boolean;
     /** Time until the journal has persisted a record. */
     readonly journalTime?: Milliseconds;
 }
 
 /** Runs the product's owner, sessions and links in virtual time, against simulated workers, network and journal. */
-export class LivesWorld {
+export class SimulationWorld {
     readonly clock = new ManualClock();
-    readonly record = new RunRecord();
-    readonly machines: Machine[] = [];
-    readonly network = new Network(this.clock, this.machines);
-    readonly log = new KeptLog();
-    readonly directory = new ListedWorkers(this.clock);
+    readonly history = new RunHistory();
+    readonly workers: SimulatedWorker[] = [];
+    readonly network = new SimulatedNetwork(this.clock, this.workers);
+    readonly log = new RecordingLogger();
+    readonly directory = new InMemoryWorkerDirectory(this.clock);
     /** When the store last confirmed the owner's key. */
     keyConfirmedAt: () => Milliseconds = () => this.clock.monotonic();
     /** Since when the store does not answer; undefined while it does. */
@@ -124,9 +124,9 @@
     #ownerEnded = createAbortController();
     #epoch = 0;
 
-    private constructor(private readonly options: LivesOptions) {
+    private constructor(private readonly options: SimulationOptions) {
         for (let index = 0; index < options.workers; index++) {
-            this.addMachine(`w${index}`, `10.0.0.${index + 1}:80`);
+            this.addWorker(`w${index}`, `10.0.0.${index + 1}:80`);
         }
         this.#vm = new VmSession({
             clients: this.network,
@@ -138,16 +138,16 @@
             onHandOver: () => undefined,
             configuration: () => undefined,
             onConfiguration: () => undefined,
-            onOwner: () => undefined,
+            onOwnerChange: () => undefined,
         });
         void this.#vm.run(this.#ended.signal);
     }
 
     /** Creates a world whose owner knows all workers. */
-    static async begin(options: LivesOptions): Promise<LivesWorld> {
-        const world = new LivesWorld(options);
+    static async begin(options: SimulationOptions): Promise<SimulationWorld> {
+        const world = new SimulationWorld(options);
         world.replaceOwner();
-        await world.pass(200);
+        await world.advance(200);
         return world;
     }
 
@@ -157,12 +157,12 @@
     }
 
     /** Starts a new worker and publishes its entry. */
-    addMachine(name: string, address: string): Machine {
+    addWorker(name: string, address: string): SimulatedWorker {
         const sizeOf = (task: TaskAddress) => this.#sizes.get(task.slice(0, task.indexOf("/"))) ?? 0;
-        const machine = new Machine(workerId(name), address, this.clock, this.record, sizeOf);
-        machine.namesLives = this.options.namesLives ?? true;
-        this.machines.push(machine);
-        this.list(machine);
+        const machine = new SimulatedWorker(workerId(name), address, this.clock, this.history, sizeOf);
+        machine.namesIncarnations = this.options.namesIncarnations ?? true;
+        this.workers.push(machine);
+        this.publishEntry(machine);
         return machine;
     }
 
@@ -192,7 +192,7 @@
             metrics: new EntryMetrics(),
             name: "vm-0",
             configuration,
-            formerLeases: longestLease,
+            formerLeaseLength: longestLease,
             confirmedAt: () => this.storeSilentSince ?? this.clock.monotonic(),
             keyConfirmedAt: () => this.keyConfirmedAt(),
             ownerLease: 1_000,
@@ -200,7 +200,7 @@
             lost,
             onSilentVm: () => undefined,
             onLargerVm: () => undefined,
-            isCutOff: () => false,
+            isIsolated: () => false,
             onConfiguration: () => undefined,
             upkeep: undefined,
         });
@@ -221,7 +221,7 @@
     }
 
     /** Publishes a worker's entry, with its present incarnation and address or others. */
-    list(machine: Machine, { address, born }: ListedLife = machine, isDraining = false): void {
+    publishEntry(machine: SimulatedWorker, { address, born }: ListedIncarnation = machine, isDraining = false): void {
         const { id } = machine;
         this.directory.put({
             worker: id,
@@ -239,24 +239,24 @@
     }
 
     /** Crashes a worker and restarts it under its id after a while, when its entry is published. */
-    async restart(machine: Machine, away: Milliseconds, how: MachineStart = {}): Promise<void> {
+    async restart(machine: SimulatedWorker, away: Milliseconds, how: WorkerStart = {}): Promise<void> {
         machine.crash();
-        await this.pass(away);
+        await this.advance(away);
         machine.start(how);
-        this.list(machine);
+        this.publishEntry(machine);
     }
 
     /** Submits a job of equal tasks; rejects when it is not accepted. */
     async submit(name: string, payload: string, tasks = 1, changes: StepChanges = {}): Promise<void> {
-        const reply = this.handIn(name, payload, tasks, changes);
-        await this.pass(50);
+        const reply = this.sendJob(name, payload, tasks, changes);
+        await this.advance(50);
         if (await reply !== "accepted") {
             throw new Error(`${name} was not accepted`);
         }
     }
 
     /** Submits a job of equal tasks; resolves to the kind of the reply, undefined when the owner is lost meanwhile. */
-    async handIn(name: string, payload: string, tasks = 1, changes: StepChanges = {}): Promise<string | undefined> {
+    async sendJob(name: string, payload: string, tasks = 1, changes: StepChanges = {}): Promise<string | undefined> {
         this.#sizes.set(name, changes.size?.processorThousandths ?? smallTask.processorThousandths);
         const definition: JobDefinition = {
             job: name as JobDefinition["job"],
@@ -271,7 +271,7 @@
     /** Kind of the reply to a caller who asks for a job's state. */
     async askState(name: string): Promise<string | undefined> {
         const reply = this.#vm.ask({ kind: "state", job: name as JobDefinition["job"] });
-        await this.pass(50);
+        await this.advance(50);
         return (await reply)?.kind;
     }
 
@@ -281,12 +281,12 @@
     }
 
     /** Descriptions of all duplicate runs. */
-    repeats(): string[] {
-        return this.record.repeats().map(describeRepeat);
+    duplicates(): string[] {
+        return this.history.duplicates().map(describeDuplicate);
     }
 
-    runsOf(name: string, task = 0): ReturnType<RunRecord["of"]> {
-        return this.record.of(this.addressOf(name, task));
+    runsOf(name: string, task = 0): ReturnType<RunHistory["of"]> {
+        return this.history.of(this.addressOf(name, task));
     }
 
     addressOf(name: string, task = 0): TaskAddress {
@@ -299,19 +299,19 @@
     }
 
     /** Advances virtual time. */
-    async pass(duration: Milliseconds): Promise<void> {
+    async advance(duration: Milliseconds): Promise<void> {
         for (let elapsed = 0; elapsed < duration; elapsed += step) {
             this.clock.advance(step);
-            this.machines.forEach(machine => machine.tick());
+            this.workers.forEach(machine => machine.tick());
             this.onStep();
             await settle();
         }
     }
 
     /** Advances virtual time until a condition holds, for `limit` at most; resolves to whether it holds. */
-    async until(isTrue: () => boolean, limit: Milliseconds): Promise<boolean> {
+    async advanceUntil(isTrue: () => boolean, limit: Milliseconds): Promise<boolean> {
         for (let elapsed = 0; elapsed < limit && !isTrue(); elapsed += step) {
-            await this.pass(step);
+            await this.advance(step);
         }
         return isTrue();
     }
