--- a/packages/entry/src/configuration/index.ts
+++ b/packages/entry/src/configuration/index.ts
@@ -1,2 +1,2 @@
 /** The operators' configuration as known to this VM. */
-export * from "./watch.js";
+export * from "./configuration-watch.js";
--- a/packages/entry/src/entry-process.ts
+++ b/packages/entry/src/entry-process.ts
@@ -39,7 +39,7 @@
 import { listenForOwners, refusesConnections } from "./peers/index.js";
 import { createMemoryChannel, type OwnerMessage, type VmMessage } from "./protocol/index.js";
 import type { EntrySettings } from "./settings/index.js";
-import { shutdownTimesOf } from "./stop-times.js";
+import { shutdownTimesOf } from "./shutdown-times.js";
 import { RelayedStore } from "./store-relay/index.js";
 
 const millisecondsPerSecond = 1_000;
--- a/packages/entry/src/index.ts
+++ b/packages/entry/src/index.ts
@@ -11,5 +11,5 @@
 export * from "./peers/index.js";
 export * from "./protocol/index.js";
 export * from "./settings/index.js";
-export * from "./stop-times.js";
+export * from "./shutdown-times.js";
 export * from "./store-relay/index.js";
--- a/packages/entry/src/settings/index.ts
+++ b/packages/entry/src/settings/index.ts
@@ -1,3 +1,3 @@
 /** Settings of an entry VM. */
-export * from "./reload.js";
+export * from "./settings-reloader.js";
 export * from "./types.js";
--- a/packages/entry/test/explorer/walk.ts
+++ b/packages/entry/test/explorer/walk.ts
@@ -3,7 +3,7 @@
 import { createHash } from "node:crypto";
 import { SimulationWorld } from "../support/lives/index.js";
 import { type ChoicePoint, Choices, type Deviation } from "./choices.js";
-import { FaultInjector } from "./faults.js";
+import { FaultInjector } from "./fault-injector.js";
 import { isSettled, rules, strayDuplicates } from "./rules.js";
 import type { Scenario, ScenarioJob } from "./scenarios.js";
 
--- a/packages/entry/test/support/lives/index.ts
+++ b/packages/entry/test/support/lives/index.ts
@@ -1,6 +1,6 @@
 /** Simulation of a cell whose workers may restart under their ids. */
 export * from "./behaviour.js";
-export * from "./machine.js";
-export * from "./network.js";
-export * from "./record.js";
-export * from "./world.js";
+export * from "./run-history.js";
+export * from "./simulated-network.js";
+export * from "./simulated-worker.js";
+export * from "./simulation-world.js";
--- a/packages/entry/test/support/lives/network.ts
+++ b/packages/entry/test/support/lives/simulated-network.ts
@@ -10,7 +10,7 @@
     type TaskWorkerClients,
 } from "@pebbledale/cell";
 import { type ManualClock, type Milliseconds, type WorkerId, WorkerUnreachableError } from "@pebbledale/core";
-import type { SentCall, SimulatedWorker } from "./machine.js";
+import type { SentCall, SimulatedWorker } from "./simulated-worker.js";
 
 /** What happens to a call. */
 export interface CallOutcome {
--- a/packages/entry/test/support/lives/machine.ts
+++ b/packages/entry/test/support/lives/simulated-worker.ts
@@ -19,7 +19,7 @@
     workerIncarnation,
 } from "@pebbledale/core";
 import { behaviourOf, TaskKind } from "./behaviour.js";
-import type { RecordedRun, RunHistory } from "./record.js";
+import type { RecordedRun, RunHistory } from "./run-history.js";
 
 /** Longest lease that a worker accepts. */
 export const longestLease: Milliseconds = 6_000;
--- a/packages/entry/test/support/lives/world.ts
+++ b/packages/entry/test/support/lives/simulation-world.ts
@@ -32,9 +32,9 @@
 import { makeVm, settle } from "../index.js";
 import { type LoggedEvent, RecordingLogger } from "../observation.js";
 import { makeStep, smallTask } from "../steps.js";
-import { longestLease, SimulatedWorker, type WorkerStart } from "./machine.js";
-import { SimulatedNetwork } from "./network.js";
-import { describeDuplicate, RunHistory } from "./record.js";
+import { describeDuplicate, RunHistory } from "./run-history.js";
+import { SimulatedNetwork } from "./simulated-network.js";
+import { longestLease, SimulatedWorker, type WorkerStart } from "./simulated-worker.js";
 
 /** Capacity of each worker. */
 const room = { processorThousandths: 8_000, memoryMebibytes: 32_768, accelerators: 0 };
