--- a/packages/entry/src/configuration/configuration-watch.ts
+++ b/packages/entry/src/configuration/configuration-watch.ts
@@ -48,8 +48,8 @@
 
     constructor(private readonly options: ConfigurationWatchOptions) {
         const { logger, clock, limits, probe } = options;
-        const { storeUnreachable: lost, storeReachable: regained } = logEvents;
-        const store = new DependencyMonitor({ logger, clock, lostEvent: lost, recoveredEvent: regained });
+        const { storeUnreachable: lostEvent, storeReachable: recoveredEvent } = logEvents;
+        const store = new DependencyMonitor({ logger, clock, lostEvent, recoveredEvent });
         this.#loop = new FollowLoop({
             source: this,
             clock,
@@ -103,13 +103,13 @@
     }
 
     async readAll(signal: AbortSignal): Promise<FollowedUpdate> {
-        const news = await this.options.feed.read(signal);
-        return { cursor: news.cursor, apply: () => this.#applyUpdate(news) };
+        const update = await this.options.feed.read(signal);
+        return { cursor: update.cursor, apply: () => this.#applyUpdate(update) };
     }
 
     async changes(cursor: string, wait: Milliseconds, signal: AbortSignal): Promise<FollowedUpdate | undefined> {
-        const news = await this.options.feed.follow(cursor, wait, signal);
-        return news && { cursor: news.cursor, apply: () => this.#applyUpdate(news) };
+        const update = await this.options.feed.follow(cursor, wait, signal);
+        return update && { cursor: update.cursor, apply: () => this.#applyUpdate(update) };
     }
 
     #applyUpdate({ configuration, waves }: OperatorUpdate): void {
--- a/packages/entry/src/entry-process.ts
+++ b/packages/entry/src/entry-process.ts
@@ -83,6 +83,7 @@
     readonly #candidate: Candidate;
     readonly #store: RelayedStore;
     readonly #probe: StoreProbe;
+    /** Process of a lost owner that was found to have ended. */
     #terminatedOwner: string | undefined;
     /** Whether the current owner asked this VM to take over the cell. */
     #isTakeoverRequested = false;
@@ -208,15 +209,15 @@
         return this.queues === undefined ? "no configuration yet" : undefined;
     }
 
-    /** Serves until `stop` fires, then hands the cell over and serves on until `drained` resolves. */
-    async run(stop: AbortSignal, drained: () => Promise<void>): Promise<void> {
+    /** Serves until `stop` fires, then hands the cell over and serves on until `untilDrained` resolves. */
+    async run(stop: AbortSignal, untilDrained: () => Promise<void>): Promise<void> {
         const { settings, store, clock, metrics } = this.options;
-        const { membersUnavailable: lost, membersAvailable: regained } = logEvents;
+        const { membersUnavailable: lostEvent, membersAvailable: recoveredEvent } = logEvents;
         const members = new DependencyMonitor({
             logger: this.#logger,
             clock,
-            lostEvent: lost,
-            recoveredEvent: regained,
+            lostEvent,
+            recoveredEvent,
         });
         const following = new FollowLoop({
             source: new KeyFollowSource(store, cellPrefix, this.#view),
@@ -238,18 +239,18 @@
             following.run(background.signal),
             this.#session.run(background.signal),
         ];
-        const leaving = untilAborted(stop).then(() => this.#drain(drained));
-        await Promise.all([this.#candidate.run(stop), leaving]);
+        const draining = untilAborted(stop).then(() => this.#drain(untilDrained));
+        await Promise.all([this.#candidate.run(stop), draining]);
         background.abort();
         await Promise.all(running);
     }
 
     /** Answers open requests while the cell and the links move to other VMs. */
-    async #drain(drained: () => Promise<void>): Promise<void> {
+    async #drain(untilDrained: () => Promise<void>): Promise<void> {
         const { settings, clock } = this.options;
         this.#session.announceLeaving();
         this.jobs.limitAnswersTo(clock.monotonic() + shutdownTimesOf(settings.bounds.stopWithin).answerWithin);
-        await drained();
+        await untilDrained();
     }
 
     #handleOwnerChange(hasOwner: boolean): void {
--- a/packages/entry/src/following/constants.ts
+++ b/packages/entry/src/following/constants.ts
@@ -6,11 +6,11 @@
 /** Share of the required freshness by which an answer may be late at most, however slow earlier answers were. */
 export const slackShare = 0.2;
 /** The platform's store allows waits of up to 30 s. */
-export const longestFollowWait: Milliseconds = 20_000;
+export const maxFollowWait: Milliseconds = 20_000;
 /** Bounds the rate of calls to a few a second when the required freshness is very short. */
-export const shortestFollowWait: Milliseconds = 250;
+export const minFollowWait: Milliseconds = 250;
 /** Shortest time by which an answer may be late: a pause of this process takes up to 0.1 s. */
-export const shortestSlack: Milliseconds = 250;
+export const minSlack: Milliseconds = 250;
 /** The slack doubles with each consecutive failure, up to this. A slow store answers within 0.4 s. */
 export const maxSlack: Milliseconds = 1_500;
 /** Wait of the first call after a failure: kept short to learn soon whether the store answers again. */
--- a/packages/entry/src/following/follow-loop.ts
+++ b/packages/entry/src/following/follow-loop.ts
@@ -5,10 +5,10 @@
     followRetryDelay,
     maxReadAllTimeout,
     maxSlack,
+    minSlack,
     readAllTimeout,
     repeatedRetryDelay,
     retryWait,
-    shortestSlack,
 } from "./constants.js";
 import type { FollowLimits } from "./limits.js";
 import type { StoreProbe } from "./store-probe.js";
@@ -44,7 +44,7 @@
 
 /** Ends a call that was sent while the store was silent: the store has recovered and will not answer that call. */
 class StoreRecoveredError extends Error {
-    override readonly name = "StoreBackError";
+    override readonly name = "StoreRecoveredError";
 }
 
 /**
@@ -56,12 +56,12 @@
  */
 export class FollowLoop {
     #answeredAt: Milliseconds | undefined;
-    #failuresInARow = 0;
-    readonly #answerTimes: ResponseTimeEstimator;
+    #consecutiveFailures = 0;
+    readonly #responseTimes: ResponseTimeEstimator;
 
     constructor(private readonly options: FollowLoopOptions) {
         const { slack } = options.limits;
-        this.#answerTimes = new ResponseTimeEstimator({ min: Math.min(shortestSlack, slack), max: slack });
+        this.#responseTimes = new ResponseTimeEstimator({ min: Math.min(minSlack, slack), max: slack });
     }
 
     /** Age of the copy: time since the store last answered, undefined before the first answer. */
@@ -74,47 +74,47 @@
         let cursor: string | undefined;
         while (!signal.aborted) {
             try {
-                const news = await this.#fetchNext(cursor, signal);
-                news?.apply();
-                cursor = news?.cursor;
+                const update = await this.#fetchNext(cursor, signal);
+                update?.apply();
+                cursor = update?.cursor;
                 this.#answeredAt = clock.monotonic();
-                this.#failuresInARow = 0;
+                this.#consecutiveFailures = 0;
                 onAnswer();
             }
             catch (cause) {
                 if (!signal.aborted && !(cause instanceof StoreRecoveredError)) {
                     onFailure(cause, this.age);
-                    this.#failuresInARow++;
-                    await clock.sleep(this.#failuresInARow > 1 ? repeatedRetryDelay : followRetryDelay, signal);
+                    this.#consecutiveFailures++;
+                    await clock.sleep(this.#consecutiveFailures > 1 ? repeatedRetryDelay : followRetryDelay, signal);
                 }
             }
         }
     }
 
     #fetchNext(cursor: string | undefined, signal: AbortSignal): Promise<FollowedUpdate | undefined> {
-        const { source: followed, limits } = this.options;
+        const { source, limits } = this.options;
         if (cursor === undefined) {
-            const limit = Math.min(maxReadAllTimeout, readAllTimeout * 2 ** this.#failuresInARow);
-            return this.#withTimeout(limit, signal, linked => followed.readAll(linked));
+            const limit = Math.min(maxReadAllTimeout, readAllTimeout * 2 ** this.#consecutiveFailures);
+            return this.#withTimeout(limit, signal, linked => source.readAll(linked));
         }
-        const wait = this.#failuresInARow > 0 ? retryWait : limits.wait;
+        const wait = this.#consecutiveFailures > 0 ? retryWait : limits.wait;
         return this.#withTimeout(wait + this.#slack, signal, async linked => {
             const sentAt = this.options.clock.monotonic();
-            const news = await followed.changes(cursor, wait, linked);
+            const update = await source.changes(cursor, wait, linked);
             this.#recordAnswerTime(this.options.clock.monotonic() - sentAt - wait);
-            return news;
+            return update;
         });
     }
 
     /** How late the answer to a call may be, counted from the end of its wait. */
     get #slack(): Milliseconds {
-        return Math.min(maxSlack, this.#answerTimes.timeout * 2 ** this.#failuresInARow);
+        return Math.min(maxSlack, this.#responseTimes.timeout * 2 ** this.#consecutiveFailures);
     }
 
     /** Ignores answers that arrive before the wait is over: they carry changes and say nothing about the store's response time. */
     #recordAnswerTime(took: Milliseconds): void {
         if (took >= 0) {
-            this.#answerTimes.recordResponse(took);
+            this.#responseTimes.recordResponse(took);
         }
     }
 
@@ -131,17 +131,17 @@
         const end = () => ended.abort(signal.reason);
         signal.addEventListener("abort", end, { once: true });
         const finished = createAbortController();
-        const givenUp = new Promise<never>((_resolve, reject) =>
+        const abandoned = new Promise<never>((_resolve, reject) =>
             ended.signal.addEventListener("abort", () => reject(ended.signal.reason as Error))
         );
-        void this.#waitForRecovery(finished.signal).then(isBack =>
-            isBack ? ended.abort(new StoreRecoveredError("the store recovered")) : undefined
+        void this.#waitForRecovery(finished.signal).then(hasRecovered =>
+            hasRecovered ? ended.abort(new StoreRecoveredError("the store recovered")) : undefined
         );
         void this.options.clock.sleep(limit, finished.signal).then(() =>
             finished.signal.aborted ? undefined : ended.abort(new NoAnswerError(`no answer in ${Math.round(limit)} ms`))
         );
         try {
-            return await Promise.race([call(ended.signal), givenUp]);
+            return await Promise.race([call(ended.signal), abandoned]);
         }
         finally {
             finished.abort();
@@ -152,6 +152,7 @@
     /** Resolves to true if the store recovers during a call. Waits for changes need no such check, as they time out soon. */
     async #waitForRecovery(signal: AbortSignal): Promise<boolean> {
         const isReadingAll = this.#answeredAt === undefined;
-        return (isReadingAll || this.#failuresInARow > 0) && await this.options.probe?.waitForRecovery(signal) === true;
+        return (isReadingAll || this.#consecutiveFailures > 0)
+            && await this.options.probe?.waitForRecovery(signal) === true;
     }
 }
--- a/packages/entry/src/following/limits.ts
+++ b/packages/entry/src/following/limits.ts
@@ -1,13 +1,6 @@
 /** Derives the timing of follow loops from the required freshness. */
 import type { Milliseconds } from "@pebbledale/core";
-import {
-    followRetryDelay,
-    longestFollowWait,
-    retryWait,
-    shortestFollowWait,
-    slackShare,
-    waitShare,
-} from "./constants.js";
+import { followRetryDelay, maxFollowWait, minFollowWait, retryWait, slackShare, waitShare } from "./constants.js";
 
 /** Required freshness of what a VM knows, as the operators set it. */
 export interface FreshnessBounds {
@@ -30,8 +23,8 @@
 /** Timing that meets the strictest of the bounds. */
 export const followLimitsOf = (bounds: FreshnessBounds): FollowLimits => {
     const within = Math.min(bounds.drainWithin, bounds.configurationWithin, bounds.contactWithin);
-    const wait = Math.max(shortestFollowWait, Math.floor(within * waitShare));
-    return { wait: Math.min(longestFollowWait, wait), slack: within * slackShare };
+    const wait = Math.max(minFollowWait, Math.floor(within * waitShare));
+    return { wait: Math.min(maxFollowWait, wait), slack: within * slackShare };
 };
 
 /**
--- a/packages/entry/src/following/store-probe.ts
+++ b/packages/entry/src/following/store-probe.ts
@@ -29,17 +29,17 @@
     /** Resolves to true once the store has recovered, to false when `signal` fires. */
     waitForRecovery(signal: AbortSignal): Promise<boolean> {
         return new Promise(resolve => {
-            const finish = (isBack: boolean) => {
-                this.#waiters.delete(noteBack);
-                signal.removeEventListener("abort", giveUp);
-                resolve(isBack);
+            const finish = (hasRecovered: boolean) => {
+                this.#waiters.delete(reportRecovery);
+                signal.removeEventListener("abort", cancel);
+                resolve(hasRecovered);
             };
-            const noteBack = () => finish(true);
-            const giveUp = () => finish(false);
-            this.#waiters.add(noteBack);
-            signal.addEventListener("abort", giveUp);
+            const reportRecovery = () => finish(true);
+            const cancel = () => finish(false);
+            this.#waiters.add(reportRecovery);
+            signal.addEventListener("abort", cancel);
             if (signal.aborted) {
-                giveUp();
+                cancel();
             }
             else if (!this.#isRunning) {
                 void this.#run();
@@ -55,16 +55,16 @@
         while (this.#waiters.size > 0) {
             if (this.options.isNeeded()) {
                 const number = ++sent;
-                const noteAnswer = () => {
+                const recordAnswer = () => {
                     // A later call is answered and an earlier one is not: the store was silent in between.
-                    const isBack = number > answered + 1;
+                    const hasRecovered = number > answered + 1;
                     answered = Math.max(answered, number);
-                    if (isBack) {
-                        [...this.#waiters].forEach(noteBack => noteBack());
+                    if (hasRecovered) {
+                        [...this.#waiters].forEach(reportRecovery => reportRecovery());
                     }
                 };
                 // A failed call needs no handling: it shows once a later one is answered.
-                this.options.call().then(noteAnswer, () => undefined);
+                this.options.call().then(recordAnswer, () => undefined);
             }
             await this.options.clock.sleep(probeInterval);
         }
--- a/packages/entry/src/front/caller-authentication.ts
+++ b/packages/entry/src/front/caller-authentication.ts
@@ -6,7 +6,7 @@
 const credentials = /^Bearer +([\x21-\x7e]+) *$/i;
 
 /** Longer headers are not parsed, so that a caller cannot use up processor time with them. */
-const longestCredentials = maxKeyLength + "Bearer ".length;
+const maxCredentialsLength = maxKeyLength + "Bearer ".length;
 
 /** Outcome of authenticating a request. */
 export type CallerAuthentication =
@@ -25,17 +25,21 @@
 export const authenticateCaller = (
     { needsKey }: QueueConfiguration,
     { keys }: QueueDirectory,
-    shown: readonly string[],
+    authorizationHeaders: readonly string[],
     isCurrent: boolean,
 ): CallerAuthentication => {
     if (!needsKey) {
         return { kind: "allowed", organisation: undefined };
     }
-    if (shown.length !== 1) {
-        const reason = shown.length === 0 ? "a key of an organisation is needed" : "more than one key is shown";
+    if (authorizationHeaders.length !== 1) {
+        const reason = authorizationHeaders.length === 0
+            ? "a key of an organisation is needed"
+            : "more than one key is shown";
         return { kind: "refused", reason };
     }
-    const key = shown[0].length > longestCredentials ? undefined : credentials.exec(shown[0])?.[1];
+    const key = authorizationHeaders[0].length > maxCredentialsLength
+        ? undefined
+        : credentials.exec(authorizationHeaders[0])?.[1];
     if (key === undefined) {
         return { kind: "refused", reason: "the credentials are not a bearer key" };
     }
--- a/packages/entry/src/front/index.ts
+++ b/packages/entry/src/front/index.ts
@@ -1,8 +1,5 @@
 /** Front end of an entry VM: authenticates callers and answers their requests with the help of the owner. */
-export {
-    authenticateCaller as checkCaller,
-    type CallerAuthentication as CallerCheck,
-} from "./caller-authentication.js";
+export { authenticateCaller, type CallerAuthentication } from "./caller-authentication.js";
 export * from "./job-service.js";
 export * from "./request-log.js";
 export * from "./types.js";
--- a/packages/entry/src/front/job-service.ts
+++ b/packages/entry/src/front/job-service.ts
@@ -3,7 +3,7 @@
 import type { Clock, JobId, Milliseconds, OrganisationName, QueueName } from "@pebbledale/core";
 import { createAbortController } from "@pebbledale/runtime";
 import { type OwnerReply, type OwnerRequest, RetryLaterReason } from "../protocol/index.js";
-import { answerMargin, maxOwnerWait, minOwnerCall, noOwnerRetryAfter, pendingCountLifetime } from "./constants.js";
+import { answerMargin, maxOwnerWait, minOwnerCallTime, noOwnerRetryAfter, pendingCountLifetime } from "./constants.js";
 import type { RequestLog } from "./request-log.js";
 import type { JobAnswer, OwnerAccess } from "./types.js";
 
@@ -67,7 +67,7 @@
     async #askOwner(body: OwnerRequest, within: Milliseconds): Promise<JobAnswer> {
         const deadline = Math.min(this.clock.monotonic() + within, this.#answerDeadline) - answerMargin;
         let wasSent = false;
-        let hasAskedNext = false;
+        let hasAskedNextOwner = false;
         for (;;) {
             const left = deadline - this.clock.monotonic();
             if (!this.owner.hasOwner() && left > 0) {
@@ -76,7 +76,7 @@
             if (!this.owner.hasOwner()) {
                 return unanswered(body, wasSent, "no owner is known");
             }
-            if (deadline - this.clock.monotonic() < minOwnerCall) {
+            if (deadline - this.clock.monotonic() < minOwnerCallTime) {
                 return unanswered(body, wasSent, "too little of the caller's time is left");
             }
             const reply = await this.#withDeadline(this.owner.ask(body), deadline);
@@ -84,10 +84,10 @@
                 return unanswered(body, true, "the owner gave no answer in time");
             }
             if (reply?.kind === "handing-over") {
-                if (hasAskedNext) {
+                if (hasAskedNextOwner) {
                     return unanswered(body, wasSent, "the cell is being handed over");
                 }
-                hasAskedNext = true;
+                hasAskedNextOwner = true;
                 await this.owner.waitForOwner(Math.min(deadline - this.clock.monotonic(), maxOwnerWait));
             }
             else if (reply !== undefined) {
@@ -123,7 +123,7 @@
         : { kind: "refused", retryAfter: noOwnerRetryAfter, reason };
 };
 
-const notNowReasons: Readonly<Record<RetryLaterReason, string>> = {
+const retryLaterReasons: Readonly<Record<RetryLaterReason, string>> = {
     [RetryLaterReason.JournalStalled]: "the store keeps no records now",
     [RetryLaterReason.QueueUnknown]: "the owner does not know the queue or the organisation yet",
     [RetryLaterReason.OwnerUnconfirmed]: "the owner does not know the job and is not confirmed to own the cell",
@@ -133,7 +133,7 @@
 const answerOf = (reply: Exclude<OwnerReply, { readonly kind: "handing-over"; }>): JobAnswer => {
     switch (reply.kind) {
         case "not-now":
-            return { kind: "refused", retryAfter: reply.retryAfter, reason: notNowReasons[reply.reason] };
+            return { kind: "refused", retryAfter: reply.retryAfter, reason: retryLaterReasons[reply.reason] };
         case "uncertain":
             return { kind: "uncertain", reason: "the record was not confirmed in time" };
         default:
--- a/packages/entry/src/front/request-log.ts
+++ b/packages/entry/src/front/request-log.ts
@@ -5,7 +5,7 @@
 import type { OwnerRequest } from "../protocol/index.js";
 import type { JobAnswer } from "./types.js";
 
-const longestPath = 100;
+const maxPathLength = 100;
 
 /** How well an entry VM was in contact with the owner when it answered a caller. */
 export interface OwnerContact {
@@ -64,7 +64,7 @@
     logRejection(method: string, path: string, outcome: string, reason: string): void {
         const { logger, metrics } = this.options;
         metrics.recordRequest(method.toLowerCase(), outcome, 0);
-        logger.log(logEvents.callerTurnedAway, { method, path: path.slice(0, longestPath), outcome, reason });
+        logger.log(logEvents.callerTurnedAway, { method, path: path.slice(0, maxPathLength), outcome, reason });
     }
 }
 
--- a/packages/entry/src/membership/key-follow-source.ts
+++ b/packages/entry/src/membership/key-follow-source.ts
@@ -14,16 +14,16 @@
     constructor(
         private readonly feed: ChangeFeed,
         private readonly prefix: string,
-        private readonly follower: KeyReplica,
+        private readonly replica: KeyReplica,
     ) {}
 
     async readAll(signal: AbortSignal): Promise<FollowedUpdate> {
         const keys = await this.feed.readAll(this.prefix, signal);
-        return { cursor: keys.cursor, apply: () => this.follower.replace(keys) };
+        return { cursor: keys.cursor, apply: () => this.replica.replace(keys) };
     }
 
     async changes(cursor: string, wait: Milliseconds, signal: AbortSignal): Promise<FollowedUpdate | undefined> {
         const changes = await this.feed.changes(this.prefix, cursor, wait, signal);
-        return changes && { cursor: changes.cursor, apply: () => this.follower.apply(changes) };
+        return changes && { cursor: changes.cursor, apply: () => this.replica.apply(changes) };
     }
 }
--- a/packages/entry/src/membership/vm-registration.ts
+++ b/packages/entry/src/membership/vm-registration.ts
@@ -30,13 +30,13 @@
 
 /** Keeps this VM's key in the store while the process runs. The key hangs on a lease, so that it disappears with the process. */
 export class VmRegistration {
-    readonly #watch: DependencyMonitor;
+    readonly #monitor: DependencyMonitor;
     #lease: PlatformLeaseId | undefined;
 
     constructor(private readonly options: VmRegistrationOptions) {
         const { logger, clock } = options;
-        const { registrationFailed: lost, registrationRestored: regained } = logEvents;
-        this.#watch = new DependencyMonitor({ logger, clock, lostEvent: lost, recoveredEvent: regained });
+        const { registrationFailed: lostEvent, registrationRestored: recoveredEvent } = logEvents;
+        this.#monitor = new DependencyMonitor({ logger, clock, lostEvent, recoveredEvent });
     }
 
     /** Undefined while no lease is known to be valid. */
@@ -48,19 +48,21 @@
     async run(signal: AbortSignal): Promise<void> {
         const { store, clock, leaseLength } = this.options;
         while (!signal.aborted) {
-            let isKept = false;
-            const kept = this.#maintain().then(
+            let isRenewed = false;
+            const renewed = this.#maintain().then(
                 () => {
-                    isKept = true;
-                    this.#watch.recordSuccess();
+                    isRenewed = true;
+                    this.#monitor.recordSuccess();
                 },
-                cause => this.#watch.recordFailure(cause),
+                cause => this.#monitor.recordFailure(cause),
             );
-            await unlessAborted(kept, signal);
-            await clock.sleep(isKept ? leaseLength / renewalsPerLease : retryDelay, signal);
+            await unlessAborted(renewed, signal);
+            await clock.sleep(isRenewed ? leaseLength / renewalsPerLease : retryDelay, signal);
         }
         if (this.#lease !== undefined) {
-            const revoked = store.revokeLease(this.#lease).catch((cause: unknown) => this.#watch.recordFailure(cause));
+            const revoked = store.revokeLease(this.#lease).catch((cause: unknown) =>
+                this.#monitor.recordFailure(cause)
+            );
             await Promise.race([revoked, clock.sleep(revokeTimeout)]);
         }
     }
--- a/packages/entry/src/observation/dependency-monitor.ts
+++ b/packages/entry/src/observation/dependency-monitor.ts
@@ -18,10 +18,10 @@
     constructor(private readonly options: DependencyMonitorOptions) {}
 
     recordSuccess(): void {
-        const { logger, clock, recoveredEvent: regained } = this.options;
+        const { logger, clock, recoveredEvent } = this.options;
         if (this.#lostAt !== undefined) {
             const lasted = Math.round(clock.monotonic() - this.#lostAt);
-            logger.log(regained, { lasted, failures: this.#failures });
+            logger.log(recoveredEvent, { lasted, failures: this.#failures });
         }
         this.#lostAt = undefined;
         this.#failures = 0;
--- a/packages/entry/src/observation/entry-metrics.ts
+++ b/packages/entry/src/observation/entry-metrics.ts
@@ -14,7 +14,7 @@
     readonly workerEntriesAge: Milliseconds;
 }
 
-/** Read the time since the store last confirmed what each VM follows; undefined before the first answer. */
+/** Getters of the time since the store last confirmed what each VM follows; undefined before its first answer. */
 export interface AgeSources {
     readonly configuration: () => Milliseconds | undefined;
     readonly members: () => Milliseconds | undefined;
@@ -60,50 +60,50 @@
     #ages: AgeSources | undefined;
 
     constructor() {
-        const ofCell = (name: string, help: string, read: (summary: CellSummary & CrashSummary) => number) =>
+        const addCellGauge = (name: string, help: string, read: (summary: CellSummary & CrashSummary) => number) =>
             this.metrics.gauge(name, help, () => this.#cell === undefined ? 0 : read(this.#cell.summary));
-        ofCell("pebbledale_owner", "1 while this VM owns the cell", () => 1);
-        ofCell("pebbledale_workers", "Known workers", summary => summary.workers);
-        ofCell("pebbledale_open_workers", "Workers that accept new tasks", summary => summary.openWorkers);
-        ofCell(
+        addCellGauge("pebbledale_owner", "1 while this VM owns the cell", () => 1);
+        addCellGauge("pebbledale_workers", "Known workers", summary => summary.workers);
+        addCellGauge("pebbledale_open_workers", "Workers that accept new tasks", summary => summary.openWorkers);
+        addCellGauge(
             "pebbledale_free_cores",
             "Free cores of the workers that accept new tasks",
             summary => summary.freeProcessor / 1_000,
         );
-        ofCell("pebbledale_runs", "Runs that have not ended", summary => summary.runs);
-        ofCell(
+        addCellGauge("pebbledale_runs", "Runs that have not ended", summary => summary.runs);
+        addCellGauge(
             "pebbledale_held_back_tasks",
             "Deferrable tasks held back to make room for a gang",
             ({ heldBack }) => heldBack,
         );
-        ofCell(
+        addCellGauge(
             "pebbledale_kept_cores",
             "Cores kept free of deferrable work for urgent work",
             ({ services }) =>
                 Object.values(services).reduce((sum, { keptProcessor }) => sum + keptProcessor, 0) / 1_000,
         );
-        ofCell(
+        addCellGauge(
             "pebbledale_organisations_at_limit",
             "Organisations whose work waits for their own limit (at most ten are counted)",
             ({ atLimit }) => atLimit.length,
         );
-        ofCell("pebbledale_suspect_tasks", "Tasks that may have crashed workers", ({ suspects }) => suspects);
-        ofCell("pebbledale_trial_runs", "Trial runs of tasks that may crash workers", ({ trials }) => trials);
-        ofCell("pebbledale_open_jobs", "Jobs that have not ended", summary => summary.openJobs);
+        addCellGauge("pebbledale_suspect_tasks", "Tasks that may have crashed workers", ({ suspects }) => suspects);
+        addCellGauge("pebbledale_trial_runs", "Trial runs of tasks that may crash workers", ({ trials }) => trials);
+        addCellGauge("pebbledale_open_jobs", "Jobs that have not ended", summary => summary.openJobs);
         this.metrics.gauge(
             "pebbledale_journal_wait_seconds",
             "Age of the oldest record that is not yet persisted",
             () => (this.#cell?.journalWait ?? 0) / millisecondsPerSecond,
         );
-        const age = (followed: string, read: () => Milliseconds | undefined) =>
+        const addAgeGauge = (followed: string, read: () => Milliseconds | undefined) =>
             this.metrics.gauge(
                 `pebbledale_${followed}_age_seconds`,
                 `Time since the store last confirmed the ${followed}`,
                 () => (read() ?? 0) / millisecondsPerSecond,
             );
-        age("worker_entries", () => this.#cell?.workerEntriesAge);
-        age("configuration", () => this.#ages?.configuration());
-        age("members", () => this.#ages?.members());
+        addAgeGauge("worker_entries", () => this.#cell?.workerEntriesAge);
+        addAgeGauge("configuration", () => this.#ages?.configuration());
+        addAgeGauge("members", () => this.#ages?.members());
     }
 
     recordRequest(request: string, outcome: string, took: Milliseconds): void {
--- a/packages/entry/src/observation/instrumented-worker-clients.ts
+++ b/packages/entry/src/observation/instrumented-worker-clients.ts
@@ -54,16 +54,16 @@
     }
 
     async #measure<Answer extends PollAnswer | OrderAnswer>(call: string, answer: Promise<Answer>): Promise<Answer> {
-        const begunAt = this.clock.monotonic();
-        const note = (outcome: string) =>
-            this.metrics.recordWorkerCall(call, outcome, this.clock.monotonic() - begunAt);
+        const startedAt = this.clock.monotonic();
+        const record = (outcome: string) =>
+            this.metrics.recordWorkerCall(call, outcome, this.clock.monotonic() - startedAt);
         try {
             const given = await answer;
-            note(given.kind === "refused" ? given.refusal : given.kind);
+            record(given.kind === "refused" ? given.refusal : given.kind);
             return given;
         }
         catch (cause) {
-            note("unanswered");
+            record("unanswered");
             throw cause;
         }
     }
--- a/packages/entry/src/store-relay/relayed-store.ts
+++ b/packages/entry/src/store-relay/relayed-store.ts
@@ -57,7 +57,7 @@
     #nextDirectBackoff = initialDirectBackoff;
     /** Fires when calls move from one route to the other, so that long waits are restarted on the new route. */
     #routeChanged = createAbortController();
-    readonly #answerTimes = new ResponseTimeEstimator({ min: minRelayDelay, max: maxRelayDelay });
+    readonly #responseTimes = new ResponseTimeEstimator({ min: minRelayDelay, max: maxRelayDelay });
 
     constructor(private readonly options: RelayedStoreOptions) {}
 
@@ -134,7 +134,7 @@
 
     /** Before the first answer the response time is unknown, and the shortest delay applies. */
     get #relayDelay(): Milliseconds {
-        return this.#answerTimes.hasSamples ? this.#answerTimes.timeout : minRelayDelay;
+        return this.#responseTimes.hasSamples ? this.#responseTimes.timeout : minRelayDelay;
     }
 
     /** Makes the call directly, and also through other VMs when it fails or is late. */
@@ -154,7 +154,7 @@
                 resolve(value);
             };
             const answerDirect = (value: unknown) => {
-                this.#answerTimes.recordResponse(clock.monotonic() - sentAt);
+                this.#responseTimes.recordResponse(clock.monotonic() - sentAt);
                 this.#nextDirectBackoff = isAnswered ? this.#nextDirectBackoff : initialDirectBackoff;
                 answer(value);
             };
--- a/packages/entry/test/front/caller-authentication.test.ts
+++ b/packages/entry/test/front/caller-authentication.test.ts
@@ -4,7 +4,7 @@
 import { expect } from "earl";
 import * as fc from "fast-check";
 import { describe, it } from "node:test";
-import { checkCaller } from "../../src/front/index.js";
+import { authenticateCaller } from "../../src/front/index.js";
 import { configuration } from "../support/configuration.js";
 
 const north = organisationName("north");
@@ -17,7 +17,7 @@
 const [open] = configuration.queues;
 const closed = { ...open, needsKey: true };
 const check = (shown: readonly string[], isCurrent = true) =>
-    checkCaller(closed, directoryOf("k3y-of.north"), shown, isCurrent);
+    authenticateCaller(closed, directoryOf("k3y-of.north"), shown, isCurrent);
 
 describe("a caller's key", () => {
     it("identifies its organisation, in any spelling of the scheme", () => {
@@ -27,7 +27,7 @@
     });
 
     it("is not required where the queue needs none", () => {
-        expect(checkCaller(open, directoryOf(), [], true)).toEqual({ kind: "allowed", organisation: undefined });
+        expect(authenticateCaller(open, directoryOf(), [], true)).toEqual({ kind: "allowed", organisation: undefined });
     });
 
     it("is refused when it is missing, repeated, malformed, of another scheme, or unknown", () => {
