--- a/packages/entry/test/explorer/explore-until-found.ts
+++ b/packages/entry/test/explorer/explore-until-found.ts
@@ -27,13 +27,15 @@
     const chosen = scenarios.filter(({ name }) => name.includes(part));
     let walks = 0;
     let states = 0;
-    for (let turn = 1; performance.now() < endsAt; turn++) {
+    for (let round = 1; performance.now() < endsAt; round++) {
         for (const scenario of chosen) {
-            const turnEndsAt = chosen.length === 1 ? endsAt : Math.min(endsAt, performance.now() + scenarioTime * turn);
+            const scenarioEndsAt = chosen.length === 1
+                ? endsAt
+                : Math.min(endsAt, performance.now() + scenarioTime * round);
             const exploration = await new Explorer(scenario, {
                 maxDeviations: 2,
-                seed: seed + turn,
-                isTimeLeft: () => performance.now() < turnEndsAt,
+                seed: seed + round,
+                isTimeLeft: () => performance.now() < scenarioEndsAt,
                 maxCounterexamples: 1,
             }).run();
             walks += exploration.walks;
--- a/packages/entry/test/explorer/fault-injector.ts
+++ b/packages/entry/test/explorer/fault-injector.ts
@@ -40,29 +40,28 @@
 const clockStepBack: Milliseconds = -3_600_000;
 
 /** Faults of a worker by name. The names are part of stored walks. */
-const workerFaults: Readonly<Record<string, (faults: FaultInjector, machine: SimulatedWorker) => void>> = {
-    "crashes and is back at once": (faults, machine) => faults.restart(machine, 30),
-    "crashes, is back after 250 ms and listed 300 ms later": (faults, machine) =>
-        faults.restart(machine, 250, { listedAfter: 300 }),
-    "crashes and is back after 250 ms at another address": (faults, machine) =>
-        faults.restart(machine, 250, { isElsewhere: true }),
-    "crashes and is back after 100 ms with its time of day set back": (faults, machine) =>
-        faults.restart(machine, 100, { clockStep: clockStepBack }),
-    "crashes, and another worker is at its address after 250 ms": (faults, machine) =>
-        faults.replaceWorker(machine, 250),
-    "crashes for good": (faults, machine) => faults.removeWorker(machine),
-    "its answers are lost for 600 ms": (faults, machine) =>
-        faults.cut(machine, { executedAfter: 0, isAnswered: false }),
-    "nothing reaches it for 600 ms": (faults, machine) =>
-        faults.cut(machine, { executedAfter: undefined, isAnswered: false }),
-    "is listed as it first was": (faults, machine) => faults.publishFirstEntry(machine),
-    "says that it leaves, crashes 100 ms later and is back after 250 ms": (faults, machine) =>
-        faults.drainAndRestart(machine),
+const workerFaults: Readonly<Record<string, (faults: FaultInjector, worker: SimulatedWorker) => void>> = {
+    "crashes and is back at once": (faults, worker) => faults.restart(worker, 30),
+    "crashes, is back after 250 ms and listed 300 ms later": (faults, worker) =>
+        faults.restart(worker, 250, { listedAfter: 300 }),
+    "crashes and is back after 250 ms at another address": (faults, worker) =>
+        faults.restart(worker, 250, { isElsewhere: true }),
+    "crashes and is back after 100 ms with its time of day set back": (faults, worker) =>
+        faults.restart(worker, 100, { clockStep: clockStepBack }),
+    "crashes, and another worker is at its address after 250 ms": (faults, worker) => faults.replaceWorker(worker, 250),
+    "crashes for good": (faults, worker) => faults.removeWorker(worker),
+    "its answers are lost for 600 ms": (faults, worker) =>
+        faults.disruptCalls(worker, { executedAfter: 0, isAnswered: false }),
+    "nothing reaches it for 600 ms": (faults, worker) =>
+        faults.disruptCalls(worker, { executedAfter: undefined, isAnswered: false }),
+    "is listed as it first was": (faults, worker) => faults.publishFirstEntry(worker),
+    "says that it leaves, crashes 100 ms later and is back after 250 ms": (faults, worker) =>
+        faults.drainAndRestart(worker),
 };
 
 /** Whether a fault restarts a worker under its id, which cannot happen where incarnations are not reported. */
-const keepsId = (blow: string): boolean =>
-    ["crashes and is back", "crashes, is back", "says that it leaves"].some(start => blow.startsWith(start));
+const keepsId = (fault: string): boolean =>
+    ["crashes and is back", "crashes, is back", "says that it leaves"].some(start => fault.startsWith(start));
 
 /** How a worker restarts. */
 interface RestartOptions {
@@ -74,18 +73,18 @@
 /** Injects faults as a walk chooses: lost or late calls, crashes and restarts of workers, replacement of the owner. */
 export class FaultInjector {
     #isArmed = false;
-    #due: { readonly at: Milliseconds; readonly act: () => void; }[] = [];
-    readonly #disruptions = new Map<WorkerId, { readonly until: Milliseconds; readonly fate: CallOutcome; }>();
+    #due: { readonly at: Milliseconds; readonly action: () => void; }[] = [];
+    readonly #disruptions = new Map<WorkerId, { readonly until: Milliseconds; readonly outcome: CallOutcome; }>();
     readonly #removed = new Set<SimulatedWorker>();
     /** Workers that have crashed and will restart. */
     readonly #restarting = new Set<SimulatedWorker>();
-    #names = 0;
+    #nameCount = 0;
 
     constructor(private readonly world: SimulationWorld, private readonly choices: Choices) {
         world.onStep = () => this.#tick();
         world.network.outcomeOf = (kind, worker) => this.#outcomeOf(kind, worker);
         this.#firstEntries = new Map(
-            world.workers.map(machine => [machine, { born: machine.born, address: machine.address }]),
+            world.workers.map(worker => [worker, { born: worker.born, address: worker.address }]),
         );
     }
 
@@ -101,9 +100,9 @@
 
     /** Injects one fault, or none. */
     injectAt(at: Milliseconds): void {
-        const { workers: machines } = this.world;
-        const up = machines.filter(machine => machine.isUp && !this.#removed.has(machine));
-        const names = Object.keys(workerFaults).filter(name => machines[0].namesIncarnations || !keepsId(name));
+        const { workers } = this.world;
+        const up = workers.filter(worker => worker.isUp && !this.#removed.has(worker));
+        const names = Object.keys(workerFaults).filter(name => workers[0].namesIncarnations || !keepsId(name));
         const options = [
             nothing,
             ownerReplaced,
@@ -114,75 +113,75 @@
             this.world.replaceOwner();
         }
         else if (chosen > 1) {
-            const machine = up[Math.floor((chosen - 2) / names.length)];
-            workerFaults[names[(chosen - 2) % names.length]](this, machine);
+            const worker = up[Math.floor((chosen - 2) / names.length)];
+            workerFaults[names[(chosen - 2) % names.length]](this, worker);
         }
     }
 
     /** Executes what is due. Workers that a task crashed are restarted. */
     #tick(): void {
         const now = this.world.clock.monotonic();
-        for (const machine of this.world.workers) {
-            if (!machine.isUp && !this.#removed.has(machine) && !this.#restarting.has(machine)) {
-                this.restart(machine, restartTime);
+        for (const worker of this.world.workers) {
+            if (!worker.isUp && !this.#removed.has(worker) && !this.#restarting.has(worker)) {
+                this.restart(worker, restartTime);
             }
         }
         const due = this.#due.filter(({ at }) => at <= now);
         this.#due = this.#due.filter(({ at }) => at > now);
-        due.forEach(({ act }) => act());
+        due.forEach(({ action }) => action());
     }
 
     /** Ends all faults, and publishes the entries of all running workers as they are. */
     heal(): void {
         this.#isArmed = false;
         this.#disruptions.clear();
-        this.world.workers.filter(machine => machine.isUp).forEach(machine => this.world.publishEntry(machine));
+        this.world.workers.filter(worker => worker.isUp).forEach(worker => this.world.publishEntry(worker));
     }
 
     /** Crashes a worker and restarts it under its id. */
-    restart(machine: SimulatedWorker, away: Milliseconds, how: RestartOptions = {}): void {
-        const { listedAfter = 0, isElsewhere = false, clockStep = 0 } = how;
-        machine.crash();
-        this.#restarting.add(machine);
-        this.#after(away, () => {
-            this.#restarting.delete(machine);
-            machine.start({ clockStep, ...(isElsewhere ? { address: this.#newAddress() } : {}) });
-            this.#after(listedAfter, () => this.world.publishEntry(machine));
+    restart(worker: SimulatedWorker, downtime: Milliseconds, options: RestartOptions = {}): void {
+        const { listedAfter = 0, isElsewhere = false, clockStep = 0 } = options;
+        worker.crash();
+        this.#restarting.add(worker);
+        this.#after(downtime, () => {
+            this.#restarting.delete(worker);
+            worker.start({ clockStep, ...(isElsewhere ? { address: this.#newAddress() } : {}) });
+            this.#after(listedAfter, () => this.world.publishEntry(worker));
         });
     }
 
     /** Crashes a worker for good. */
-    removeWorker(machine: SimulatedWorker): void {
-        machine.crash();
-        this.#removed.add(machine);
-        this.#after(entryTime, () => this.world.directory.remove(machine.id));
+    removeWorker(worker: SimulatedWorker): void {
+        worker.crash();
+        this.#removed.add(worker);
+        this.#after(entryTime, () => this.world.directory.remove(worker.id));
         // A replacement, so that the jobs can be finished.
         this.#after(entryTime, () => this.world.addWorker(this.#newName(), this.#newAddress()));
     }
 
     /** Crashes a worker and starts one with another id at its address. */
-    replaceWorker(machine: SimulatedWorker, away: Milliseconds): void {
-        machine.crash();
-        this.#removed.add(machine);
-        this.#after(away, () => this.world.addWorker(this.#newName(), machine.address));
-        this.#after(entryTime, () => this.world.directory.remove(machine.id));
+    replaceWorker(worker: SimulatedWorker, downtime: Milliseconds): void {
+        worker.crash();
+        this.#removed.add(worker);
+        this.#after(downtime, () => this.world.addWorker(this.#newName(), worker.address));
+        this.#after(entryTime, () => this.world.directory.remove(worker.id));
     }
 
     /** Gives all calls to a worker one outcome for a while. */
-    cut({ id }: SimulatedWorker, fate: CallOutcome): void {
-        this.#disruptions.set(id, { until: this.world.clock.monotonic() + disruptionTime, fate });
+    disruptCalls({ id }: SimulatedWorker, outcome: CallOutcome): void {
+        this.#disruptions.set(id, { until: this.world.clock.monotonic() + disruptionTime, outcome });
     }
 
     /** Publishes a worker's first entry, which is outdated, and after a while its present one. */
-    publishFirstEntry(machine: SimulatedWorker): void {
-        this.world.publishEntry(machine, this.#firstEntries.get(machine));
-        this.#after(disruptionTime, () => this.world.publishEntry(machine));
+    publishFirstEntry(worker: SimulatedWorker): void {
+        this.world.publishEntry(worker, this.#firstEntries.get(worker));
+        this.#after(disruptionTime, () => this.world.publishEntry(worker));
     }
 
     /** Has a worker announce that it drains, and crashes and restarts it before it is drained. */
-    drainAndRestart(machine: SimulatedWorker): void {
-        this.world.publishEntry(machine, machine, true);
-        this.#after(drainTime, () => machine.isUp && this.restart(machine, 250));
+    drainAndRestart(worker: SimulatedWorker): void {
+        this.world.publishEntry(worker, worker, true);
+        this.#after(drainTime, () => worker.isUp && this.restart(worker, 250));
     }
 
     /** Pending events, for telling states of the simulation apart. */
@@ -195,24 +194,24 @@
     }
 
     #outcomeOf(kind: CallKind, worker: WorkerId): CallOutcome {
-        const cut = this.#disruptions.get(worker);
-        if (cut !== undefined && cut.until > this.world.clock.monotonic()) {
-            return cut.fate;
+        const disruption = this.#disruptions.get(worker);
+        if (disruption !== undefined && disruption.until > this.world.clock.monotonic()) {
+            return disruption.outcome;
         }
         const options = Object.entries(callOutcomes[kind]);
         const chosen = this.#isArmed ? this.choices.choose(`${kind} at ${worker}`, options.map(([name]) => name)) : 0;
         return options[chosen][1];
     }
 
-    #after(duration: Milliseconds, act: () => void): void {
-        this.#due.push({ at: this.world.clock.monotonic() + duration, act });
+    #after(duration: Milliseconds, action: () => void): void {
+        this.#due.push({ at: this.world.clock.monotonic() + duration, action });
     }
 
     #newAddress(): string {
-        return `10.0.1.${++this.#names}:80`;
+        return `10.0.1.${++this.#nameCount}:80`;
     }
 
     #newName(): string {
-        return `n${++this.#names}`;
+        return `n${++this.#nameCount}`;
     }
 }
--- a/packages/entry/test/explorer/main.ts
+++ b/packages/entry/test/explorer/main.ts
@@ -29,7 +29,7 @@
         + `${counterexamples.length} counterexamples`,
 );
 
-const tell = async (walk: Walk, number: number): Promise<void> => {
+const report = async (walk: Walk, number: number): Promise<void> => {
     const { scenario, deviations, story, broken } = await shorten(walk);
     [...broken, ...story].forEach(line => console.log(`    ${line}`));
     if (values.keep !== undefined) {
@@ -55,7 +55,7 @@
     print(exploration, elapsed());
     hasBroken ||= exploration.counterexamples.length > 0;
     for (const [number, walk] of exploration.counterexamples.entries()) {
-        await tell(walk, number);
+        await report(walk, number);
     }
 }
 process.exit(hasBroken ? 1 : 0);
--- a/packages/entry/test/explorer/rules.ts
+++ b/packages/entry/test/explorer/rules.ts
@@ -35,10 +35,12 @@
     world.history.duplicates().filter(isStrayDuplicate);
 
 const doneOnce: Rule = ({ world }) =>
-    world.history.duplicates().filter(repeat => !isStrayDuplicate(repeat) && repeat.isAfterDone).map(describeDuplicate);
+    world.history.duplicates().filter(duplicate => !isStrayDuplicate(duplicate) && duplicate.isAfterCompletion).map(
+        describeDuplicate,
+    );
 
-const oneAtWork: Rule = ({ world }) =>
-    world.history.duplicates().filter(repeat => !isStrayDuplicate(repeat) && !repeat.isAfterDone).map(
+const oneRunAtATime: Rule = ({ world }) =>
+    world.history.duplicates().filter(duplicate => !isStrayDuplicate(duplicate) && !duplicate.isAfterCompletion).map(
         describeDuplicate,
     );
 
@@ -61,45 +63,45 @@
 
 const fewFailures: Rule = ({ world, scenario }) =>
     scenario.jobs.filter(({ payload }) => payload.startsWith(TaskKind.Failed)).flatMap(({ name }) => {
-        const noted = world.runsOf(name).filter(run => run.end === RunEnd.Failed && run.isAcknowledged);
-        const last = noted[attempts - 1];
+        const acknowledged = world.runsOf(name).filter(run => run.end === RunEnd.Failed && run.isAcknowledged);
+        const last = acknowledged[attempts - 1];
         const later = world.runsOf(name)
             .filter(run => last !== undefined && !run.isStray && run.startedAt > last.endedAt!);
         return later.length > 0 ? [`${name} was started after ${attempts} failed runs`] : [];
     });
 
-const withinRoom: Rule = ({ world }) => {
+const withinCapacity: Rule = ({ world }) => {
     const hasStrays = world.history.runs.some(run => run.isStray);
-    return world.workers.filter(({ peakProcessorThousandths: mostCharged }) =>
-        !hasStrays && mostCharged > workerCapacity
+    return world.workers.filter(({ peakProcessorThousandths }) =>
+        !hasStrays && peakProcessorThousandths > workerCapacity
     )
-        .map(({ id, peakProcessorThousandths: mostCharged }) =>
-            `${id} was given ${mostCharged} thousandths of a processor`
+        .map(({ id, peakProcessorThousandths }) =>
+            `${id} was given ${peakProcessorThousandths} thousandths of a processor`
         );
 };
 
 /** In the end the owner uses each running worker with its present incarnation, and knows exactly the runs that it has. */
 const seesWorkers: Rule = ({ world }) =>
-    world.workers.filter(machine => machine.isUp).flatMap(machine => {
-        const worker = world.owner.cell.workers.get(machine.id);
-        if (worker?.isOpen(world.clock.monotonic()) !== true || worker.incarnation !== machine.born) {
-            return [`${machine.id} is up and not used`];
+    world.workers.filter(worker => worker.isUp).flatMap(worker => {
+        const known = world.owner.cell.workers.get(worker.id);
+        if (known?.isOpen(world.clock.monotonic()) !== true || known.incarnation !== worker.born) {
+            return [`${worker.id} is up and not used`];
         }
-        const atWork = world.history.runs.filter(run => run.worker === machine.id && run.endedAt === undefined).length;
-        return worker.runs.size === atWork
+        const running = world.history.runs.filter(run => run.worker === worker.id && run.endedAt === undefined).length;
+        return known.runs.size === running
             ? []
-            : [`${machine.id} has ${atWork} runs, the owner knows of ${worker.runs.size}`];
+            : [`${worker.id} has ${running} runs, the owner knows of ${known.runs.size}`];
     });
 
 /** All rules by name. */
 export const rules: Readonly<Record<string, Rule>> = {
     "done once": doneOnce,
-    "one run at work": oneAtWork,
+    "one run at work": oneRunAtATime,
     "each job has its end": hasItsEnd,
     "ends are true": trueEnds,
     "crashes are few": fewCrashes,
     "failures are few": fewFailures,
-    "room is kept": withinRoom,
+    "room is kept": withinCapacity,
     "workers are seen as they are": seesWorkers,
 };
 
@@ -126,6 +128,6 @@
     }
     const failed = runs.filter(run => run.end === RunEnd.Failed).length;
     // The platform allows a task to fail after two workers crashed under it; the product takes three.
-    const wentWithWorkers = runs.filter(run => run.end === undefined && run.endedAt !== undefined).length;
-    return failed >= attempts || wentWithWorkers >= crashingStarts;
+    const lostInCrashes = runs.filter(run => run.end === undefined && run.endedAt !== undefined).length;
+    return failed >= attempts || lostInCrashes >= crashingStarts;
 };
--- a/packages/entry/test/explorer/walk.ts
+++ b/packages/entry/test/explorer/walk.ts
@@ -35,8 +35,8 @@
 
 /** Plays a scenario with the given deviations until it has settled, and checks the rules. */
 export const playWalk = async (scenario: Scenario, deviations: readonly Deviation[]): Promise<Walk> => {
-    const { workers, namesIncarnations: namesLives, jobs } = scenario;
-    const world = await SimulationWorld.begin({ workers, namesIncarnations: namesLives, journalTime });
+    const { workers, namesIncarnations, jobs } = scenario;
+    const world = await SimulationWorld.begin({ workers, namesIncarnations, journalTime });
     try {
         await world.submit("before", "done 20", 3);
         await world.advance(300);
@@ -98,10 +98,10 @@
     const { cell } = world.owner;
     const state = [
         round(now),
-        world.workers.map(machine => machine.describe()),
+        world.workers.map(worker => worker.describe()),
         world.history.runs.map((
-            { task, run, endedAt, end, isAcknowledged: isNoted },
-        ) => [task, run, endedAt === undefined, end, isNoted]),
+            { task, run, endedAt, end, isAcknowledged },
+        ) => [task, run, endedAt === undefined, end, isAcknowledged]),
         cell.snapshot().jobs.map(({ id, state: shown, occurrences }) => [id, shown, occurrences]),
         [...cell.workers.values()].map(worker => [
             worker.id,
--- a/packages/entry/test/lives/restarts.test.ts
+++ b/packages/entry/test/lives/restarts.test.ts
@@ -42,8 +42,8 @@
         await world.submit("before", "done 20", 600);
         await world.advanceUntil(() => world.stateOf("before") === "completed", 10_000);
         await world.advance(500);
-        for (const machine of world.workers) {
-            await world.restart(machine, 0);
+        for (const worker of world.workers) {
+            await world.restart(worker, 0);
         }
         await world.advance(500);
         let next = 0;
@@ -77,13 +77,13 @@
 
     it("counts as crashed with all its runs: a task that was running each time fails after three starts", async () => {
         await begin({ workers: 4 });
-        world.workers.forEach(machine => machine.tick());
+        world.workers.forEach(worker => worker.tick());
         await world.submit("killer", "crash 10");
         for (let elapsed = 0; elapsed < 20_000; elapsed += 200) {
             await world.advance(200);
-            for (const machine of world.workers.filter(({ isUp }) => !isUp)) {
-                machine.start();
-                world.publishEntry(machine);
+            for (const worker of world.workers.filter(({ isUp }) => !isUp)) {
+                worker.start();
+                world.publishEntry(worker);
             }
         }
         expect(world.runsOf("killer").length).toEqual(3);
@@ -107,9 +107,9 @@
             return { executedAfter: isLate ? 250 : 0, isAnswered: !isLate };
         };
         await world.submit("late", "done 3000");
-        const late = world.workers.find(machine =>
-            machine.id === world.owner.cell.workers.get(machine.id)?.id
-            && [...world.owner.cell.workers.get(machine.id)?.runs.values() ?? []].length > 0
+        const late = world.workers.find(worker =>
+            worker.id === world.owner.cell.workers.get(worker.id)?.id
+            && [...world.owner.cell.workers.get(worker.id)?.runs.values() ?? []].length > 0
         );
         await world.restart(late ?? world.workers[0], 50);
         expect(await world.advanceUntil(() => world.stateOf("late") === "completed", 20_000)).toEqual(true);
@@ -129,15 +129,15 @@
         });
         await world.submit("doubtful", "done 3000");
         await world.advance(500);
-        const [machine] = world.workers;
+        const [worker] = world.workers;
         const waits: number[] = [];
         for (const away of [290, 330, 370, 410]) {
-            machine.crash();
+            worker.crash();
             await world.advance(away);
-            machine.start();
-            world.publishEntry(machine);
+            worker.start();
+            world.publishEntry(worker);
             const startedAt = world.clock.monotonic();
-            await world.advanceUntil(() => machine.token > 0, 1_000);
+            await world.advanceUntil(() => worker.token > 0, 1_000);
             waits.push(world.clock.monotonic() - startedAt);
             await world.advance(500);
         }
@@ -166,37 +166,37 @@
 
     it("with a new one in each answer: is polled less and less often, so that it causes little load", async () => {
         await begin({ workers: 2 });
-        const [strange] = world.workers;
-        strange.changesIncarnationEachAnswer = true;
+        const [faulty] = world.workers;
+        faulty.changesIncarnationEachAnswer = true;
         await world.advance(10_000);
         expect(world.logged(logEvents.workerRestarted).length).toBeLessThan(20);
         await world.submit("beside", "done 100");
         expect(await world.advanceUntil(() => world.stateOf("beside") === "completed", 2_000)).toEqual(true);
-        strange.changesIncarnationEachAnswer = false;
-        strange.start();
-        world.publishEntry(strange);
-        const isUsed = () => world.owner.cell.workers.get(strange.id)?.isOpen(world.clock.monotonic()) === true;
+        faulty.changesIncarnationEachAnswer = false;
+        faulty.start();
+        world.publishEntry(faulty);
+        const isUsed = () => world.owner.cell.workers.get(faulty.id)?.isOpen(world.clock.monotonic()) === true;
         expect(await world.advanceUntil(isUsed, 5_000)).toEqual(true);
     });
 
     it("with different ones in its entry and its answers: the answers count, with its last valid description", async () => {
         await begin({ workers: 1 });
-        const [machine] = world.workers;
-        world.publishEntry(machine, { address: machine.address, born: workerIncarnation(7) });
+        const [worker] = world.workers;
+        world.publishEntry(worker, { address: worker.address, born: workerIncarnation(7) });
         await world.advance(2_000);
         await world.submit("a", "done 100");
         expect(await world.advanceUntil(() => world.stateOf("a") === "completed", 2_000)).toEqual(true);
         expect(world.logged(logEvents.workerListedAnew).map(({ fields }) => [fields["life"], fields["listed"]]))
-            .toEqual([[machine.born, 7]]);
+            .toEqual([[worker.born, 7]]);
     });
 
     it("at alternating addresses: is called where it answers", async () => {
         await begin({ workers: 1 });
-        const [machine] = world.workers;
+        const [worker] = world.workers;
         for (let turn = 0; turn < 10; turn++) {
-            world.publishEntry(machine, { address: "10.0.0.99:80", born: workerIncarnation(turn) });
+            world.publishEntry(worker, { address: "10.0.0.99:80", born: workerIncarnation(turn) });
             await world.advance(100);
-            world.publishEntry(machine);
+            world.publishEntry(worker);
             await world.advance(100);
         }
         await world.submit("a", "done 100");
--- a/packages/entry/test/support/lives/run-history.ts
+++ b/packages/entry/test/support/lives/run-history.ts
@@ -31,7 +31,7 @@
     readonly run: RecordedRun;
     readonly other: RecordedRun;
     /** Whether the other run had finished and was acknowledged, at once or later; otherwise both ran at the same time. */
-    readonly isAfterDone: boolean;
+    readonly isAfterCompletion: boolean;
 }
 
 /** Records what workers observe: starts, ends, and which ends were acknowledged to them. */
@@ -53,25 +53,26 @@
     duplicates(): DuplicateRun[] {
         return this.runs.flatMap(run =>
             this.runs.filter(other => other !== run).flatMap(other => {
-                const isAfterDone = isRepeatOf(run, other) && hasEndedDone(other) && other.endedAt! < run.startedAt;
-                const isBeside = other.task === run.task && areBeside(run, other);
-                return isAfterDone || isBeside ? [{ run, other, isAfterDone }] : [];
+                const isAfterCompletion = isForbiddenAfter(run, other) && hasFinished(other)
+                    && other.endedAt! < run.startedAt;
+                const isOverlapping = other.task === run.task && areOverlapping(run, other);
+                return isAfterCompletion || isOverlapping ? [{ run, other, isAfterCompletion }] : [];
             })
         );
     }
 }
 
 /** Describes a duplicate run in one line. */
-export const describeDuplicate = ({ run, other, isAfterDone }: DuplicateRun): string =>
+export const describeDuplicate = ({ run, other, isAfterCompletion }: DuplicateRun): string =>
     `${run.task} run ${run.run} started at ${run.worker} at ${run.startedAt} ms `
-    + (isAfterDone
+    + (isAfterCompletion
         ? `after run ${other.run} had ended done at ${other.worker}`
         : `beside run ${other.run} at ${other.worker}`);
 
-const hasEndedDone = ({ end, isAcknowledged: isNoted }: RecordedRun): boolean => end === RunEnd.Done && isNoted;
+const hasFinished = ({ end, isAcknowledged }: RecordedRun): boolean => end === RunEnd.Done && isAcknowledged;
 
 /** Whether a run must not start once another has finished. The end of one gang member counts for the whole gang. */
-const isRepeatOf = ({ task, run, behaviour }: RecordedRun, other: RecordedRun): boolean => {
+const isForbiddenAfter = ({ task, run, behaviour }: RecordedRun, other: RecordedRun): boolean => {
     if (behaviour.kind === TaskKind.Copied) {
         return false;
     }
@@ -81,7 +82,7 @@
 };
 
 /** Whether two runs of a task overlap, the first being the later one: by its start, or by its number if they start together. */
-const areBeside = (run: RecordedRun, other: RecordedRun): boolean => {
+const areOverlapping = (run: RecordedRun, other: RecordedRun): boolean => {
     if (run.behaviour.kind === TaskKind.Copied || (other.endedAt ?? Infinity) <= run.startedAt) {
         return false;
     }
--- a/packages/entry/test/support/lives/simulated-network.ts
+++ b/packages/entry/test/support/lives/simulated-network.ts
@@ -39,7 +39,7 @@
     outcomeOf: (kind: CallKind, worker: WorkerId) => CallOutcome = () => delivered;
     readonly #pending = new Set<PendingCall>();
 
-    constructor(private readonly clock: ManualClock, private readonly machines: readonly SimulatedWorker[]) {}
+    constructor(private readonly clock: ManualClock, private readonly workers: readonly SimulatedWorker[]) {}
 
     clientOf(worker: WorkerId, address: string): TaskWorkerClient {
         return new SimulatedWorkerClient(worker, address, this);
@@ -54,54 +54,55 @@
         kind: CallKind,
         { worker, address }: SimulatedWorkerClient,
         limit: Milliseconds,
-        carryOut: (machine: SimulatedWorker, sent: SentCall) => Promise<Answer> | Answer,
+        execute: (recipient: SimulatedWorker, sent: SentCall) => Promise<Answer> | Answer,
         refused: (refusal: OrderRefusal) => Answer,
     ): Promise<Answer> {
-        const { executedAfter: carriedOutAfter, isAnswered } = this.outcomeOf(kind, worker);
+        const { executedAfter, isAnswered } = this.outcomeOf(kind, worker);
         const unreachable = (why: string) => new WorkerUnreachableError(`${kind} at ${address}: ${why}`);
         const sent = {
             at: this.clock.monotonic(),
-            incarnation: this.machines.find(({ id }) => id === worker)?.incarnationCount ?? 0,
+            incarnation: this.workers.find(({ id }) => id === worker)?.incarnationCount ?? 0,
         };
-        const givenUp = this.clock.sleep(limit).then((): Answer => {
+        const timedOut = this.clock.sleep(limit).then((): Answer => {
             throw unreachable("no answer");
         });
         const answered = async (): Promise<Answer> => {
-            if (carriedOutAfter === undefined) {
-                return givenUp;
+            if (executedAfter === undefined) {
+                return timedOut;
             }
-            if (carriedOutAfter > 0) {
-                await this.clock.sleep(carriedOutAfter);
+            if (executedAfter > 0) {
+                await this.clock.sleep(executedAfter);
             }
-            const machine = this.machines.find(other => other.address === address && other.isUp);
-            if (machine === undefined) {
+            const recipient = this.workers.find(other => other.address === address && other.isUp);
+            if (recipient === undefined) {
                 throw unreachable("connection refused");
             }
-            const lives = machine.incarnationCount;
-            const answer = machine.id === worker
-                ? await carryOut(machine, sent)
+            const incarnation = recipient.incarnationCount;
+            const answer = recipient.id === worker
+                ? await execute(recipient, sent)
                 : refused(OrderRefusal.WrongWorker);
-            if (!machine.isUp || machine.incarnationCount !== lives) {
+            if (!recipient.isUp || recipient.incarnationCount !== incarnation) {
                 throw unreachable("connection reset");
             }
-            return isAnswered ? answer : givenUp;
+            return isAnswered ? answer : timedOut;
         };
         const call = answered();
         call.catch(() => undefined);
-        givenUp.catch(() => undefined);
+        timedOut.catch(() => undefined);
         const pending = { kind, worker, sentAt: this.clock.monotonic() };
         this.#pending.add(pending);
         const settled = () => void this.#pending.delete(pending);
         call.then(settled, settled);
-        return Promise.race([call, givenUp]);
+        return Promise.race([call, timedOut]);
     }
 
     /** Waits until the worker has ends to report, the wait is over, or the worker has crashed. */
-    async waitForEnds(machine: SimulatedWorker, forgetThrough: number, wait: Milliseconds): Promise<void> {
+    async waitForEnds(recipient: SimulatedWorker, forgetThrough: number, wait: Milliseconds): Promise<void> {
         const until = this.clock.monotonic() + wait;
-        const lives = machine.incarnationCount;
-        const isOver = () => !machine.isUp || machine.incarnationCount !== lives || this.clock.monotonic() >= until;
-        while (!machine.hasEnds(forgetThrough) && !isOver()) {
+        const incarnation = recipient.incarnationCount;
+        const isOver = () =>
+            !recipient.isUp || recipient.incarnationCount !== incarnation || this.clock.monotonic() >= until;
+        while (!recipient.hasEnds(forgetThrough) && !isOver()) {
             await this.clock.sleep(pollInterval);
         }
     }
@@ -112,20 +113,22 @@
     constructor(readonly worker: WorkerId, readonly address: string, private readonly network: SimulatedNetwork) {}
 
     poll(request: PollRequest, limit: Milliseconds): Promise<PollAnswer> {
-        const carryOut = async (machine: SimulatedWorker): Promise<PollAnswer> => {
-            const first = machine.poll(request);
+        const execute = async (recipient: SimulatedWorker): Promise<PollAnswer> => {
+            const first = recipient.poll(request);
             if (first === undefined) {
                 return { kind: "refused", refusal: OrderRefusal.Fenced };
             }
             const { wait = 0, forgetThrough } = request;
-            const lives = machine.incarnationCount;
-            await this.network.waitForEnds(machine, forgetThrough, wait);
-            const look = machine.isUp && machine.incarnationCount === lives ? machine.poll(request) : first;
-            return look === undefined
+            const incarnation = recipient.incarnationCount;
+            await this.network.waitForEnds(recipient, forgetThrough, wait);
+            const second = recipient.isUp && recipient.incarnationCount === incarnation
+                ? recipient.poll(request)
+                : first;
+            return second === undefined
                 ? { kind: "refused", refusal: OrderRefusal.Fenced }
-                : { kind: "seen", poll: look };
+                : { kind: "seen", poll: second };
         };
-        return this.network.call("look", this, limit, carryOut, refusal => ({ kind: "refused", refusal }));
+        return this.network.call("look", this, limit, execute, refusal => ({ kind: "refused", refusal }));
     }
 
     start(order: StartOrder, limit: Milliseconds): Promise<OrderAnswer> {
@@ -133,13 +136,13 @@
             "start",
             this,
             limit,
-            (machine, sent) => machine.startRun(order, sent),
+            (recipient, sent) => recipient.startRun(order, sent),
             refuse,
         );
     }
 
     stop(order: StopOrder, limit: Milliseconds): Promise<OrderAnswer> {
-        return this.network.call("stop", this, limit, machine => machine.stopRun(order), refuse);
+        return this.network.call("stop", this, limit, recipient => recipient.stopRun(order), refuse);
     }
 
     async pace(): Promise<OrderAnswer> {
--- a/packages/entry/test/support/lives/simulated-worker.ts
+++ b/packages/entry/test/support/lives/simulated-worker.ts
@@ -28,7 +28,7 @@
 const gangWait: Milliseconds = 3_000;
 
 interface Run {
-    readonly seen: RecordedRun;
+    readonly record: RecordedRun;
     readonly processorThousandths: number;
 }
 
@@ -37,7 +37,7 @@
     token = 0;
     leaseUntil: WorkerTime = 0;
     readonly runs: Run[] = [];
-    ended: { readonly listed: EndedRun; readonly seen: RecordedRun; }[] = [];
+    ended: { readonly listed: EndedRun; readonly record: RecordedRun; }[] = [];
     count = 0;
     /** By task, the highest run that ended here. */
     readonly highestEnded = new Map<TaskAddress, number>();
@@ -77,7 +77,7 @@
         readonly id: WorkerId,
         public address: string,
         private readonly clock: Clock,
-        private readonly record: RunHistory,
+        private readonly history: RunHistory,
         private readonly sizeOf: (task: TaskAddress) => number = () => 0,
     ) {
         this.start();
@@ -117,19 +117,19 @@
     /** Loses its memory and all runs. */
     crash(): void {
         const now = this.clock.monotonic();
-        this.#incarnation?.runs.forEach(({ seen }) => seen.endedAt = now);
+        this.#incarnation?.runs.forEach(({ record }) => record.endedAt = now);
         this.#incarnation = undefined;
     }
 
     /** State for telling states of the simulation apart. */
     describe(): unknown {
-        const life = this.#incarnation;
-        return life === undefined ? undefined : {
+        const incarnation = this.#incarnation;
+        return incarnation === undefined ? undefined : {
             address: this.address,
-            life: life.number,
-            token: life.token,
-            runs: life.runs.map(({ seen: { task, run } }) => [task, run]),
-            ended: life.ended.map(({ listed: { number, task, run, end } }) => [number, task, run, end]),
+            life: incarnation.number,
+            token: incarnation.token,
+            runs: incarnation.runs.map(({ record: { task, run } }) => [task, run]),
+            ended: incarnation.ended.map(({ listed: { number, task, run, end } }) => [number, task, run, end]),
         };
     }
 
@@ -140,54 +140,54 @@
 
     /** Undefined when the token is outdated. */
     poll({ token, forgetThrough, leaseUntil }: PollRequest): PollResult | undefined {
-        const life = this.#present;
-        if (token < life.token) {
+        const incarnation = this.#present;
+        if (token < incarnation.token) {
             return undefined;
         }
-        life.token = token;
-        this.#lease(life, leaseUntil);
-        life.ended.filter(({ listed }) => listed.number <= forgetThrough).forEach(({ seen }) =>
-            seen.isAcknowledged = true
+        incarnation.token = token;
+        this.#lease(incarnation, leaseUntil);
+        incarnation.ended.filter(({ listed }) => listed.number <= forgetThrough).forEach(({ record }) =>
+            record.isAcknowledged = true
         );
-        life.ended = life.ended.filter(({ listed }) => listed.number > forgetThrough);
+        incarnation.ended = incarnation.ended.filter(({ listed }) => listed.number > forgetThrough);
         return {
-            ...(this.namesIncarnations ? { life: this.#nameOf(life) } : {}),
-            clock: this.#clockOf(life),
-            running: life.runs.map(({ seen: { task, run } }) => ({
+            ...(this.namesIncarnations ? { life: this.#nameOf(incarnation) } : {}),
+            clock: this.#clockOf(incarnation),
+            running: incarnation.runs.map(({ record: { task, run } }) => ({
                 task,
                 run,
                 checkpoint: "",
                 percent: 10,
                 measure: 0,
             })),
-            ended: life.ended.map(({ listed }) => listed),
+            ended: incarnation.ended.map(({ listed }) => listed),
         };
     }
 
     startRun({ task, run, payload, token, leaseUntil }: StartOrder, sent: SentCall): OrderAnswer {
-        const life = this.#present;
-        const clock = this.#clockOf(life);
-        if (token < life.token) {
+        const incarnation = this.#present;
+        const clock = this.#clockOf(incarnation);
+        if (token < incarnation.token) {
             return { kind: "refused", refusal: OrderRefusal.Fenced, clock };
         }
-        life.token = token;
+        incarnation.token = token;
         if (leaseUntil < clock) {
             return { kind: "refused", refusal: OrderRefusal.Late, clock };
         }
-        this.#lease(life, leaseUntil);
-        if (life.runs.some(({ seen }) => seen.task === task && seen.run === run)) {
+        this.#lease(incarnation, leaseUntil);
+        if (incarnation.runs.some(({ record }) => record.task === task && record.run === run)) {
             return { kind: "taken", clock };
         }
-        if ((life.highestEnded.get(task) ?? 0) >= run) {
+        if ((incarnation.highestEnded.get(task) ?? 0) >= run) {
             return { kind: "refused", refusal: OrderRefusal.OldRun, clock };
         }
-        const seen: RecordedRun = {
+        const record: RecordedRun = {
             task,
             run,
             worker: this.id,
             behaviour: behaviourOf(payload),
-            incarnation: life.number,
-            isStray: life.number !== sent.incarnation,
+            incarnation: incarnation.number,
+            isStray: incarnation.number !== sent.incarnation,
             sentAt: sent.at,
             startedAt: this.clock.monotonic(),
             endedAt: undefined,
@@ -195,58 +195,60 @@
             hasCrashed: false,
             isAcknowledged: false,
         };
-        this.record.runs.push(seen);
-        life.runs.push({ seen, processorThousandths: this.sizeOf(task) });
-        const charged = life.runs.reduce((sum, { processorThousandths }) => sum + processorThousandths, 0);
-        this.peakProcessorThousandths = Math.max(this.peakProcessorThousandths, charged);
+        this.history.runs.push(record);
+        incarnation.runs.push({ record, processorThousandths: this.sizeOf(task) });
+        const requested = incarnation.runs.reduce((sum, { processorThousandths }) => sum + processorThousandths, 0);
+        this.peakProcessorThousandths = Math.max(this.peakProcessorThousandths, requested);
         return { kind: "taken", clock };
     }
 
     stopRun({ task, run, token }: StopOrder): OrderAnswer {
-        const life = this.#present;
-        const clock = this.#clockOf(life);
-        if (token < life.token) {
+        const incarnation = this.#present;
+        const clock = this.#clockOf(incarnation);
+        if (token < incarnation.token) {
             return { kind: "refused", refusal: OrderRefusal.Fenced, clock };
         }
-        life.token = token;
-        life.runs.filter(({ seen }) => seen.task === task && seen.run === run)
-            .forEach(stopped => this.#end(life, stopped, RunEnd.Stopped));
+        incarnation.token = token;
+        incarnation.runs.filter(({ record }) => record.task === task && record.run === run)
+            .forEach(stopped => this.#end(incarnation, stopped, RunEnd.Stopped));
         return { kind: "taken", clock };
     }
 
     /** Processes the time that has passed: runs end, crash the worker, or lose their lease. */
     tick(): void {
-        const life = this.#incarnation;
-        if (life === undefined) {
+        const incarnation = this.#incarnation;
+        if (incarnation === undefined) {
             return;
         }
-        for (const run of [...life.runs]) {
-            const end = this.#endOf(run.seen);
+        for (const run of [...incarnation.runs]) {
+            const end = this.#endOf(run.record);
             if (end === "crash") {
-                run.seen.hasCrashed = true;
+                run.record.hasCrashed = true;
                 this.crash();
                 return;
             }
             if (end !== undefined) {
-                this.#end(life, run, end);
+                this.#end(incarnation, run, end);
             }
         }
-        if (this.#clockOf(life) > life.leaseUntil) {
-            [...life.runs].forEach(run => this.#end(life, run, RunEnd.Lapsed));
+        if (this.#clockOf(incarnation) > incarnation.leaseUntil) {
+            [...incarnation.runs].forEach(run => this.#end(incarnation, run, RunEnd.Lapsed));
         }
     }
 
-    #nameOf(life: IncarnationState): WorkerIncarnation {
-        return this.changesIncarnationEachAnswer ? workerIncarnation(life.born + ++this.#reportedNames) : life.born;
+    #nameOf(incarnation: IncarnationState): WorkerIncarnation {
+        return this.changesIncarnationEachAnswer
+            ? workerIncarnation(incarnation.born + ++this.#reportedNames)
+            : incarnation.born;
     }
 
     /** How a run ends now; undefined while it continues. */
-    #endOf(seen: RecordedRun): RunEnd | "crash" | undefined {
-        const { kind, after } = seen.behaviour;
+    #endOf(record: RecordedRun): RunEnd | "crash" | undefined {
+        const { kind, after } = record.behaviour;
         if (kind === TaskKind.Gang) {
-            return this.#endOfMember(seen);
+            return this.#endOfMember(record);
         }
-        if (kind === TaskKind.Lasting || this.clock.monotonic() - seen.startedAt < after) {
+        if (kind === TaskKind.Lasting || this.clock.monotonic() - record.startedAt < after) {
             return undefined;
         }
         if (kind === TaskKind.Crash) {
@@ -256,11 +258,11 @@
     }
 
     /** Members run from the moment that all have started; they finish together, and none continues without the others. */
-    #endOfMember(seen: RecordedRun): RunEnd | undefined {
+    #endOfMember(record: RecordedRun): RunEnd | undefined {
         const now = this.clock.monotonic();
-        const all = this.record.membersOf(seen);
+        const all = this.history.membersOf(record);
         const present = all.filter(({ endedAt }) => endedAt === undefined);
-        const { members, after } = seen.behaviour;
+        const { members, after } = record.behaviour;
         if (all.some(({ end }) => end === RunEnd.Done)) {
             return RunEnd.Done;
         }
@@ -271,7 +273,7 @@
         if (present.length === members && now - lastStart >= after) {
             return RunEnd.Done;
         }
-        return present.length < members && now - seen.startedAt >= gangWait ? RunEnd.Alone : undefined;
+        return present.length < members && now - record.startedAt >= gangWait ? RunEnd.Alone : undefined;
     }
 
     get #present(): IncarnationState {
@@ -281,25 +283,25 @@
         return this.#incarnation;
     }
 
-    #clockOf(life: IncarnationState): WorkerTime {
-        return this.clock.monotonic() - life.startedAt;
+    #clockOf(incarnation: IncarnationState): WorkerTime {
+        return this.clock.monotonic() - incarnation.startedAt;
     }
 
-    #lease(life: IncarnationState, until: WorkerTime | undefined): void {
-        const longest = this.#clockOf(life) + longestLease;
-        life.leaseUntil = Math.max(life.leaseUntil, Math.min(until ?? 0, longest));
+    #lease(incarnation: IncarnationState, until: WorkerTime | undefined): void {
+        const longest = this.#clockOf(incarnation) + longestLease;
+        incarnation.leaseUntil = Math.max(incarnation.leaseUntil, Math.min(until ?? 0, longest));
     }
 
-    #end(life: IncarnationState, run: Run, end: RunEnd): void {
-        life.runs.splice(life.runs.indexOf(run), 1);
-        const { seen } = run;
-        seen.endedAt = this.clock.monotonic();
-        seen.end = end;
-        life.highestEnded.set(seen.task, Math.max(seen.run, life.highestEnded.get(seen.task) ?? 0));
-        life.count++;
-        life.ended.push({
-            seen,
-            listed: { number: life.count, task: seen.task, run: seen.run, end, checkpoint: "" },
+    #end(incarnation: IncarnationState, run: Run, end: RunEnd): void {
+        incarnation.runs.splice(incarnation.runs.indexOf(run), 1);
+        const { record } = run;
+        record.endedAt = this.clock.monotonic();
+        record.end = end;
+        incarnation.highestEnded.set(record.task, Math.max(record.run, incarnation.highestEnded.get(record.task) ?? 0));
+        incarnation.count++;
+        incarnation.ended.push({
+            record,
+            listed: { number: incarnation.count, task: record.task, run: record.run, end, checkpoint: "" },
         });
     }
 }
--- a/packages/entry/test/support/lives/simulation-world.ts
+++ b/packages/entry/test/support/lives/simulation-world.ts
@@ -37,7 +37,7 @@
 import { longestLease, SimulatedWorker, type WorkerStart } from "./simulated-worker.js";
 
 /** Capacity of each worker. */
-const room = { processorThousandths: 8_000, memoryMebibytes: 32_768, accelerators: 0 };
+const workerCapacity = { processorThousandths: 8_000, memoryMebibytes: 32_768, accelerators: 0 };
 /** Resolution of virtual time. */
 const step: Milliseconds = 10;
 
@@ -159,11 +159,11 @@
     /** Starts a new worker and publishes its entry. */
     addWorker(name: string, address: string): SimulatedWorker {
         const sizeOf = (task: TaskAddress) => this.#sizes.get(task.slice(0, task.indexOf("/"))) ?? 0;
-        const machine = new SimulatedWorker(workerId(name), address, this.clock, this.history, sizeOf);
-        machine.namesIncarnations = this.options.namesIncarnations ?? true;
-        this.workers.push(machine);
-        this.publishEntry(machine);
-        return machine;
+        const worker = new SimulatedWorker(workerId(name), address, this.clock, this.history, sizeOf);
+        worker.namesIncarnations = this.options.namesIncarnations ?? true;
+        this.workers.push(worker);
+        this.publishEntry(worker);
+        return worker;
     }
 
     /** Number of owners so far. */
@@ -214,15 +214,15 @@
     /** Connects a VM that only listens to the owner; the kinds of messages are added to the result as they arrive. */
     connectListener(name: string): string[] {
         const [ownerEnd, vmEnd] = createMemoryChannel<OwnerMessage, VmMessage>();
-        const heard: string[] = [];
-        vmEnd.onMessage = ({ kind }) => void heard.push(kind);
+        const received: string[] = [];
+        vmEnd.onMessage = ({ kind }) => void received.push(kind);
         this.owner.connect(makeVm(name), ownerEnd);
-        return heard;
+        return received;
     }
 
     /** Publishes a worker's entry, with its present incarnation and address or others. */
-    publishEntry(machine: SimulatedWorker, { address, born }: ListedIncarnation = machine, isDraining = false): void {
-        const { id } = machine;
+    publishEntry(worker: SimulatedWorker, { address, born }: ListedIncarnation = worker, isDraining = false): void {
+        const { id } = worker;
         this.directory.put({
             worker: id,
             ...(born === undefined ? {} : { life: born }),
@@ -230,7 +230,7 @@
             service,
             dataHall: "hall-a",
             vm: vmId(`vm-of-${id}`),
-            capacity: room,
+            capacity: workerCapacity,
             labels: ["a", "r1"],
             rack: "r1",
             isDraining,
@@ -239,11 +239,11 @@
     }
 
     /** Crashes a worker and restarts it under its id after a while, when its entry is published. */
-    async restart(machine: SimulatedWorker, away: Milliseconds, how: WorkerStart = {}): Promise<void> {
-        machine.crash();
-        await this.advance(away);
-        machine.start(how);
-        this.publishEntry(machine);
+    async restart(worker: SimulatedWorker, downtime: Milliseconds, options: WorkerStart = {}): Promise<void> {
+        worker.crash();
+        await this.advance(downtime);
+        worker.start(options);
+        this.publishEntry(worker);
     }
 
     /** Submits a job of equal tasks; rejects when it is not accepted. */
@@ -302,18 +302,18 @@
     async advance(duration: Milliseconds): Promise<void> {
         for (let elapsed = 0; elapsed < duration; elapsed += step) {
             this.clock.advance(step);
-            this.workers.forEach(machine => machine.tick());
+            this.workers.forEach(worker => worker.tick());
             this.onStep();
             await settle();
         }
     }
 
     /** Advances virtual time until a condition holds, for `limit` at most; resolves to whether it holds. */
-    async advanceUntil(isTrue: () => boolean, limit: Milliseconds): Promise<boolean> {
-        for (let elapsed = 0; elapsed < limit && !isTrue(); elapsed += step) {
+    async advanceUntil(condition: () => boolean, limit: Milliseconds): Promise<boolean> {
+        for (let elapsed = 0; elapsed < limit && !condition(); elapsed += step) {
             await this.advance(step);
         }
-        return isTrue();
+        return condition();
     }
 
     /** Stops the owner and the VM. */
