--- a/packages/entry/src/entry-process.ts
+++ b/packages/entry/src/entry-process.ts
@@ -1,4 +1,4 @@
-/** Puts the parts of an entry VM together: front, links, and the owner's work while this VM has the cell. */
+/** The program of an entry VM, without its HTTP servers. */
 import {
     type AdviceClient,
     type ConfigurationFeed,
@@ -39,16 +39,16 @@
 import { listenForOwners, refusesConnections } from "./peers/index.js";
 import { createMemoryChannel, type OwnerMessage, type VmMessage } from "./protocol/index.js";
 import type { EntrySettings } from "./settings/index.js";
-import { shutdownTimesOf } from "./stop-times.js";
+import { shutdownTimesOf } from "./shutdown-times.js";
 import { RelayedStore } from "./store-relay/index.js";
 
 const millisecondsPerSecond = 1_000;
-/** Limit of the look whether a lost owner's process is gone, in milliseconds. */
+/** Timeout of the connection attempt that tells whether a lost owner's process has ended, in milliseconds. */
 const ownerCheckTimeout: Milliseconds = 300;
-/** Margin added to the leases of an earlier owner, in milliseconds. */
+/** Added to the longest lease that an earlier owner may have granted, in milliseconds. */
 const priorLeaseMargin: Milliseconds = 300;
 
-/** What an entry VM is made from. */
+/** What an {@link EntryProcess} depends on. */
 export interface EntryProcessOptions {
     readonly settings: EntrySettings;
     readonly clock: SuspensionAwareClock;
@@ -56,21 +56,24 @@
     readonly logger: EventLogger;
     readonly metrics: EntryMetrics;
     readonly store: PlatformStore & ChangeFeed;
-    /** The workers' entries, read through this way to the store. */
+    /** Reads the workers' entries over the given connection to the store. */
     readonly directory: (feed: ChangeFeed) => WorkerDirectory;
     readonly configuration: ConfigurationFeed;
     readonly clients: TaskWorkerClients;
     readonly advice: AdviceClient | undefined;
-    /** The platform's service of VMs and the board of waves, over this way to the store; undefined without one. */
+    /** Access to the platform's VM service and to the published states of waves; undefined where the platform has no such service. */
     readonly upkeep: ((store: PlatformStore & ChangeFeed) => OwnerUpkeep) | undefined;
 }
 
-/** See the module's comment. */
+/**
+ * Wires the components of an entry VM: the front end for callers, the links to workers, and the owner's work while this VM owns
+ * the cell. Every entry VM is a candidate for ownership.
+ */
 export class EntryProcess {
     readonly jobs: JobService;
     readonly requestLog: RequestLog;
     readonly #logger: EventLogger;
-    /** How long what this VM follows in the store may go unheard. */
+    /** Timeouts of the loops that follow the store. */
     readonly #followLimits: FollowLimits;
     readonly #self: EntryVm;
     readonly #view: CellView;
@@ -80,8 +83,9 @@
     readonly #candidate: Candidate;
     readonly #store: RelayedStore;
     readonly #probe: StoreProbe;
+    /** Process of a lost owner that was found to have ended. */
     #terminatedOwner: string | undefined;
-    /** Whether the owner asked this VM to take the cell over. */
+    /** Whether the current owner asked this VM to take over the cell. */
     #isTakeoverRequested = false;
     #ownerWaiters: (() => void)[] = [];
 
@@ -163,8 +167,8 @@
                 + priorLeaseMargin,
             ownerStatus: () => ({
                 ownerSilence: this.#session.hasOwner ? this.#session.ownerSilence : Infinity,
-                // Not told: an owner that was only paused would answer for a while that it does not know jobs which the next
-                // one took, and the renewal of its lease would not show it that the key is another's.
+                // Left out on purpose: an owner that was only paused would go on denying jobs that its successor accepted, and
+                // renewing its lease does not show it that the owner's key has changed hands.
                 heardSilence: undefined,
                 deadOwner: this.#terminatedOwner,
                 isAsked: this.#isTakeoverRequested,
@@ -190,30 +194,30 @@
         );
     }
 
-    /** The queues in force; undefined while there is no configuration. */
+    /** Undefined until a configuration is known. */
     get queues(): QueueDirectory | undefined {
         return this.#configuration.queues;
     }
 
-    /** Whether this VM hears of the configuration as often as it does while the store answers. */
+    /** Whether the store confirmed the configuration within the time that following it takes at most. */
     get isConfigurationCurrent(): boolean {
         return (this.#configuration.age ?? Infinity) <= maxStaleness(this.#followLimits);
     }
 
-    /** Why this VM is not ready for callers; undefined when it is. */
+    /** Why this VM does not accept callers; undefined when it does. */
     get unreadyReason(): string | undefined {
         return this.queues === undefined ? "no configuration yet" : undefined;
     }
 
-    /** Serves until `stop` fires, then hands over and goes on until callers are `drained`. */
-    async run(stop: AbortSignal, drained: () => Promise<void>): Promise<void> {
+    /** Serves until `stop` fires, then hands the cell over and serves on until `untilDrained` resolves. */
+    async run(stop: AbortSignal, untilDrained: () => Promise<void>): Promise<void> {
         const { settings, store, clock, metrics } = this.options;
-        const { membersUnavailable: lost, membersAvailable: regained } = logEvents;
+        const { membersUnavailable: lostEvent, membersAvailable: recoveredEvent } = logEvents;
         const members = new DependencyMonitor({
             logger: this.#logger,
             clock,
-            lostEvent: lost,
-            recoveredEvent: regained,
+            lostEvent,
+            recoveredEvent,
         });
         const following = new FollowLoop({
             source: new KeyFollowSource(store, cellPrefix, this.#view),
@@ -235,18 +239,18 @@
             following.run(background.signal),
             this.#session.run(background.signal),
         ];
-        const leaving = untilAborted(stop).then(() => this.#drain(drained));
-        await Promise.all([this.#candidate.run(stop), leaving]);
+        const draining = untilAborted(stop).then(() => this.#drain(untilDrained));
+        await Promise.all([this.#candidate.run(stop), draining]);
         background.abort();
         await Promise.all(running);
     }
 
-    /** Callers are served on while the cell and the links go to others. */
-    async #drain(drained: () => Promise<void>): Promise<void> {
+    /** Answers open requests while the cell and the links move to other VMs. */
+    async #drain(untilDrained: () => Promise<void>): Promise<void> {
         const { settings, clock } = this.options;
         this.#session.announceLeaving();
         this.jobs.limitAnswersTo(clock.monotonic() + shutdownTimesOf(settings.bounds.stopWithin).answerWithin);
-        await drained();
+        await untilDrained();
     }
 
     #handleOwnerChange(hasOwner: boolean): void {
@@ -264,7 +268,7 @@
         void this.#checkOwnerProcess();
     }
 
-    /** Finds out whether a lost owner's process is gone: then its lease need not be waited for. */
+    /** Checks whether a lost owner's process has ended: a successor need not wait for the lease of an ended process. */
     async #checkOwnerProcess(): Promise<void> {
         const owner = this.#view.owner;
         if (owner !== undefined && await refusesConnections(owner.address, ownerCheckTimeout)) {
@@ -283,7 +287,7 @@
         });
     }
 
-    /** This VM is one of the owner's: it is connected without a socket. */
+    /** Connects this VM to the owner in its own process through a memory channel. */
     #connectLocally(session: OwnerSession): void {
         const [ownerEnd, vmEnd] = createMemoryChannel<OwnerMessage, VmMessage>();
         this.#session.attach(vmEnd);
--- a/packages/entry/src/following/follow-loop.ts
+++ b/packages/entry/src/following/follow-loop.ts
@@ -1,126 +1,126 @@
-/**
- * Follows something in the store until it is told to stop: reads all, then takes changes in, and knows how old that is.
- *
- * A connection may fall silent without an end. A call over it looks like a store with nothing new, so no call waits for long
- * and each is given up soon after its wait is over.
- */
+/** Follows a source of changes in the store. */
 import { type Clock, type Milliseconds, ResponseTimeEstimator } from "@pebbledale/core";
 import { createAbortController, NoAnswerError } from "@pebbledale/runtime";
 import {
     followRetryDelay,
     maxReadAllTimeout,
     maxSlack,
+    minSlack,
     readAllTimeout,
     repeatedRetryDelay,
     retryWait,
-    shortestSlack,
 } from "./constants.js";
 import type { FollowLimits } from "./limits.js";
 import type { StoreProbe } from "./store-probe.js";
 
-/** What one call brought. */
+/** Result of one call. */
 export interface FollowedUpdate {
-    /** Where the next call goes on. */
+    /** Cursor for the next call. */
     readonly cursor: string;
-    /** Takes it in. Not done for a call that was given up: newer news may have been taken in before it ends. */
+    /** Applies the result. Not called when the call was abandoned: a newer result may have been applied by then. */
     readonly apply: () => void;
 }
 
-/** What is followed. Calls reject when no answer came. */
+/** What a {@link FollowLoop} follows. Calls reject when no answer arrives. */
 export interface FollowSource {
-    /** Reads all as it stands. */
+    /** Reads the whole current state. */
     readAll(signal: AbortSignal): Promise<FollowedUpdate>;
-    /** Waits at most `wait` for changes since; undefined when all must be read again. */
+    /** Waits up to `wait` for changes after the cursor; undefined when the whole state has to be read again. */
     changes(cursor: string, wait: Milliseconds, signal: AbortSignal): Promise<FollowedUpdate | undefined>;
 }
 
-/** What a loop needs. */
+/** What a {@link FollowLoop} depends on. */
 export interface FollowLoopOptions {
     readonly source: FollowSource;
     readonly clock: Clock;
     readonly limits: FollowLimits;
-    /** Tells when a store that has been silent answers again; left out where a call may wait until it is given up. */
+    /** Detects that the store answers again. Without one, a call to a silent store ends only by its timeout. */
     readonly probe?: StoreProbe;
-    /** Told of each answer, after it was taken in. */
+    /** Called after each answer, once it is applied. */
     readonly onAnswer: () => void;
-    /** Told of each call without an answer, and how long ago the last one came; undefined when there was none yet. */
+    /** Called after each failed call. `age`: time since the last answer, undefined before the first. */
     readonly onFailure: (cause: unknown, age: Milliseconds | undefined) => void;
 }
 
-/** Thrown when a call is given up as the store, silent when it was made, answers again. */
+/** Ends a call that was sent while the store was silent: the store has recovered and will not answer that call. */
 class StoreRecoveredError extends Error {
-    override readonly name = "StoreBackError";
+    override readonly name = "StoreRecoveredError";
 }
 
-/** See the module's comment. */
+/**
+ * Keeps a local copy of data in the store up to date: reads the whole state once, then waits for changes in a loop, and tells how
+ * old the copy is.
+ *
+ * A connection can die without being closed, and then looks like a store without changes. Each call therefore waits only briefly
+ * and is abandoned soon after its wait is over.
+ */
 export class FollowLoop {
     #answeredAt: Milliseconds | undefined;
-    #failuresInARow = 0;
-    readonly #answerTimes: ResponseTimeEstimator;
+    #consecutiveFailures = 0;
+    readonly #responseTimes: ResponseTimeEstimator;
 
     constructor(private readonly options: FollowLoopOptions) {
         const { slack } = options.limits;
-        this.#answerTimes = new ResponseTimeEstimator({ min: Math.min(shortestSlack, slack), max: slack });
+        this.#responseTimes = new ResponseTimeEstimator({ min: Math.min(minSlack, slack), max: slack });
     }
 
-    /** How long ago the store last answered: what is known is that old. Undefined before the first answer. */
+    /** Age of the copy: time since the store last answered, undefined before the first answer. */
     get age(): Milliseconds | undefined {
         return this.#answeredAt === undefined ? undefined : this.options.clock.monotonic() - this.#answeredAt;
     }
 
-    /** Follows until `signal` fires. */
     async run(signal: AbortSignal): Promise<void> {
         const { clock, onAnswer, onFailure } = this.options;
         let cursor: string | undefined;
         while (!signal.aborted) {
             try {
-                const news = await this.#fetchNext(cursor, signal);
-                news?.apply();
-                cursor = news?.cursor;
+                const update = await this.#fetchNext(cursor, signal);
+                update?.apply();
+                cursor = update?.cursor;
                 this.#answeredAt = clock.monotonic();
-                this.#failuresInARow = 0;
+                this.#consecutiveFailures = 0;
                 onAnswer();
             }
             catch (cause) {
                 if (!signal.aborted && !(cause instanceof StoreRecoveredError)) {
                     onFailure(cause, this.age);
-                    this.#failuresInARow++;
-                    await clock.sleep(this.#failuresInARow > 1 ? repeatedRetryDelay : followRetryDelay, signal);
+                    this.#consecutiveFailures++;
+                    await clock.sleep(this.#consecutiveFailures > 1 ? repeatedRetryDelay : followRetryDelay, signal);
                 }
             }
         }
     }
 
     #fetchNext(cursor: string | undefined, signal: AbortSignal): Promise<FollowedUpdate | undefined> {
-        const { source: followed, limits } = this.options;
+        const { source, limits } = this.options;
         if (cursor === undefined) {
-            const limit = Math.min(maxReadAllTimeout, readAllTimeout * 2 ** this.#failuresInARow);
-            return this.#withTimeout(limit, signal, linked => followed.readAll(linked));
+            const limit = Math.min(maxReadAllTimeout, readAllTimeout * 2 ** this.#consecutiveFailures);
+            return this.#withTimeout(limit, signal, linked => source.readAll(linked));
         }
-        const wait = this.#failuresInARow > 0 ? retryWait : limits.wait;
+        const wait = this.#consecutiveFailures > 0 ? retryWait : limits.wait;
         return this.#withTimeout(wait + this.#slack, signal, async linked => {
             const sentAt = this.options.clock.monotonic();
-            const news = await followed.changes(cursor, wait, linked);
+            const update = await source.changes(cursor, wait, linked);
             this.#recordAnswerTime(this.options.clock.monotonic() - sentAt - wait);
-            return news;
+            return update;
         });
     }
 
-    /** How long the answer to a call may stay out beyond its wait. */
+    /** How late the answer to a call may be, counted from the end of its wait. */
     get #slack(): Milliseconds {
-        return Math.min(maxSlack, this.#answerTimes.timeout * 2 ** this.#failuresInARow);
+        return Math.min(maxSlack, this.#responseTimes.timeout * 2 ** this.#consecutiveFailures);
     }
 
-    /** An answer that came before the wait was over brought news, and tells nothing of the time that answers take. */
+    /** Ignores answers that arrive before the wait is over: they carry changes and say nothing about the store's response time. */
     #recordAnswerTime(took: Milliseconds): void {
         if (took >= 0) {
-            this.#answerTimes.recordResponse(took);
+            this.#responseTimes.recordResponse(took);
         }
     }
 
     /**
-     * Gives a call up after `limit`: without an answer by then its connection is taken for silent. One that goes through
-     * another VM does not heed the signal and is left to itself.
+     * Abandons a call after `limit`. A call that another VM makes for this one ignores the signal; its result is discarded when it
+     * arrives.
      */
     async #withTimeout<Value>(
         limit: Milliseconds,
@@ -131,17 +131,17 @@
         const end = () => ended.abort(signal.reason);
         signal.addEventListener("abort", end, { once: true });
         const finished = createAbortController();
-        const givenUp = new Promise<never>((_resolve, reject) =>
+        const abandoned = new Promise<never>((_resolve, reject) =>
             ended.signal.addEventListener("abort", () => reject(ended.signal.reason as Error))
         );
-        void this.#waitForRecovery(finished.signal).then(isBack =>
-            isBack ? ended.abort(new StoreRecoveredError("the store answers again")) : undefined
+        void this.#waitForRecovery(finished.signal).then(hasRecovered =>
+            hasRecovered ? ended.abort(new StoreRecoveredError("the store recovered")) : undefined
         );
         void this.options.clock.sleep(limit, finished.signal).then(() =>
             finished.signal.aborted ? undefined : ended.abort(new NoAnswerError(`no answer in ${Math.round(limit)} ms`))
         );
         try {
-            return await Promise.race([call(ended.signal), givenUp]);
+            return await Promise.race([call(ended.signal), abandoned]);
         }
         finally {
             finished.abort();
@@ -149,9 +149,10 @@
         }
     }
 
-    /** Whether the store came back while a call was out. A call that waits for news is given up soon in any case. */
+    /** Resolves to true if the store recovers during a call. Waits for changes need no such check, as they time out soon. */
     async #waitForRecovery(signal: AbortSignal): Promise<boolean> {
         const isReadingAll = this.#answeredAt === undefined;
-        return (isReadingAll || this.#failuresInARow > 0) && await this.options.probe?.waitForRecovery(signal) === true;
+        return (isReadingAll || this.#consecutiveFailures > 0)
+            && await this.options.probe?.waitForRecovery(signal) === true;
     }
 }
--- a/packages/entry/src/front/index.ts
+++ b/packages/entry/src/front/index.ts
@@ -1,5 +1,5 @@
-/** What a front does for callers. */
-export { authenticateCaller as checkCaller, type CallerAuthentication as CallerCheck } from "./caller-check.js";
+/** Front end of an entry VM: authenticates callers and answers their requests with the help of the owner. */
+export { authenticateCaller, type CallerAuthentication } from "./caller-authentication.js";
 export * from "./job-service.js";
 export * from "./request-log.js";
 export * from "./types.js";
--- a/packages/entry/src/front/job-service.ts
+++ b/packages/entry/src/front/job-service.ts
@@ -1,15 +1,18 @@
-/** What a front does for callers: passes requests to the owner and answers each as truly as it can. */
+/** Answers callers' requests by forwarding them to the owner. */
 import type { JobDefinition } from "@pebbledale/cell";
 import type { Clock, JobId, Milliseconds, OrganisationName, QueueName } from "@pebbledale/core";
 import { createAbortController } from "@pebbledale/runtime";
 import { type OwnerReply, type OwnerRequest, RetryLaterReason } from "../protocol/index.js";
-import { answerMargin, maxOwnerWait, minOwnerCall, noOwnerRetryAfter, pendingCountLifetime } from "./constants.js";
+import { answerMargin, maxOwnerWait, minOwnerCallTime, noOwnerRetryAfter, pendingCountLifetime } from "./constants.js";
 import type { RequestLog } from "./request-log.js";
 import type { JobAnswer, OwnerAccess } from "./types.js";
 
-/** See the module's comment. */
+/**
+ * Forwards callers' requests to the owner and retries while the caller's deadline allows it, which is safe as the owner treats
+ * repeated requests as one. A request is answered as refused only if it surely had no effect, otherwise as uncertain.
+ */
 export class JobService {
-    /** Requests have their answers by this moment, by the monotonic clock: the process ends soon after. */
+    /** By the monotonic clock; set when the process stops. */
     #answerDeadline: Milliseconds = Infinity;
     readonly #pending = new Map<QueueName, { readonly at: Milliseconds; readonly count: number; }>();
 
@@ -19,27 +22,25 @@
         private readonly log: RequestLog,
     ) {}
 
-    /** This VM stops: requests that come from now on have their answers by a moment of the monotonic clock. */
+    /** Has requests answered by a moment of the monotonic clock, whatever their own deadlines. Called when the process stops. */
     limitAnswersTo(moment: Milliseconds): void {
         this.#answerDeadline = moment;
     }
 
-    /** Hands a job in. `within`: how long the caller waits. */
+    /** `within`: time until the caller's deadline. */
     submit(definition: JobDefinition, within: Milliseconds): Promise<JobAnswer> {
         return this.#ask({ kind: "submit", definition }, within);
     }
 
-    /** The state of a job, for a caller of an organisation. */
     state(job: JobId, organisation: OrganisationName | undefined, within: Milliseconds): Promise<JobAnswer> {
         return this.#ask({ kind: "state", job, organisation }, within);
     }
 
-    /** Cancels a job, for a caller of an organisation. */
     cancel(job: JobId, organisation: OrganisationName | undefined, within: Milliseconds): Promise<JobAnswer> {
         return this.#ask({ kind: "cancel", job, organisation }, within);
     }
 
-    /** How many jobs of a queue wait. */
+    /** Counts the waiting jobs of a queue; the count may be up to {@link pendingCountLifetime} old. */
     async pending(queue: QueueName, within: Milliseconds): Promise<JobAnswer> {
         const now = this.clock.monotonic();
         const known = this.#pending.get(queue);
@@ -62,11 +63,11 @@
         return answer;
     }
 
-    /** Asks until there is an answer: each request may be sent to the owner again without harm. */
+    /** Repeats the request until it is answered: repeating has no further effect at the owner. */
     async #askOwner(body: OwnerRequest, within: Milliseconds): Promise<JobAnswer> {
         const deadline = Math.min(this.clock.monotonic() + within, this.#answerDeadline) - answerMargin;
         let wasSent = false;
-        let hasAskedNext = false;
+        let hasAskedNextOwner = false;
         for (;;) {
             const left = deadline - this.clock.monotonic();
             if (!this.owner.hasOwner() && left > 0) {
@@ -75,7 +76,7 @@
             if (!this.owner.hasOwner()) {
                 return unanswered(body, wasSent, "no owner is known");
             }
-            if (deadline - this.clock.monotonic() < minOwnerCall) {
+            if (deadline - this.clock.monotonic() < minOwnerCallTime) {
                 return unanswered(body, wasSent, "too little of the caller's time is left");
             }
             const reply = await this.#withDeadline(this.owner.ask(body), deadline);
@@ -83,10 +84,10 @@
                 return unanswered(body, true, "the owner gave no answer in time");
             }
             if (reply?.kind === "handing-over") {
-                if (hasAskedNext) {
+                if (hasAskedNextOwner) {
                     return unanswered(body, wasSent, "the cell is being handed over");
                 }
-                hasAskedNext = true;
+                hasAskedNextOwner = true;
                 await this.owner.waitForOwner(Math.min(deadline - this.clock.monotonic(), maxOwnerWait));
             }
             else if (reply !== undefined) {
@@ -114,7 +115,7 @@
     }
 }
 
-/** Only what was never sent to an owner is surely not done. A state that was not read harms nothing. */
+/** A request that reached an owner may have taken effect, except where it only reads. */
 const unanswered = (body: OwnerRequest, wasSent: boolean, reason: string): JobAnswer => {
     const changesNothing = body.kind === "state" || body.kind === "pending";
     return wasSent && !changesNothing
@@ -122,7 +123,7 @@
         : { kind: "refused", retryAfter: noOwnerRetryAfter, reason };
 };
 
-const notNowReasons: Readonly<Record<RetryLaterReason, string>> = {
+const retryLaterReasons: Readonly<Record<RetryLaterReason, string>> = {
     [RetryLaterReason.JournalStalled]: "the store keeps no records now",
     [RetryLaterReason.QueueUnknown]: "the owner does not know the queue or the organisation yet",
     [RetryLaterReason.OwnerUnconfirmed]: "the owner does not know the job and is not confirmed to own the cell",
@@ -132,7 +133,7 @@
 const answerOf = (reply: Exclude<OwnerReply, { readonly kind: "handing-over"; }>): JobAnswer => {
     switch (reply.kind) {
         case "not-now":
-            return { kind: "refused", retryAfter: reply.retryAfter, reason: notNowReasons[reply.reason] };
+            return { kind: "refused", retryAfter: reply.retryAfter, reason: retryLaterReasons[reply.reason] };
         case "uncertain":
             return { kind: "uncertain", reason: "the record was not confirmed in time" };
         default:
--- a/packages/entry/src/front/request-log.ts
+++ b/packages/entry/src/front/request-log.ts
@@ -1,21 +1,20 @@
-/** Logs and counts what callers are answered. */
+/** Logs and counts answers to callers. */
 import { type Clock, logEvents, type Milliseconds } from "@pebbledale/core";
 import type { EventLogger } from "@pebbledale/runtime";
 import type { EntryMetrics } from "../observation/index.js";
 import type { OwnerRequest } from "../protocol/index.js";
 import type { JobAnswer } from "./types.js";
 
-/** A path is logged up to this length. */
-const longestPath = 100;
+const maxPathLength = 100;
 
-/** What the front believed of the owner when it answered. */
+/** How well an entry VM was in contact with the owner when it answered a caller. */
 export interface OwnerContact {
     readonly epoch: number;
-    /** How long ago the owner was heard. */
+    /** Time since the last message from the owner. */
     readonly silence: Milliseconds;
 }
 
-/** What the log is made from. */
+/** What a {@link RequestLog} depends on. */
 export interface RequestLogOptions {
     readonly logger: EventLogger;
     readonly metrics: EntryMetrics;
@@ -23,16 +22,15 @@
     readonly owner: () => OwnerContact;
 }
 
-/** See the module's comment. */
+/** Counts every answer to a caller, and logs those that do not give the caller what it asked for; the owner logs the others. */
 export class RequestLog {
     constructor(private readonly options: RequestLogOptions) {}
 
-    /** Now, by the clock that `since` of {@link logAnswer} is of. */
+    /** Current time by the clock that `since` of {@link logAnswer} refers to. */
     now(): Milliseconds {
         return this.options.clock.monotonic();
     }
 
-    /** A request was answered. An answer that gives what was asked for has its line at the owner. */
     logAnswer(request: OwnerRequest, answer: JobAnswer, since: Milliseconds): void {
         const { logger, metrics, owner } = this.options;
         const took = Math.round(this.now() - since);
@@ -62,11 +60,11 @@
         }
     }
 
-    /** A request was turned away before the owner was asked. `path`: of the queue and the job that it names. */
+    /** Records a request that was rejected before it was sent to the owner. `path` names the queue and the job. */
     logRejection(method: string, path: string, outcome: string, reason: string): void {
         const { logger, metrics } = this.options;
         metrics.recordRequest(method.toLowerCase(), outcome, 0);
-        logger.log(logEvents.callerTurnedAway, { method, path: path.slice(0, longestPath), outcome, reason });
+        logger.log(logEvents.callerTurnedAway, { method, path: path.slice(0, maxPathLength), outcome, reason });
     }
 }
 
--- a/packages/entry/src/index.ts
+++ b/packages/entry/src/index.ts
@@ -1,4 +1,4 @@
-/** The program of an entry VM: front, links to workers and the owner of the cell. */
+/** The program of an entry VM: front end for callers, links to workers, and the owner of the cell. */
 export * from "./configuration/index.js";
 export * from "./entry-process.js";
 export * from "./following/index.js";
@@ -11,5 +11,5 @@
 export * from "./peers/index.js";
 export * from "./protocol/index.js";
 export * from "./settings/index.js";
-export * from "./stop-times.js";
+export * from "./shutdown-times.js";
 export * from "./store-relay/index.js";
--- a/packages/entry/src/membership/index.ts
+++ b/packages/entry/src/membership/index.ts
@@ -1,4 +1,4 @@
-/** Who belongs to the cell: entry VMs and the owner, by leased keys of the store. */
-export * from "./followed-keys.js";
-export * from "./registration.js";
-export * from "./view.js";
+/** Membership of the cell: entry VMs and the owner, each a key in the store that hangs on a lease. */
+export * from "./cell-view.js";
+export * from "./key-follow-source.js";
+export * from "./vm-registration.js";
--- a/packages/entry/src/membership/followed-keys.ts
+++ b/packages/entry/src/membership/key-follow-source.ts
@@ -1,32 +1,29 @@
-/** Keys of the store that are followed by prefix. */
+/** Follows all keys of the store that have a prefix. */
 import type { ChangeFeed, KeyChanges, KeysAtCursor, Milliseconds } from "@pebbledale/core";
 import type { FollowedUpdate, FollowSource } from "../following/index.js";
 
-/** Takes in what is followed. */
+/** Local copy of the keys under a prefix. */
 export interface KeyReplica {
-    /** All keys as they stand. */
+    /** Replaces the whole content. */
     replace(keys: KeysAtCursor): void;
-    /** Changes since. */
     apply(changes: KeyChanges): void;
 }
 
-/** See the module's comment. */
+/** Feeds a {@link KeyReplica} with all keys that have a prefix, and with changes to them. */
 export class KeyFollowSource implements FollowSource {
     constructor(
         private readonly feed: ChangeFeed,
         private readonly prefix: string,
-        private readonly follower: KeyReplica,
+        private readonly replica: KeyReplica,
     ) {}
 
-    /** See {@link FollowSource.readAll}. */
     async readAll(signal: AbortSignal): Promise<FollowedUpdate> {
         const keys = await this.feed.readAll(this.prefix, signal);
-        return { cursor: keys.cursor, apply: () => this.follower.replace(keys) };
+        return { cursor: keys.cursor, apply: () => this.replica.replace(keys) };
     }
 
-    /** See {@link FollowSource.changes}. */
     async changes(cursor: string, wait: Milliseconds, signal: AbortSignal): Promise<FollowedUpdate | undefined> {
         const changes = await this.feed.changes(this.prefix, cursor, wait, signal);
-        return changes && { cursor: changes.cursor, apply: () => this.follower.apply(changes) };
+        return changes && { cursor: changes.cursor, apply: () => this.replica.apply(changes) };
     }
 }
--- a/packages/entry/src/observation/dependency-watch.ts
+++ b/packages/entry/src/observation/dependency-monitor.ts
@@ -1,8 +1,8 @@
-/** Logs when something this VM needs stops answering and when it answers again: a line each, however many calls fail. */
+/** Logs outages of what a VM depends on. */
 import type { Clock, LogEvent, Milliseconds } from "@pebbledale/core";
 import type { EventLogger } from "@pebbledale/runtime";
 
-/** What a watch needs. */
+/** What a {@link DependencyMonitor} depends on. */
 export interface DependencyMonitorOptions {
     readonly logger: EventLogger;
     readonly clock: Clock;
@@ -10,25 +10,24 @@
     readonly recoveredEvent: LogEvent;
 }
 
-/** See the module's comment. */
+/** Logs one event when a dependency stops answering and one when it answers again, however many calls fail in between. */
 export class DependencyMonitor {
     #lostAt: Milliseconds | undefined;
     #failures = 0;
 
     constructor(private readonly options: DependencyMonitorOptions) {}
 
-    /** A call was answered. */
     recordSuccess(): void {
-        const { logger, clock, recoveredEvent: regained } = this.options;
+        const { logger, clock, recoveredEvent } = this.options;
         if (this.#lostAt !== undefined) {
             const lasted = Math.round(clock.monotonic() - this.#lostAt);
-            logger.log(regained, { lasted, failures: this.#failures });
+            logger.log(recoveredEvent, { lasted, failures: this.#failures });
         }
         this.#lostAt = undefined;
         this.#failures = 0;
     }
 
-    /** A call failed. `age`: how long ago the last answer came, where that is known. */
+    /** `age`: time since the last answer, where it is known. */
     recordFailure(cause: unknown, age?: Milliseconds): void {
         this.#failures++;
         if (this.#lostAt === undefined) {
--- a/packages/entry/src/observation/index.ts
+++ b/packages/entry/src/observation/index.ts
@@ -1,5 +1,5 @@
-/** What an entry VM tells of itself besides its answers: counters, latencies, and when something it needs is lost. */
-export * from "./dependency-watch.js";
+/** Observability of an entry VM: metrics, and log events about the loss and return of dependencies. */
+export * from "./dependency-monitor.js";
 export * from "./entry-metrics.js";
-export * from "./measured-logger.js";
-export * from "./measured-workers.js";
+export * from "./instrumented-logger.js";
+export * from "./instrumented-worker-clients.js";
--- a/packages/entry/src/observation/measured-workers.ts
+++ b/packages/entry/src/observation/instrumented-worker-clients.ts
@@ -1,4 +1,4 @@
-/** Measures calls of workers. */
+/** Metrics of calls to workers. */
 import type {
     OrderAnswer,
     PaceOrder,
@@ -12,7 +12,7 @@
 import type { Clock, Milliseconds, WorkerId } from "@pebbledale/core";
 import type { EntryMetrics } from "./entry-metrics.js";
 
-/** See the module's comment. */
+/** Makes worker clients whose calls are counted and timed. */
 export class InstrumentedWorkerClients implements TaskWorkerClients {
     constructor(
         private readonly clients: TaskWorkerClients,
@@ -20,7 +20,6 @@
         private readonly clock: Clock,
     ) {}
 
-    /** See {@link TaskWorkerClients.clientOf}. */
     clientOf(worker: WorkerId, address: string): TaskWorkerClient {
         return new InstrumentedWorkerClient(this.clients.clientOf(worker, address), this.metrics, this.clock);
     }
@@ -55,16 +54,16 @@
     }
 
     async #measure<Answer extends PollAnswer | OrderAnswer>(call: string, answer: Promise<Answer>): Promise<Answer> {
-        const begunAt = this.clock.monotonic();
-        const note = (outcome: string) =>
-            this.metrics.recordWorkerCall(call, outcome, this.clock.monotonic() - begunAt);
+        const startedAt = this.clock.monotonic();
+        const record = (outcome: string) =>
+            this.metrics.recordWorkerCall(call, outcome, this.clock.monotonic() - startedAt);
         try {
             const given = await answer;
-            note(given.kind === "refused" ? given.refusal : given.kind);
+            record(given.kind === "refused" ? given.refusal : given.kind);
             return given;
         }
         catch (cause) {
-            note("unanswered");
+            record("unanswered");
             throw cause;
         }
     }
--- a/packages/entry/test/explorer/main.ts
+++ b/packages/entry/test/explorer/main.ts
@@ -1,6 +1,6 @@
 /**
- * `npm run explore -- --seconds 60 --deviations 3 --seed 1 --scenario gang`: explores each scenario whose name holds the text, for so
- * long each, and prints what was seen. Counterexamples are shortened and printed as a story; `--keep DIR` writes each to a file there.
+ * `npm run explore -- --seconds 60 --deviations 3 --seed 1 --scenario gang`: explores each scenario whose name contains the text for
+ * the given time and prints a summary. Counterexamples are shortened and printed; `--keep DIR` also writes each to a file there.
  */
 import { writeFileSync } from "node:fs";
 import { join } from "node:path";
@@ -29,7 +29,7 @@
         + `${counterexamples.length} counterexamples`,
 );
 
-const tell = async (walk: Walk, number: number): Promise<void> => {
+const report = async (walk: Walk, number: number): Promise<void> => {
     const { scenario, deviations, story, broken } = await shorten(walk);
     [...broken, ...story].forEach(line => console.log(`    ${line}`));
     if (values.keep !== undefined) {
@@ -55,7 +55,7 @@
     print(exploration, elapsed());
     hasBroken ||= exploration.counterexamples.length > 0;
     for (const [number, walk] of exploration.counterexamples.entries()) {
-        await tell(walk, number);
+        await report(walk, number);
     }
 }
 process.exit(hasBroken ? 1 : 0);
--- a/packages/entry/test/explorer/walk.ts
+++ b/packages/entry/test/explorer/walk.ts
@@ -1,42 +1,42 @@
-/** Plays one walk: a scenario with some things amiss, until all has come to rest, and what it breaks. */
+/** Walks through a scenario. */
 import type { Milliseconds } from "@pebbledale/core";
 import { createHash } from "node:crypto";
 import { SimulationWorld } from "../support/lives/index.js";
 import { type ChoicePoint, Choices, type Deviation } from "./choices.js";
-import { FaultInjector } from "./faults.js";
+import { FaultInjector } from "./fault-injector.js";
 import { isSettled, rules, strayDuplicates } from "./rules.js";
 import type { Scenario, ScenarioJob } from "./scenarios.js";
 
-/** Time between two moments at which something may befall a worker or the owner. */
+/** Time between two possible faults of workers or the owner. */
 const slotTime: Milliseconds = 100;
-/** How many such moments there are. */
+/** Number of such opportunities. */
 const slots = 12;
-/** By then all jobs have their ends: leases of 6 s, a wait of 10 s for word of a silent worker, and the trials of a task. */
+/** Time for all jobs to end: covers leases of 6 s, a grace period of 10 s for silent workers, and trial runs. */
 const maxSettling: Milliseconds = 45_000;
-/** What is wrong for a moment only is not wrong: silences and look intervals. */
+/** Time after which the final state is checked: covers poll intervals and detection of silent workers. */
 const quietTime: Milliseconds = 2_000;
-/** The store takes as long to keep a record. */
+/** Time until the journal has persisted a record. */
 const journalTime: Milliseconds = 10;
-/** Times in names of states are rounded to this. */
+/** Resolution of times in hashes of states. */
 const stateTime: Milliseconds = 50;
 
-/** What a walk showed. */
+/** Result of a walk. */
 export interface Walk {
     readonly scenario: Scenario;
     readonly deviations: readonly Deviation[];
     readonly points: readonly ChoicePoint[];
-    /** What was amiss, a line each. */
+    /** Description of each fault, one line each. */
     readonly story: readonly string[];
-    /** Broken rules, a line each. */
+    /** Violations of rules, one line each. */
     readonly broken: readonly string[];
-    /** Repeats that come of orders to former lives. */
+    /** Number of duplicates that are caused by orders to earlier incarnations. */
     readonly strays: number;
 }
 
-/** See the module's comment. */
+/** Plays a scenario with the given deviations until it has settled, and checks the rules. */
 export const playWalk = async (scenario: Scenario, deviations: readonly Deviation[]): Promise<Walk> => {
-    const { workers, namesIncarnations: namesLives, jobs } = scenario;
-    const world = await SimulationWorld.begin({ workers, namesIncarnations: namesLives, journalTime });
+    const { workers, namesIncarnations, jobs } = scenario;
+    const world = await SimulationWorld.begin({ workers, namesIncarnations, journalTime });
     try {
         await world.submit("before", "done 20", 3);
         await world.advance(300);
@@ -61,7 +61,7 @@
     }
 };
 
-/** The time in which things may be amiss; names of the jobs that are accepted by its end or soon after. */
+/** Plays the time in which faults are injected; resolves to the jobs that were accepted by its end or soon after. */
 const injectFaults = async (
     world: SimulationWorld,
     { jobs }: Scenario,
@@ -80,7 +80,7 @@
     return accepted;
 };
 
-/** A caller hands its job in again while it has no answer. */
+/** Repeats a submission while it has no answer. */
 const submitUntilAccepted = async (world: SimulationWorld, job: ScenarioJob, accepted: Set<string>): Promise<void> => {
     for (let tries = 0; tries < 100; tries++) {
         if (await world.sendJob(job.name, job.payload, job.tasks, job.step) === "accepted") {
@@ -91,17 +91,17 @@
     }
 };
 
-/** Names the state of a world: two with one name go on alike. */
+/** Hashes the state of a simulation: two with equal hashes go on alike. */
 const hashState = (world: SimulationWorld, faults: FaultInjector): string => {
     const now = world.clock.monotonic();
     const round = (time: Milliseconds) => Math.round(time / stateTime);
     const { cell } = world.owner;
     const state = [
         round(now),
-        world.workers.map(machine => machine.describe()),
+        world.workers.map(worker => worker.describe()),
         world.history.runs.map((
-            { task, run, endedAt, end, isAcknowledged: isNoted },
-        ) => [task, run, endedAt === undefined, end, isNoted]),
+            { task, run, endedAt, end, isAcknowledged },
+        ) => [task, run, endedAt === undefined, end, isAcknowledged]),
         cell.snapshot().jobs.map(({ id, state: shown, occurrences }) => [id, shown, occurrences]),
         [...cell.workers.values()].map(worker => [
             worker.id,
--- a/packages/entry/test/support/lives/network.ts
+++ b/packages/entry/test/support/lives/simulated-network.ts
@@ -1,4 +1,4 @@
-/** The way from the links to the workers of a test: each call is delivered, loses its answer, or is carried out late. */
+/** Simulated network between links and workers. */
 import {
     type OrderAnswer,
     OrderRefusal,
@@ -10,124 +10,125 @@
     type TaskWorkerClients,
 } from "@pebbledale/cell";
 import { type ManualClock, type Milliseconds, type WorkerId, WorkerUnreachableError } from "@pebbledale/core";
-import type { SentCall, SimulatedWorker } from "./machine.js";
+import type { SentCall, SimulatedWorker } from "./simulated-worker.js";
 
-/** What becomes of a call. */
+/** What happens to a call. */
 export interface CallOutcome {
-    /** How long after it was sent it is carried out, by whoever is at its address then; undefined when never. */
+    /** Delay until the worker then at the address executes the call; undefined when it is lost. */
     readonly executedAfter: Milliseconds | undefined;
     readonly isAnswered: boolean;
 }
 
-/** A call that has no answer yet. */
+/** A call without an answer so far. */
 export interface PendingCall {
     readonly kind: CallKind;
     readonly worker: WorkerId;
     readonly sentAt: Milliseconds;
 }
 
-/** What a call asks for. */
+/** What a call requests. */
 export type CallKind = "look" | "start" | "stop" | "pace";
 
 const delivered: CallOutcome = { executedAfter: 0, isAnswered: true };
-/** How often a look that waits for an end looks for one. */
+/** Interval at which a waiting poll checks for ends. */
 const pollInterval: Milliseconds = 10;
 
-/** See the module's comment. */
+/** Delivers calls to simulated workers, loses them or their answers, or delays them. */
 export class SimulatedNetwork implements TaskWorkerClients {
-    /** Decides what becomes of a call. */
+    /** Decides what happens to a call. */
     outcomeOf: (kind: CallKind, worker: WorkerId) => CallOutcome = () => delivered;
     readonly #pending = new Set<PendingCall>();
 
-    constructor(private readonly clock: ManualClock, private readonly machines: readonly SimulatedWorker[]) {}
+    constructor(private readonly clock: ManualClock, private readonly workers: readonly SimulatedWorker[]) {}
 
-    /** See {@link TaskWorkerClients.clientOf}. */
     clientOf(worker: WorkerId, address: string): TaskWorkerClient {
         return new SimulatedWorkerClient(worker, address, this);
     }
 
-    /** Calls that have no answer yet. */
+    /** Calls without an answer so far. */
     get pending(): PendingCall[] {
         return [...this.#pending];
     }
 
-    /** Makes one call. */
     async call<Answer>(
         kind: CallKind,
         { worker, address }: SimulatedWorkerClient,
         limit: Milliseconds,
-        carryOut: (machine: SimulatedWorker, sent: SentCall) => Promise<Answer> | Answer,
+        execute: (recipient: SimulatedWorker, sent: SentCall) => Promise<Answer> | Answer,
         refused: (refusal: OrderRefusal) => Answer,
     ): Promise<Answer> {
-        const { executedAfter: carriedOutAfter, isAnswered } = this.outcomeOf(kind, worker);
+        const { executedAfter, isAnswered } = this.outcomeOf(kind, worker);
         const unreachable = (why: string) => new WorkerUnreachableError(`${kind} at ${address}: ${why}`);
         const sent = {
             at: this.clock.monotonic(),
-            incarnation: this.machines.find(({ id }) => id === worker)?.incarnationCount ?? 0,
+            incarnation: this.workers.find(({ id }) => id === worker)?.incarnationCount ?? 0,
         };
-        const givenUp = this.clock.sleep(limit).then((): Answer => {
+        const timedOut = this.clock.sleep(limit).then((): Answer => {
             throw unreachable("no answer");
         });
         const answered = async (): Promise<Answer> => {
-            if (carriedOutAfter === undefined) {
-                return givenUp;
+            if (executedAfter === undefined) {
+                return timedOut;
             }
-            if (carriedOutAfter > 0) {
-                await this.clock.sleep(carriedOutAfter);
+            if (executedAfter > 0) {
+                await this.clock.sleep(executedAfter);
             }
-            const machine = this.machines.find(other => other.address === address && other.isUp);
-            if (machine === undefined) {
+            const recipient = this.workers.find(other => other.address === address && other.isUp);
+            if (recipient === undefined) {
                 throw unreachable("connection refused");
             }
-            const lives = machine.incarnationCount;
-            const answer = machine.id === worker
-                ? await carryOut(machine, sent)
+            const incarnation = recipient.incarnationCount;
+            const answer = recipient.id === worker
+                ? await execute(recipient, sent)
                 : refused(OrderRefusal.WrongWorker);
-            if (!machine.isUp || machine.incarnationCount !== lives) {
+            if (!recipient.isUp || recipient.incarnationCount !== incarnation) {
                 throw unreachable("connection reset");
             }
-            return isAnswered ? answer : givenUp;
+            return isAnswered ? answer : timedOut;
         };
         const call = answered();
         call.catch(() => undefined);
-        givenUp.catch(() => undefined);
+        timedOut.catch(() => undefined);
         const pending = { kind, worker, sentAt: this.clock.monotonic() };
         this.#pending.add(pending);
         const settled = () => void this.#pending.delete(pending);
         call.then(settled, settled);
-        return Promise.race([call, givenUp]);
+        return Promise.race([call, timedOut]);
     }
 
-    /** Waits at a worker for an end, or until the wait is over or the worker's life is. */
-    async waitForEnds(machine: SimulatedWorker, forgetThrough: number, wait: Milliseconds): Promise<void> {
+    /** Waits until the worker has ends to report, the wait is over, or the worker has crashed. */
+    async waitForEnds(recipient: SimulatedWorker, forgetThrough: number, wait: Milliseconds): Promise<void> {
         const until = this.clock.monotonic() + wait;
-        const lives = machine.incarnationCount;
-        const isOver = () => !machine.isUp || machine.incarnationCount !== lives || this.clock.monotonic() >= until;
-        while (!machine.hasEnds(forgetThrough) && !isOver()) {
+        const incarnation = recipient.incarnationCount;
+        const isOver = () =>
+            !recipient.isUp || recipient.incarnationCount !== incarnation || this.clock.monotonic() >= until;
+        while (!recipient.hasEnds(forgetThrough) && !isOver()) {
             await this.clock.sleep(pollInterval);
         }
     }
 }
 
-/** Calls of one worker at one address. */
+/** Calls one worker at one address. */
 class SimulatedWorkerClient implements TaskWorkerClient {
     constructor(readonly worker: WorkerId, readonly address: string, private readonly network: SimulatedNetwork) {}
 
     poll(request: PollRequest, limit: Milliseconds): Promise<PollAnswer> {
-        const carryOut = async (machine: SimulatedWorker): Promise<PollAnswer> => {
-            const first = machine.poll(request);
+        const execute = async (recipient: SimulatedWorker): Promise<PollAnswer> => {
+            const first = recipient.poll(request);
             if (first === undefined) {
                 return { kind: "refused", refusal: OrderRefusal.Fenced };
             }
             const { wait = 0, forgetThrough } = request;
-            const lives = machine.incarnationCount;
-            await this.network.waitForEnds(machine, forgetThrough, wait);
-            const look = machine.isUp && machine.incarnationCount === lives ? machine.poll(request) : first;
-            return look === undefined
+            const incarnation = recipient.incarnationCount;
+            await this.network.waitForEnds(recipient, forgetThrough, wait);
+            const second = recipient.isUp && recipient.incarnationCount === incarnation
+                ? recipient.poll(request)
+                : first;
+            return second === undefined
                 ? { kind: "refused", refusal: OrderRefusal.Fenced }
-                : { kind: "seen", poll: look };
+                : { kind: "seen", poll: second };
         };
-        return this.network.call("look", this, limit, carryOut, refusal => ({ kind: "refused", refusal }));
+        return this.network.call("look", this, limit, execute, refusal => ({ kind: "refused", refusal }));
     }
 
     start(order: StartOrder, limit: Milliseconds): Promise<OrderAnswer> {
@@ -135,13 +136,13 @@
             "start",
             this,
             limit,
-            (machine, sent) => machine.startRun(order, sent),
+            (recipient, sent) => recipient.startRun(order, sent),
             refuse,
         );
     }
 
     stop(order: StopOrder, limit: Milliseconds): Promise<OrderAnswer> {
-        return this.network.call("stop", this, limit, machine => machine.stopRun(order), refuse);
+        return this.network.call("stop", this, limit, recipient => recipient.stopRun(order), refuse);
     }
 
     async pace(): Promise<OrderAnswer> {
