--- a/packages/core/src/placement/policy.ts
+++ b/packages/core/src/placement/policy.ts
@@ -25,12 +25,10 @@
     readonly workloadClass = WorkloadClass.Batch;
     readonly allOrNothing = false;
 
-    /** See {@link PlacementPolicy.preference}. */
     preference(settings: PlacementSettings): Preference {
         return settings.preference;
     }
 
-    /** See {@link PlacementPolicy.headroom}. */
     headroom(settings: PlacementSettings): number {
         return settings.headroom;
     }
@@ -41,12 +39,10 @@
     readonly workloadClass = WorkloadClass.Gang;
     readonly allOrNothing = true;
 
-    /** See {@link PlacementPolicy.preference}. */
     preference(): Preference {
         return Preference.Pack;
     }
 
-    /** See {@link PlacementPolicy.headroom}. */
     headroom(settings: PlacementSettings): number {
         return settings.headroom;
     }
@@ -57,12 +53,10 @@
     readonly workloadClass = WorkloadClass.Service;
     readonly allOrNothing = false;
 
-    /** See {@link PlacementPolicy.preference}. */
     preference(): Preference {
         return Preference.Spread;
     }
 
-    /** See {@link PlacementPolicy.headroom}. */
     headroom(): number {
         return 0;
     }
--- a/packages/core/src/random/index.ts
+++ b/packages/core/src/random/index.ts
@@ -18,12 +18,10 @@
         this.#generator = xoroshiro128plus(seed);
     }
 
-    /** See {@link Random.next}. */
     next(): number {
         return uniformFloat64(this.#generator);
     }
 
-    /** See {@link Random.name}. */
     name(): string {
         const part = () => Math.floor(this.next() * 0x1_0000_0000).toString(16).padStart(8, "0");
         return part() + part();
@@ -32,12 +30,10 @@
 
 /** Random numbers of the system. The only place that draws them. */
 export class SystemRandom implements Random {
-    /** See {@link Random.next}. */
     next(): number {
         return Math.random();
     }
 
-    /** See {@link Random.name}. */
     name(): string {
         return crypto.randomUUID().replaceAll("-", "").slice(0, 20);
     }
--- a/packages/core/src/settings/definitions.ts
+++ b/packages/core/src/settings/definitions.ts
@@ -22,7 +22,6 @@
         this.description = `duration from ${least} to ${most}, as in 250ms, 10s, 15m, 1h`;
     }
 
-    /** See {@link ValueKind.read}. */
     read(text: string): Result<number, string> {
         if (!millisecondsPattern.test(text)) {
             return err(`"${text}" is no ${this.description}`);
@@ -41,7 +40,6 @@
         this.description = `whole number from ${least} to ${most}${unit === "" ? "" : `, in ${unit}`}`;
     }
 
-    /** See {@link ValueKind.read}. */
     read(text: string): Result<number, string> {
         const value = wholePattern.test(text) ? Number(text) : NaN;
         return value >= this.least && value <= this.most ? ok(value) : err(`"${text}" is no ${this.description}`);
@@ -56,7 +54,6 @@
         this.description = `share from ${least}% to ${most}%, as in 15%`;
     }
 
-    /** See {@link ValueKind.read}. */
     read(text: string): Result<number, string> {
         const value = sharePattern.test(text) ? Number(text.slice(0, -1)) : NaN;
         return value >= this.least && value <= this.most ? ok(value / 100) : err(`"${text}" is no ${this.description}`);
@@ -71,7 +68,6 @@
         this.description = `one of ${choices.join(", ")}`;
     }
 
-    /** See {@link ValueKind.read}. */
     read(text: string): Result<string, string> {
         return this.choices.includes(text) ? ok(text) : err(`"${text}" is not ${this.description}`);
     }
@@ -87,7 +83,6 @@
         this.#pattern = isPath ? /^[A-Za-z0-9._-]+(\/[A-Za-z0-9._-]+)*$/ : /^[A-Za-z0-9][A-Za-z0-9._-]*$/;
     }
 
-    /** See {@link ValueKind.read}. */
     read(text: string): Result<string, string> {
         return this.#pattern.test(text) ? ok(text) : err(`"${text}" is no ${this.description}`);
     }
@@ -97,7 +92,6 @@
 export class AddressKind implements ValueKind<string> {
     readonly description = "IP number and port, as in 127.0.0.1:7000";
 
-    /** See {@link ValueKind.read}. */
     read(text: string): Result<string, string> {
         const parts = addressPattern.exec(text)?.slice(1).map(Number);
         const isAddress = parts !== undefined && parts.slice(0, 4).every(part => part <= 255) && parts[4] <= 65_535;
@@ -110,7 +104,6 @@
     readonly description = "addresses parted by commas, as in 127.0.0.1:7000, 127.0.0.1:7001";
     readonly #address = new AddressKind();
 
-    /** See {@link ValueKind.read}. */
     read(text: string): Result<readonly string[], string> {
         const parts = text.split(",").map(part => part.trim()).filter(part => part !== "");
         const wrong = parts.find(part => this.#address.read(part).isErr());
--- a/packages/core/src/shard/admission.ts
+++ b/packages/core/src/shard/admission.ts
@@ -1,4 +1,4 @@
-/** What is refused when it is submitted: what can never run, and what there is no room to wait for. */
+/** Admission control: refuses jobs that can never run, and jobs that the queue has no space for. */
 import { pipe } from "fp-ts/lib/function.js";
 import * as Number from "fp-ts/lib/number.js";
 import * as Option from "fp-ts/lib/Option.js";
@@ -15,26 +15,25 @@
 import type { Refusal } from "./types.js";
 import type { CapacityShape } from "./worker-table.js";
 
-/** What a shard looks like to a submission. */
+/** State of the shard that admission depends on. */
 export interface AdmissionView {
-    /** Workers by capacity; undefined before the list of VMs was read. */
+    /** Workers grouped by capacity; undefined until the list of VMs has been read. */
     readonly shapes: readonly CapacityShape[] | undefined;
-    /** Units that wait. */
+    /** Number of pending units. */
     readonly queueLength: number;
     readonly settings: ShardSettings;
-    /** How long a unit at a place of the queue waits, as far as is known. */
+    /** Estimates the wait at a position of the queue. */
     readonly expectedWait: (place: number) => Milliseconds;
 }
 
-/** A capacity with what may be used of it. */
 interface UsableShape extends CapacityShape {
     readonly room: Resources;
 }
 
-/** When to come back before the list of VMs was read. */
+/** Suggested retry delay until the list of VMs has been read. */
 const listRetryAfter: Milliseconds = 1_000;
 
-/** Why a submission is refused, if it is. */
+/** Returns the reason to refuse a submission; undefined when it may be accepted. */
 export const refusalOf = (submission: JobSubmission, view: AdmissionView): Refusal | undefined => {
     const { shapes } = view;
     if (shapes === undefined) {
@@ -106,7 +105,7 @@
 const timesFitting = (size: Resources, room: Resources): number =>
     Math.min(...dimensions.filter(name => size[name] > 0).map(name => Math.floor(room[name] / size[name])));
 
-/** The capacity that lacks the fewest dimensions, and what it lacks. */
+/** Describes the worker that falls short in the fewest dimensions. */
 const nearestMiss = (size: Resources, shapes: readonly UsableShape[]): string => {
     const byLack = Ord.contramap((shape: UsableShape) => lackingDimensions(size, shape.room).length)(Number.Ord);
     const describe = ({ example, room }: UsableShape): string => {
--- a/packages/core/src/shard/constants.ts
+++ b/packages/core/src/shard/constants.ts
@@ -1,19 +1,19 @@
-/** Limits of a shard that are not settings. */
+/** Fixed limits of a shard, as opposed to its settings. */
 
-/** Entries kept of a job's history; older ones go first. */
+/** Entries in a job's history. The first entry is always kept; of the others the oldest are dropped. */
 export const longestHistory = 40;
-/** Weight of the newest interval in the rate of starts. */
+/** Smoothing factor of the exponential moving average of task starts per second. */
 export const rateWeight = 0.3;
-/** Share of the queue that each priority may fill, most urgent first. */
+/** Share of the queue limit up to which submissions of each priority are accepted. */
 export const queueShares = { urgent: 1, normal: 0.9, patient: 0.7 } as const;
-/** Longest time that a caller is told to stay away, in milliseconds. */
+/** Upper bound of the retry delay suggested to callers, in milliseconds. */
 export const longestRetryAfter = 600_000;
 /**
- * How long a new owner only grants slots that gateways say they hold, in milliseconds: twice the time between two
- * renewals. A gateway that was cut off for longer may still use its bundle; the instance refuses what is too much.
+ * How long a new owner only re-grants slots that gateways report as held, in milliseconds: twice their renewal interval.
+ * A gateway that is partitioned for longer may still use its grant; instances reject requests beyond their slots.
  */
 export const gatewaysRegisterWithin = 1_000;
-/** A pass over the queue ends after this many units that did not fit. */
+/** A placement cycle ends after this many units that could not be placed. */
 export const passDepth = 256;
-/** A pass is due after this time even when no room came free and nothing new waits, in milliseconds. */
+/** Longest interval between two placement cycles when no capacity was freed and nothing was queued, in milliseconds. */
 export const passInterval = 1_000;
--- a/packages/core/src/shard/index.ts
+++ b/packages/core/src/shard/index.ts
@@ -1,4 +1,4 @@
-/** The decisions of a shard's owner: jobs, queue, workers, leases and slots; no socket, no timer. */
+/** Scheduling logic of a shard's owner: jobs, queue, workers, leases and service slots. Performs no I/O and sets no timers. */
 export * from "./constants.js";
 export * from "./job-book.js";
 export * from "./lease-terms.js";
--- a/packages/core/src/shard/job-book.ts
+++ b/packages/core/src/shard/job-book.ts
@@ -1,4 +1,4 @@
-/** State of all jobs of a shard, changed only by applying records, so that a journal gives it back. */
+/** State of all jobs of a shard. */
 import { indexOfTask, type JobId, jobOfTask, type TaskId, taskIdOf } from "../ids/index.js";
 import { isFinalState, JobState, RanAnswer } from "../jobs/index.js";
 import { EndKind } from "../worker/index.js";
@@ -16,25 +16,27 @@
 } from "./records.js";
 import { type JobEntry, type OnceEntry, type ShardSnapshot, type TaskEntry, TaskPhase } from "./types.js";
 
-/** Jobs by id and by their caller's key, and unrepeatable live requests by key. */
+/**
+ * Jobs by id and by their caller's key, and at-most-once live requests by key.
+ *
+ * The state changes only by applying records, so that replaying the journal restores it.
+ */
 export class JobBook {
     readonly jobs = new Map<JobId, JobEntry>();
     readonly once = new Map<string, OnceEntry>();
-    /** The terms that the last owner kept. */
+    /** The lease terms that were journaled last. */
     terms: Terms | undefined;
     readonly #jobsByKey = new Map<string, JobEntry>();
 
-    /** The job that a caller's key names. */
     byKey(key: string): JobEntry | undefined {
         return this.#jobsByKey.get(key);
     }
 
-    /** The task of an id, if its job is known. */
     task(task: TaskId): TaskEntry | undefined {
         return this.jobs.get(jobOfTask(task))?.tasks[indexOfTask(task)];
     }
 
-    /** Replaces the state by that of a snapshot. */
+    /** Loads a snapshot into an empty registry. */
     restore(snapshot: ShardSnapshot): void {
         snapshot.jobs.forEach(job => this.#insert(structuredClone(job)));
         snapshot.once.forEach(entry => this.once.set(entry.key, { ...entry }));
@@ -45,12 +47,12 @@
         }
     }
 
-    /** The state in a form that JSON holds. */
+    /** Returns the state as plain data. It shares objects with the registry, so serialise it at once. */
     snapshot(): ShardSnapshot {
         return { jobs: [...this.jobs.values()], once: [...this.once.values()], terms: this.terms };
     }
 
-    /** Applies one record. Records of attempts that are no longer current change nothing but the history. */
+    /** Applies one record. Records of attempts that are no longer current have no effect. */
     apply(record: ShardRecord): void {
         switch (record.kind) {
             case "submitted":
@@ -257,7 +259,7 @@
     }
 };
 
-/** Clears what a former owner knew only from its own clock and connections. */
+/** Clears fields that only held for the former owner's clock and connections. */
 const resetUnkept = (task: TaskEntry): void => {
     task.confirmedAt = undefined;
     task.stopSent = undefined;
--- a/packages/core/src/shard/job-lifecycle.ts
+++ b/packages/core/src/shard/job-lifecycle.ts
@@ -1,4 +1,4 @@
-/** The life of jobs between their acceptance and their answer: the queue, retries, losses, stops and ends. */
+/** Lifecycle of jobs from acceptance to their final state. */
 import TinyQueue from "tinyqueue";
 import { type JobId, jobOfTask } from "../ids/index.js";
 import { isFinalState, JobState, WorkloadClass } from "../jobs/index.js";
@@ -25,7 +25,7 @@
     readonly unit: PendingUnit;
 }
 
-/** See the module's comment. */
+/** Queues, retries, stops and finishes jobs, and enforces deadlines and retention. */
 export class JobLifecycle {
     readonly #deadlines = new TinyQueue<Due>([], (left, right) => left.at - right.at);
     readonly #delayed = new TinyQueue<Delayed>([], (left, right) => left.at - right.at);
@@ -34,12 +34,12 @@
 
     constructor(private readonly context: ShardContext) {}
 
-    /** The order that the next unit of the queue gets; changes with each. */
+    /** Sequence number of the next queued unit. Changes whenever a unit is queued. */
     get nextTicket(): number {
         return this.#nextTicket;
     }
 
-    /** Takes over a job of the journal. */
+    /** Resumes a job that was restored from the journal. */
     recover(job: JobEntry): void {
         if (isFinalState(job.state)) {
             this.#finished.push(job);
@@ -54,14 +54,13 @@
         }
     }
 
-    /** Puts units back into the queue whose wait before a further try is over. */
+    /** Queues units whose retry delay is over. */
     requeueDue(now: Milliseconds): void {
         while (this.#delayed.length > 0 && this.#delayed.peek()!.at <= now) {
             this.#requeue(this.#delayed.pop()!.unit);
         }
     }
 
-    /** Watches the deadline of a job, if it has one. */
     watchDeadline(job: JobEntry): void {
         const { deadlineMilliseconds } = job.submission;
         if (deadlineMilliseconds !== undefined) {
@@ -69,12 +68,12 @@
         }
     }
 
-    /** Puts tasks of a job into the queue; of a gang always all. */
+    /** Queues tasks of a job. A gang is always queued as a whole. */
     enqueue(job: JobEntry, tasks: readonly TaskEntry[]): void {
         this.#unitsOf(job, tasks, this.context.now()).forEach(unit => this.context.queue.add(unit));
     }
 
-    /** What is placed in one decision each: a whole gang, or one task. */
+    /** Groups tasks into units that are placed together: a whole gang, or single tasks. */
     #unitsOf(
         { job, submission, tasks: all }: JobEntry,
         tasks: readonly TaskEntry[],
@@ -95,7 +94,7 @@
         }));
     }
 
-    /** Puts a unit that waited for a further try behind those that wait now, unless its job ended meanwhile. */
+    /** Queues a unit behind those already waiting, unless its job is ending. */
     #requeue(unit: PendingUnit): void {
         const job = this.context.book.jobs.get(unit.job);
         if (job !== undefined && !isEnding(job)) {
@@ -103,7 +102,7 @@
         }
     }
 
-    /** Whether a task that ended so is not tried again. */
+    /** Whether this end of an attempt leaves the task without a further attempt. */
     isFinalEnd(job: JobEntry, task: TaskEntry, kind: EndKind): boolean {
         if (kind === EndKind.Succeeded || kind === EndKind.Checkpointed) {
             return false;
@@ -117,13 +116,13 @@
         return this.#isLastTry(job, task);
     }
 
-    /** Whether a task may not be tried again once this attempt was run or lost. */
+    /** Whether the current attempt is the task's last once it has run or was lost. */
     #isLastTry({ submission }: JobEntry, task: TaskEntry): boolean {
         return submission.unrepeatable
             || task.spent + 1 > this.context.options.settings(submission.class).retryAttempts;
     }
 
-    /** Records that an attempt was not run and will not be. */
+    /** Records that an attempt did not run and cannot start any more. */
     notStarted(task: TaskEntry, reason: string, builder: StepBuilder): void {
         this.#leave(task, () => {
             builder.record({
@@ -136,7 +135,7 @@
         }, builder);
     }
 
-    /** Records that an attempt can no longer run and may have run. */
+    /** Records that an attempt is no longer running and may have run. */
     lose(task: TaskEntry, reason: string, builder: StepBuilder): void {
         const job = this.context.jobOf(jobOfTask(task.task));
         const isFinal = job.submission.class !== WorkloadClass.Service && this.#isLastTry(job, task);
@@ -165,7 +164,7 @@
         this.afterTask(this.context.jobOf(jobOfTask(task.task)), task, builder);
     }
 
-    /** Gives back what a task held at its worker. */
+    /** Returns an attempt's resources to its worker and its team. */
     discharge(task: TaskEntry, entry: WorkerEntry, grant: Resources): void {
         if (entry.tasks.has(task.task)) {
             this.context.workers.discharge(entry, task, grant);
@@ -173,14 +172,14 @@
         }
     }
 
-    /** Loses all tasks of a worker. */
+    /** Records all attempts at a worker as lost. */
     loseTasks(entry: WorkerEntry, reason: string, builder: StepBuilder): void {
         for (const task of [...entry.tasks.values()]) {
             this.lose(task, reason, builder);
         }
     }
 
-    /** What follows from a task that left its worker: the job's end, a retry, or the next try of a whole gang. */
+    /** Continues a job after one of its attempts ended: finishes it, retries the task, or restarts the whole gang. */
     afterTask(job: JobEntry, task: TaskEntry, builder: StepBuilder): void {
         builder.changed(job.job);
         if (isEnding(job) || job.tasks.every(other => other.phase === TaskPhase.Succeeded)) {
@@ -212,7 +211,7 @@
         this.#unitsOf(job, tasks, at).forEach(unit => this.#delayed.push({ at, unit }));
     }
 
-    /** Ends a job that is to end: drops what waits, stops what runs, and answers once nothing runs. */
+    /** Ends a job: removes its tasks from the queue, stops running ones, and finishes it once none is left. */
     endJob(job: JobEntry, builder: StepBuilder): void {
         job.tasks.forEach(task => this.context.queue.remove(task.task));
         this.context.saver.done(job.job);
@@ -237,7 +236,7 @@
         this.context.services.remove(job);
     }
 
-    /** Asks the worker of a task to end it; once an attempt. */
+    /** Asks the worker to stop a task's current attempt. Sent at most once per attempt. */
     stop(task: TaskEntry, mode: StopMode, builder: StepBuilder): void {
         const { assignment } = task;
         if (assignment === undefined || task.stopSent === true) {
@@ -252,7 +251,7 @@
         });
     }
 
-    /** A start that was confirmed after its job was ended, or after its gang fell apart, is stopped. */
+    /** Stops a task whose start was confirmed after its job ended or another member of its gang stopped. */
     stopIfUnwanted(task: TaskEntry, builder: StepBuilder): void {
         const job = this.context.jobOf(jobOfTask(task.task));
         const isBrokenGang = job.submission.class === WorkloadClass.Gang
@@ -262,7 +261,7 @@
         }
     }
 
-    /** Ends jobs whose deadline passed while nothing of them runs. */
+    /** Expires jobs that are past their deadline and have no task assigned. */
     passDeadlines(builder: StepBuilder): void {
         const now = this.context.options.clock.now().getTime();
         while (this.#deadlines.length > 0 && this.#deadlines.peek()!.at <= now) {
@@ -276,7 +275,7 @@
         }
     }
 
-    /** Forgets jobs whose retention is over. */
+    /** Removes finished jobs whose retention period is over. */
     forgetOld(builder: StepBuilder): void {
         const oldest = this.context.options.clock.now().getTime() - this.context.options.settings().retention;
         while (this.#finished.length > 0 && Date.parse(this.#finished[0].finishedAt ?? "") <= oldest) {
--- a/packages/core/src/shard/job-view.ts
+++ b/packages/core/src/shard/job-view.ts
@@ -1,14 +1,14 @@
-/** What is told of a job, and how its end is judged. */
+/** What callers see of a job, and the final state that follows from its tasks. */
 import { isFinalState, JobState, type JobView, RanAnswer, type TaskOutcome } from "../jobs/index.js";
 import { type JobEntry, type SubmitOutcome, type TaskEntry, TaskPhase } from "./types.js";
 
-/** The state that a job ends in, and why. */
+/** Final state of a job with the reason. */
 export interface JobVerdict {
     readonly state: JobState;
     readonly reason: string;
 }
 
-/** What a caller is told of a job. A final state is told only once it is kept. */
+/** Describes a job for its caller. A final state is reported only once it is committed. */
 export const describeJob = (job: JobEntry, waiting: Pick<JobView, "place" | "expectedWait">): JobView => {
     const isFinal = isFinalState(job.state);
     const isTold = !isFinal || job.unkept === 0;
@@ -25,7 +25,7 @@
     };
 };
 
-/** "Not run" is said only while no start is on its way. */
+/** `NotRun` is reported only while no start request may be in flight. */
 const toldRan = (job: JobEntry): RanAnswer => {
     const mayRun = job.ran === RanAnswer.NotRun && job.tasks.some(task => task.assignment !== undefined);
     return mayRun ? RanAnswer.MayHaveRun : job.ran;
@@ -37,12 +37,12 @@
     succeeded: task.phase === TaskPhase.Succeeded,
 });
 
-/** Whether a job is to end or has ended: nothing of it is started any more. */
+/** Whether a job has ended or is about to, so that none of its tasks may be started. */
 export const isEnding = (job: JobEntry): boolean =>
     isFinalState(job.state) || job.state === JobState.Cancelling
     || job.tasks.some(task => task.phase === TaskPhase.Failed);
 
-/** How a job ends of which nothing runs any more. */
+/** Final state of a job that has no running tasks left. */
 export const verdictOf = (job: JobEntry): JobVerdict => {
     if (job.tasks.every(task => task.phase === TaskPhase.Succeeded)) {
         return { state: JobState.Succeeded, reason: "all tasks succeeded" };
@@ -57,7 +57,7 @@
     return { state: JobState.Failed, reason: failed[0]?.output || `ended: ${failed[0]?.end}` };
 };
 
-/** The answer to a submission whose key is known: the same job, or a refusal when the body is another. */
+/** Answers a submission whose key is known: with the same job, or a refusal when the body differs. */
 export const repeatedOutcome = (known: JobEntry, digest: string): SubmitOutcome =>
     known.digest === digest
         ? { kind: "accepted", job: known.job, repeated: true }
--- a/packages/core/src/shard/lease-terms.ts
+++ b/packages/core/src/shard/lease-terms.ts
@@ -1,12 +1,7 @@
-/**
- * Lengths of leases as the journal keeps them.
- *
- * A new owner must wait as long as the former one may have renewed, which may not be what the settings say now. So an
- * owner gives no lease under terms that are not kept, and a shorter lease is kept only once the longer ones have ended.
- */
+/** Lease terms across changes of settings and of the owner. */
 import type { Milliseconds } from "../time/index.js";
 
-/** Lengths that decide when a task can no longer be running. */
+/** Durations that determine when a task can no longer be running. */
 export interface Terms {
     readonly horizon: Milliseconds;
     readonly leaseDuration: Milliseconds;
@@ -19,25 +14,31 @@
     left.horizon === right.horizon && left.leaseDuration === right.leaseDuration
     && left.leaseMargin === right.leaseMargin;
 
-/** Terms kept in the journal and those the settings ask for. */
+/**
+ * Reconciles the lease terms in the journal with those of the settings.
+ *
+ * A new owner waits until the former owner's leases have expired, and learns their duration from the journal, as the
+ * settings may have changed since. Leases are therefore granted only under committed terms, and a shorter duration is
+ * recorded only once all longer leases have expired.
+ */
 export class LeaseTerms {
     #kept = noTerms;
     #former = noTerms;
     #offered: Terms | undefined;
     #shorterSince: Milliseconds | undefined;
 
-    /** Takes over what the journal holds. */
+    /** Restores the terms of the former owner. */
     recover(terms: Terms | undefined): void {
         this.#kept = terms ?? noTerms;
         this.#former = this.#kept;
     }
 
-    /** The terms that a former owner may have given leases under. */
+    /** The terms under which a former owner may have granted leases. */
     ofFormerOwner(): Terms {
         return this.#former;
     }
 
-    /** The terms under which leases are given now: what the settings ask for, within what is kept. */
+    /** The terms for leases granted now: those of the settings, limited by the committed ones. */
     inForce(wanted: Terms): Terms {
         return {
             horizon: Math.min(wanted.horizon, this.#kept.horizon),
@@ -46,7 +47,7 @@
         };
     }
 
-    /** The terms to record now, if they differ from those kept and are not on their way. */
+    /** Terms to write to the journal now; undefined when they are committed or already proposed. */
     due(wanted: Terms, now: Milliseconds): Terms | undefined {
         const next = {
             horizon: wanted.horizon,
@@ -60,7 +61,7 @@
         return next;
     }
 
-    /** Terms that were recorded are now kept. */
+    /** Must be called once recorded terms are committed. */
     kept(terms: Terms): void {
         this.#kept = terms;
     }
--- a/packages/core/src/shard/pending-queue.ts
+++ b/packages/core/src/shard/pending-queue.ts
@@ -1,21 +1,21 @@
-/** Tasks and gangs that wait for room, in order of priority and age, grouped by what they ask for. */
+/** Queue of tasks and gangs that wait for placement. */
 import TinyQueue from "tinyqueue";
 import type { JobId, TaskId } from "../ids/index.js";
 import { Priority } from "../jobs/index.js";
 import type { Resources } from "../resources/index.js";
 
-/** What is placed in one decision: one task, or all tasks of a gang. */
+/** Tasks that are placed together: a single task, or all tasks of a gang. */
 export interface PendingUnit {
     readonly job: JobId;
     readonly tasks: readonly TaskId[];
-    /** What each of them asks for. */
+    /** Resources of each task. */
     readonly size: Resources;
     readonly priority: Priority;
-    /** Equal for units that ask for the same; if one does not fit, its equals do not either. */
+    /** Equal for units with equal requirements: if one cannot be placed, neither can the others. */
     readonly signature: string;
-    /** Order of arrival. */
+    /** Position in the order of arrival. */
     readonly ticket: number;
-    /** When it began to wait, by the monotonic clock. */
+    /** When the unit began to wait, on the monotonic clock. */
     readonly since: number;
 }
 
@@ -23,32 +23,35 @@
     readonly name: string;
     readonly rank: number;
     units: PendingUnit[];
-    /** Index of the first unit that was not taken. */
+    /** Index of the head; units before it have been placed or removed. */
     first: number;
 }
 
 const ranks: Readonly<Record<Priority, number>> = { [Priority.Urgent]: 0, [Priority.Normal]: 1, [Priority.Patient]: 2 };
-/** Taken units are dropped from a group's array once there are this many. */
+/** A group's array is compacted once its head reaches this index. */
 const compactAfter = 1024;
 
 const isBefore = (left: Group, right: Group): number =>
     left.rank - right.rank || left.units[left.first].ticket - right.units[right.first].ticket;
 
-/** A queue whose cancelled units cost constant work: they are skipped when they come up. */
+/**
+ * Pending units by priority and age, grouped by equal requirements.
+ *
+ * Removal takes constant time: removed units are skipped when they reach the head of their group.
+ */
 export class PendingQueue {
     readonly #groups = new Map<string, Group>();
-    /** Groups by their heads. A head only changes while its group is out of here, so the order stays right. */
+    /** Groups ordered by their heads. A head changes only while its group is taken out, which keeps the heap valid. */
     readonly #order = new TinyQueue<Group>([], isBefore);
     readonly #removed = new Set<PendingUnit>();
     readonly #byTask = new Map<TaskId, PendingUnit>();
     #waiting = 0;
 
-    /** Number of units that wait. */
     get length(): number {
         return this.#waiting;
     }
 
-    /** Adds a unit behind its equals. */
+    /** Appends a unit to its group. Sequence numbers must be increasing. */
     add(unit: PendingUnit): void {
         const name = `${unit.priority}|${unit.signature}`;
         let group = this.#groups.get(name);
@@ -64,7 +67,7 @@
         this.#waiting++;
     }
 
-    /** Takes the unit of a task out; does nothing when it does not wait. */
+    /** Removes the unit of a task, if it is queued. */
     remove(task: TaskId): void {
         const unit = this.#byTask.get(task);
         if (unit !== undefined) {
@@ -73,12 +76,11 @@
         }
     }
 
-    /** The unit of a task, if it waits. */
     unitOf(task: TaskId): PendingUnit | undefined {
         return this.#byTask.get(task);
     }
 
-    /** Number of units that come before a unit, itself included; counted by group. */
+    /** Position of a unit in the queue, from 1. */
     placeOf(unit: PendingUnit): number {
         let ahead = 1;
         for (const group of this.#groups.values()) {
@@ -96,8 +98,8 @@
     }
 
     /**
-     * Offers units in order; `place` says whether it took one. Equals of a refused unit are passed over.
-     * Stops after `depth` refusals, so that a long queue costs no more than a short one.
+     * Offers units in order to `tryPlace` and removes those it returns true for. After a refusal the other units of the group
+     * are skipped. Ends after `maxRefusals` refusals, which bounds the cost on a long queue.
      */
     offer(place: (unit: PendingUnit) => boolean, depth = Infinity): void {
         const refused: Group[] = [];
@@ -127,7 +129,7 @@
         refused.forEach(group => this.#putBack(group));
     }
 
-    /** Puts a group back in its order, or forgets it when it is empty. */
+    /** Returns a group to the heap, or deletes it when it is empty. */
     #putBack(group: Group): void {
         if (group.first < group.units.length) {
             this.#order.push(group);
@@ -153,7 +155,7 @@
     }
 }
 
-/** Units of a group with a smaller ticket, by binary search. */
+/** Counts the units of a group with a smaller sequence number, by binary search. */
 const countBefore = (group: Group, ticket: number): number => {
     let low = group.first;
     let high = group.units.length;
--- a/packages/core/src/shard/placement-pass.ts
+++ b/packages/core/src/shard/placement-pass.ts
@@ -1,4 +1,4 @@
-/** Places what waits for room at workers, and knows the rate at which that goes. */
+/** Placement of pending units on workers. */
 import { type Attempt, indexOfTask } from "../ids/index.js";
 import type { Resources } from "../resources/index.js";
 import type { Milliseconds } from "../time/index.js";
@@ -11,13 +11,13 @@
 import type { JobEntry, Step } from "./types.js";
 import { type Choice, WorkerChooser } from "./worker-chooser.js";
 
-/** See the module's comment. */
+/** Runs placement cycles over the queue, and estimates waits from the rate at which tasks are placed. */
 export class PlacementPass {
     readonly #chooser: WorkerChooser;
     #startsSinceTick = 0;
     #startsPerSecond = 0;
     #lastTick: Milliseconds;
-    /** When the last pass was, and the room and the queue at its end. */
+    /** Time of the last cycle, with the versions of capacity and queue at its end. */
     #lastPass = { at: -Infinity, room: -1, ticket: -1 };
 
     constructor(private readonly context: ShardContext, private readonly jobs: JobLifecycle) {
@@ -25,7 +25,7 @@
         this.#lastTick = context.openedAt;
     }
 
-    /** Places what fits. `mayRecord` is false while the journal takes no records: then nothing is placed. */
+    /** Runs a placement cycle if one is due. Nothing is placed while the journal accepts no records (`mayRecord` false). */
     run(mayRecord: boolean): Step {
         const builder = this.context.builder();
         if (mayRecord && this.context.mayRenew() && this.context.queue.length > 0) {
@@ -43,20 +43,20 @@
         return builder.step();
     }
 
-    /** What did not fit before can only fit now if room came free; the rest waits for the next regular pass. */
+    /** A unit that could not be placed can only fit once capacity was freed; other changes wait for the regular interval. */
     #isPassDue(now: Milliseconds): boolean {
         const { at, room, ticket } = this.#lastPass;
         return now - at >= passInterval || room !== this.context.workers.index.roomVersion
             || ticket !== this.jobs.nextTicket;
     }
 
-    /** Wait that is told to one who is refused or comes later, from the rate at which the queue drains. */
+    /** Estimates the wait at a position of the queue from the rate of placements. */
     expectedWait(place: number): Milliseconds {
         const rate = Math.max(this.#startsPerSecond, 0.1);
         return Math.min(longestRetryAfter, Math.ceil(place / rate * 1000));
     }
 
-    /** Takes in how many tasks were placed since the last call, about once a second. */
+    /** Updates the rate of placements, at most once a second. */
     measureRate(now: Milliseconds): void {
         const elapsed = now - this.#lastTick;
         if (elapsed < 1000) {
--- a/packages/core/src/shard/records.ts
+++ b/packages/core/src/shard/records.ts
@@ -1,11 +1,11 @@
-/** Records of a shard's journal. Applying them in order gives the state of all jobs. */
+/** Journal records of a shard. Replaying them in order rebuilds the state of all jobs. */
 import { type Attempt, type Incarnation, type JobId, jobOfTask, type TaskId, type WorkerId } from "../ids/index.js";
 import type { JobState, JobSubmission, RanAnswer } from "../jobs/index.js";
 import type { Resources } from "../resources/index.js";
 import type { EndKind } from "../worker/index.js";
 import type { Terms } from "./lease-terms.js";
 
-/** One task given to one worker; the start is sent only once this is kept. */
+/** Assignment of one task to one worker. The start request is sent only once this is committed. */
 export interface RecordedPlacement {
     readonly task: TaskId;
     readonly attempt: Attempt;
@@ -14,7 +14,7 @@
     readonly grant: Resources;
 }
 
-/** A job was accepted. */
+/** Written when a job is accepted. */
 export interface SubmittedRecord {
     readonly kind: "submitted";
     readonly at: string;
@@ -24,7 +24,7 @@
     readonly submission: JobSubmission;
 }
 
-/** Tasks of a job were placed. */
+/** Written when tasks of a job are placed on workers. */
 export interface StartingRecord {
     readonly kind: "starting";
     readonly at: string;
@@ -33,7 +33,7 @@
     readonly reason: string;
 }
 
-/** An attempt is known not to have run and never to run. */
+/** Written when an attempt is known not to have run and can no longer start. */
 export interface NotStartedRecord {
     readonly kind: "not-started";
     readonly at: string;
@@ -42,7 +42,7 @@
     readonly reason: string;
 }
 
-/** An attempt ended and its worker said how. */
+/** Written when a worker reports the end of an attempt. */
 export interface EndedRecord {
     readonly kind: "ended";
     readonly at: string;
@@ -51,29 +51,29 @@
     readonly worker: WorkerId;
     readonly end: EndKind;
     readonly output: string;
-    /** Whether the task will not be tried again. */
+    /** Whether the task is out of attempts. */
     readonly isFinal: boolean;
 }
 
-/** An attempt can no longer be running, and whether it ran is not known. */
+/** Written when an attempt can no longer be running and it is unknown whether it ran. */
 export interface LostRecord {
     readonly kind: "lost";
     readonly at: string;
     readonly task: TaskId;
     readonly attempt: Attempt;
     readonly reason: string;
-    /** Whether the task will not be tried again. */
+    /** Whether the task is out of attempts. */
     readonly isFinal: boolean;
 }
 
-/** The caller wants the job ended. */
+/** Written when the caller cancels a job. */
 export interface CancelRecord {
     readonly kind: "cancel";
     readonly at: string;
     readonly job: JobId;
 }
 
-/** The job has its final answer. */
+/** Written when a job reaches its final state. */
 export interface FinishedRecord {
     readonly kind: "finished";
     readonly at: string;
@@ -83,38 +83,38 @@
     readonly reason: string;
 }
 
-/** The job's retention is over. */
+/** Written when a finished job is removed at the end of its retention period. */
 export interface ForgottenRecord {
     readonly kind: "forgotten";
     readonly job: JobId;
 }
 
-/** An unrepeatable live request is about to be sent. */
+/** Written before an at-most-once live request is sent. */
 export interface OnceBeganRecord {
     readonly kind: "once-began";
     readonly at: string;
     readonly key: string;
     readonly digest: string;
-    /** Tells the send that this record is for from every other of the key. */
+    /** Distinguishes this send from other sends with the same key. */
     readonly nonce: string;
 }
 
-/** An unrepeatable live request was answered, or surely not run. */
+/** Written when an at-most-once live request was answered, or is known not to have run. */
 export interface OnceEndedRecord {
     readonly kind: "once-ended";
     readonly at: string;
     readonly key: string;
-    /** Status of its answer; undefined when it was not run: its key is free again. */
+    /** HTTP status of the response. Undefined when the request was not run, which frees its key. */
     readonly status?: number;
 }
 
-/** Lengths of leases that this owner gives from now on; kept before the first of them is given. */
+/** Written before the owner grants leases under new terms. */
 export interface TermsRecord {
     readonly kind: "terms";
     readonly terms: Terms;
 }
 
-/** Any record of a shard's journal. */
+/** Union of all journal records of a shard, discriminated by `kind`. */
 export type ShardRecord =
     | SubmittedRecord
     | StartingRecord
@@ -128,7 +128,7 @@
     | OnceEndedRecord
     | TermsRecord;
 
-/** The job that a record is of, if it is of one. */
+/** Returns the job that a record belongs to; undefined for records of the shard as a whole. */
 export const jobOfRecord = (record: ShardRecord): JobId | undefined => {
     if ("job" in record) {
         return record.job;
--- a/packages/core/src/shard/room-saver.ts
+++ b/packages/core/src/shard/room-saver.ts
@@ -1,9 +1,4 @@
-/**
- * Saves room for one gang that has waited long.
- *
- * Only one gang saves at a time, the first that asks, so two gangs never hold halves of what the other wants. Others
- * may still be placed on a saved worker if they are expected to end before the gang can start there.
- */
+/** Reservation of workers for a gang that has waited long. */
 import type { JobId } from "../ids/index.js";
 import { fitsInto, type Resources, subtractResources } from "../resources/index.js";
 import type { Milliseconds } from "../time/index.js";
@@ -13,16 +8,20 @@
 interface Saving {
     readonly job: JobId;
     readonly workers: ReadonlySet<WorkerEntry>;
-    /** When it began, by the monotonic clock. */
+    /** When the reservation was made, on the monotonic clock. */
     readonly since: Milliseconds;
-    /** When the last task that runs on the saved workers is expected to end. */
+    /** When the last task on the reserved workers is expected to end. */
     readonly expectedStart: Milliseconds;
 }
 
-/** A gang that has not started by then gives its place to the next. */
+/** A gang that has not started within this time loses its reservation to the next one. */
 const longestSaving: Milliseconds = 600_000;
 
-/** Keeps workers free for one gang. */
+/**
+ * Reserves workers for one gang at a time, so that two gangs never each hold half of what the other needs.
+ *
+ * Other tasks may still be placed on a reserved worker if they are expected to end before the gang can start (backfill).
+ */
 export class RoomSaver {
     #saving: Saving | undefined;
 
@@ -31,14 +30,14 @@
         private readonly expectedEndOf: (task: TaskEntry) => Milliseconds,
     ) {}
 
-    /** Ends a saving that took too long. */
+    /** Drops a reservation that is too old. */
     refresh(now: Milliseconds): void {
         if (this.#saving !== undefined && now - this.#saving.since > longestSaving) {
             this.#saving = undefined;
         }
     }
 
-    /** Begins to save workers for a gang, unless another one saves. */
+    /** Reserves enough workers for a gang, least loaded first. Does nothing while a reservation is held. */
     save(job: JobId, size: Resources, count: number, now: Milliseconds): void {
         if (this.#saving !== undefined) {
             return;
@@ -64,14 +63,14 @@
         }
     }
 
-    /** Ends the saving of a job. */
+    /** Drops the reservation if this job holds it. */
     done(job: JobId): void {
         if (this.#saving?.job === job) {
             this.#saving = undefined;
         }
     }
 
-    /** Whether a worker is kept for another job than this one. */
+    /** Whether a worker is reserved for another job and a task with this expected end would delay that job. */
     isSavedForAnother(entry: WorkerEntry, job: JobId, expectedEnd: Milliseconds): boolean {
         const saving = this.#saving;
         if (saving === undefined || saving.job === job || !saving.workers.has(entry)) {
--- a/packages/core/src/shard/service-directory.ts
+++ b/packages/core/src/shard/service-directory.ts
@@ -1,4 +1,4 @@
-/** Services by name: their instances, and the slots of these that gateways hold. */
+/** Services of a shard by name. */
 import type { TaskId } from "../ids/index.js";
 import type { Milliseconds } from "../time/index.js";
 import { gatewaysRegisterWithin } from "./constants.js";
@@ -6,24 +6,24 @@
 import { type JobEntry, type TaskEntry, TaskPhase } from "./types.js";
 import { isLeaving, type WorkerEntry, type WorkerTable } from "./worker-table.js";
 
-/** What a directory needs. */
+/** Dependencies of {@link ServiceDirectory}. */
 export interface ServiceDirectoryOptions {
     readonly workers: WorkerTable;
-    /** Whether a former owner's grants may still be in use. */
+    /** Whether slot grants of a former owner may still be in use. */
     readonly hasFormerOwner: boolean;
     readonly now: () => Milliseconds;
-    /** How long a bundle of slots may be used. */
+    /** Returns how long granted slots may be used. */
     readonly slotGrant: () => Milliseconds;
 }
 
-/** See the module's comment. */
+/** Tracks the instances of each service and the slots of these that gateways hold. */
 export class ServiceDirectory {
     readonly #jobs = new Map<string, Set<JobEntry>>();
     readonly #ledgers = new Map<string, SlotLedger>();
 
     constructor(private readonly options: ServiceDirectoryOptions) {}
 
-    /** Adds a job if it is a service. */
+    /** Adds a job; does nothing unless it belongs to a service. */
     add(job: JobEntry): void {
         const { service } = job.submission;
         if (service !== undefined) {
@@ -33,23 +33,20 @@
         }
     }
 
-    /** Removes a job that has ended. */
     remove(job: JobEntry): void {
         this.#jobs.get(job.submission.service ?? "")?.delete(job);
     }
 
-    /** Whether a service is known. */
     has(service: string): boolean {
         return this.#jobs.has(service);
     }
 
-    /** Grants slots of a service's instances to a gateway. */
     acquire(service: string, request: SlotRequest): SlotGrant[] {
         const { now, slotGrant } = this.options;
         return this.#ledgerOf(service).acquire(request, this.#instancesOf(service), now(), slotGrant());
     }
 
-    /** Whether gateways may still send to an instance. */
+    /** Whether any gateway may still send requests to an instance. */
     isGranted(service: string, task: TaskId): boolean {
         return this.#ledgerOf(service).grantedOf(task, this.options.now()) > 0;
     }
@@ -58,7 +55,7 @@
         let ledger = this.#ledgers.get(service);
         if (ledger === undefined) {
             const { hasFormerOwner, now, slotGrant } = this.options;
-            // Counted from the first request: gateways may have found the new owner only now.
+            // Counted from the first request, as gateways may only now have discovered the new owner.
             const settledAt = hasFormerOwner ? now() + Math.min(gatewaysRegisterWithin, slotGrant()) : -Infinity;
             ledger = new SlotLedger(settledAt);
             this.#ledgers.set(service, ledger);
@@ -86,7 +83,7 @@
         }];
     }
 
-    /** Whether live requests may go to a task: it runs, or a new owner has not heard from its worker yet. */
+    /** Whether live requests may be sent to a task: it is running, or its worker has not reported to a new owner yet. */
     #mayServe(task: TaskEntry, entry: WorkerEntry): boolean {
         if (task.stopSent === true || isLeaving(entry)) {
             return false;
--- a/packages/core/src/shard/settings.ts
+++ b/packages/core/src/shard/settings.ts
@@ -1,9 +1,9 @@
-/** Values of the settings tree that a shard's owner reads at each decision. */
+/** Settings that a shard's owner reads at each decision. */
 import type { PlacementSettings } from "../placement/index.js";
 import type { Resources } from "../resources/index.js";
 import type { Milliseconds } from "../time/index.js";
 
-/** See the settings schema for the meaning and unit of each value. */
+/** Resolved settings of a shard or workload class; `treeSchema` documents each value. */
 export interface ShardSettings {
     readonly placement: PlacementSettings;
     readonly leaseDuration: Milliseconds;
@@ -20,6 +20,6 @@
     readonly slotGrant: Milliseconds;
     readonly quarantineShare: number;
     readonly quarantineDuration: Milliseconds;
-    /** Most that a team may hold at once; a team that is not named has no limit. */
+    /** Resources that each team may hold at once; a team without an entry is unlimited. */
     readonly quotas: ReadonlyMap<string, Partial<Resources>>;
 }
--- a/packages/core/src/shard/shard-context.ts
+++ b/packages/core/src/shard/shard-context.ts
@@ -1,4 +1,4 @@
-/** What the parts of a shard's owner share: its state, its clock and the terms of its leases. */
+/** State that the components of a shard's scheduler share. */
 import { type Epoch, type JobId, jobOfTask, type ShardId } from "../ids/index.js";
 import { WorkloadClass } from "../jobs/index.js";
 import type { Random } from "../random/index.js";
@@ -15,21 +15,21 @@
 import { type JobEntry, type TaskEntry } from "./types.js";
 import { type WorkerEntry, WorkerTable } from "./worker-table.js";
 
-/** What a shard's owner is made from. */
+/** Identity and dependencies of a shard's scheduler. */
 export interface ShardSchedulerOptions {
     readonly shard: ShardId;
     readonly epoch: Epoch;
     readonly clock: Clock;
     readonly random: Random;
-    /** Reads the settings in force for a workload class, or for the shard as a whole; called at each decision. */
+    /** Returns the current settings of a workload class, or of the shard as a whole. Called at each decision. */
     readonly settings: (workloadClass?: WorkloadClass) => ShardSettings;
-    /** When ownership was last confirmed by the platform, by the monotonic clock. */
+    /** When the platform last confirmed ownership, on the monotonic clock. */
     readonly lastContact: () => Milliseconds;
-    /** Whether a former owner's leases and grants may still run. */
+    /** Whether leases and slot grants of a former owner may still be valid. */
     readonly hasFormerOwner: boolean;
 }
 
-/** See the module's comment. */
+/** State, clock and lease calculations shared by the components of a shard's scheduler. */
 export class ShardContext {
     readonly book = new JobBook();
     readonly workers = new WorkerTable();
@@ -54,12 +54,12 @@
         });
     }
 
-    /** Now, by the monotonic clock. */
+    /** Current time on the monotonic clock. */
     now(): Milliseconds {
         return this.options.clock.monotonic();
     }
 
-    /** The wall-clock time in text. One pass makes thousands of records in a millisecond; the text is made once. */
+    /** Wall-clock time in ISO 8601. Cached, as one cycle may write thousands of records within a millisecond. */
     at(): string {
         const now = this.options.clock.now().getTime();
         if (now !== this.#atTime) {
@@ -69,22 +69,21 @@
         return this.#atText;
     }
 
-    /** Makes what gathers the records and effects of one input. */
     builder(): StepBuilder {
         return new StepBuilder(this.book);
     }
 
-    /** A job that is known to exist. */
+    /** Returns a job that must exist. */
     jobOf(id: JobId): JobEntry {
         return this.book.jobs.get(id)!;
     }
 
-    /** Whether leases may be given: only up to the horizon after the platform last confirmed ownership. */
+    /** Whether leases may be granted: only within the horizon after the platform last confirmed ownership. */
     mayRenew(): boolean {
         return this.now() - this.options.lastContact() < this.terms.inForce(this.options.settings()).horizon;
     }
 
-    /** Until when a former owner's leases may run at a worker that was not heard. */
+    /** When leases of a former owner have expired on a worker that this owner has not heard from. */
     leasesOfFormerOwner(): Milliseconds {
         if (!this.options.hasFormerOwner) {
             return -Infinity;
@@ -93,29 +92,27 @@
         return this.openedAt + horizon + leaseDuration + leaseMargin;
     }
 
-    /** Leases given now at a worker are counted there from the issue of its last number, which is not later than its answer. */
+    /** The worker counts leases granted now from when it issued its last report number, which is no later than its answer. */
     noteLeases(entry: WorkerEntry): void {
         const { leaseDuration, leaseMargin } = this.terms.inForce(this.options.settings());
         entry.leasesLapseAt = Math.max(entry.leasesLapseAt, entry.answeredAt + leaseDuration + leaseMargin);
     }
 
-    /** Opens or closes a worker by all that is known of it. */
     refresh(entry: WorkerEntry): void {
         this.workers.refresh(entry, this.now(), this.options.settings().silentAfter);
     }
 
-    /** When a running task is expected to end, by its caller's word; never, when nothing was said. */
+    /** When a running task should end by its caller's estimate; Infinity without one. */
     expectedEnd(task: TaskEntry): Milliseconds {
         const run = this.book.jobs.get(jobOfTask(task.task))?.submission.expectedRunMilliseconds;
         return run === undefined ? Infinity : (task.confirmedAt ?? this.now()) + run;
     }
 
-    /** The team that a task belongs to. */
     teamOf(task: TaskEntry): string {
         return this.jobOf(jobOfTask(task.task)).submission.team;
     }
 
-    /** How long a lease may run that any owner gives now. */
+    /** Longest validity of a lease that this owner or a former one may have granted. */
     longestLease(): Milliseconds {
         const former = this.terms.ofFormerOwner();
         const own = this.terms.inForce(this.options.settings());
--- a/packages/core/src/shard/shard-scheduler.ts
+++ b/packages/core/src/shard/shard-scheduler.ts
@@ -1,9 +1,4 @@
-/**
- * Decisions of one shard's owner.
- *
- * Each input changes the state by records and returns them with the effects that may be carried out once the records
- * are kept. The class reads time only through the clock it is given and reaches nothing outside.
- */
+/** Entry point of a shard's scheduling logic. */
 import { type Attempt, type JobId, jobId, type TaskId, type WorkerId } from "../ids/index.js";
 import { isFinalState, JobState, type JobSubmission, type JobView } from "../jobs/index.js";
 import type { Milliseconds } from "../time/index.js";
@@ -30,13 +25,18 @@
 import { WorkerReports } from "./worker-reports.js";
 import { WorkerTable } from "./worker-table.js";
 
-/** What a caller submits, checked, with a digest that is equal for equal bodies. */
+/** A validated submission. Equal request bodies have equal digests. */
 export interface Submission {
     readonly submission: JobSubmission;
     readonly digest: string;
 }
 
-/** See the module's comment. */
+/**
+ * Scheduling logic of one shard's owner, as a deterministic state machine.
+ *
+ * Each input changes the state through records and returns a transition: the records, and the effects to carry out once
+ * those are committed. It performs no I/O and reads time only from the clock it is given.
+ */
 export class ShardScheduler {
     readonly #context: ShardContext;
     readonly #jobs: JobLifecycle;
@@ -53,27 +53,24 @@
         this.#pass = new PlacementPass(this.#context, this.#jobs);
     }
 
-    /** What is known of each worker. */
     get workers(): WorkerTable {
         return this.#context.workers;
     }
 
-    /** What waits for room. */
     get queue(): PendingQueue {
         return this.#context.queue;
     }
 
-    /** All jobs. */
     get book(): JobBook {
         return this.#context.book;
     }
 
-    /** Whether the list of VMs has been read; before that no worker is known. */
+    /** Whether the list of VMs has been read. Before that no worker is known. */
     get hasList(): boolean {
         return this.#reports.hasList;
     }
 
-    /** Takes over what the journal holds. Called once, before any other input. */
+    /** Restores the state from the journal. Must be called once, before any other input. */
     recover(snapshot: ShardSnapshot | undefined, records: readonly ShardRecord[]): void {
         if (snapshot !== undefined) {
             this.book.restore(snapshot);
@@ -86,32 +83,32 @@
         }
     }
 
-    /** Takes in the platform's list of VMs, as far as this shard has them. */
+    /** Applies the platform's list of VMs, limited to those of this shard. */
     listWorkers(listed: readonly ListedWorker[]): Step {
         return this.#reports.listWorkers(listed);
     }
 
-    /** Takes in the answer of a worker that has accepted this owner's epoch. `sentAt`: when the claim was sent. */
+    /** Applies the report of a worker that has accepted this owner's epoch. `sentAt`: when the claim was sent. */
     claimAnswered(worker: WorkerId, report: WorkerReport, sentAt: Milliseconds): Step {
         return this.#reports.claimAnswered(worker, report, sentAt);
     }
 
-    /** The next heartbeat for a worker that was claimed, or undefined when it must be claimed first. */
+    /** Creates the next heartbeat for a worker, or returns undefined when the worker must be claimed first. */
     heartbeatFor(worker: WorkerId, wait: Milliseconds): HeartbeatMessage | undefined {
         return this.#reports.heartbeatFor(worker, wait);
     }
 
-    /** A heartbeat got no answer: what it acknowledged is acknowledged again. */
+    /** Queues the acknowledgements of an unanswered heartbeat again. */
     heartbeatFailed(worker: WorkerId, message: HeartbeatMessage): void {
         this.#reports.heartbeatFailed(worker, message);
     }
 
-    /** Takes in the answer to a heartbeat. `sentAt`: when the heartbeat was sent. */
+    /** Applies the report that answers a heartbeat. `sentAt`: when the heartbeat was sent. */
     heartbeatAnswered(worker: WorkerId, report: WorkerReport, sentAt: Milliseconds): Step {
         return this.#reports.heartbeatAnswered(worker, report, sentAt);
     }
 
-    /** Does what time asks for: lapsed leases, deadlines, retries, retention. */
+    /** Processes what is due by now: expired leases, deadlines, retries and retention. */
     tick(): Step {
         const builder = this.#context.builder();
         const now = this.#context.now();
@@ -128,7 +125,7 @@
         return builder.step();
     }
 
-    /** Accepts a job or refuses it with the reason; a job of the same key and body is found again. */
+    /** Accepts or refuses a job. A submission whose key and body are known returns the job accepted before. */
     submit(input: Submission): { readonly step: Step; readonly outcome: SubmitOutcome; } {
         const { submission, digest } = input;
         const known = submission.key === undefined ? undefined : this.book.byKey(submission.key);
@@ -162,7 +159,7 @@
         return { step: builder.step(), outcome: { kind: "accepted", job, repeated: false } };
     }
 
-    /** Ends a job at its caller's wish. Undefined when no such job is known. */
+    /** Cancels a job; undefined when the job is unknown. */
     cancel(id: JobId): Step | undefined {
         const job = this.book.jobs.get(id);
         if (job === undefined) {
@@ -177,7 +174,7 @@
         return builder.step();
     }
 
-    /** What a caller is told of a job. A final state is told only once it is kept. */
+    /** Describes a job for its caller. A final state is reported only once it is committed. */
     view(id: JobId): JobView | undefined {
         const job = this.book.jobs.get(id);
         if (job === undefined) {
@@ -191,32 +188,28 @@
         });
     }
 
-    /** The job that a caller's key names. */
     findByKey(key: string): JobId | undefined {
         return this.book.byKey(key)?.job;
     }
 
-    /** See {@link StartOrders.message}. */
     startMessage(id: TaskId, attempt: Attempt, mayHaveArrived: boolean): StartMessage | undefined {
         return this.#starts.message(id, attempt, mayHaveArrived);
     }
 
-    /** See {@link StartOrders.accepted}. */
     startAccepted(id: TaskId, attempt: Attempt, running: RunningTask): Step {
         return this.#starts.accepted(id, attempt, running);
     }
 
-    /** See {@link StartOrders.refused}. */
     startRefused(id: TaskId, attempt: Attempt, refusal: WorkerRefusal | undefined): Step {
         return this.#starts.refused(id, attempt, refusal);
     }
 
-    /** Places what fits. `mayRecord` is false while the journal takes no records: then nothing is placed. */
+    /** Runs a placement cycle if one is due. Nothing is placed while the journal accepts no records (`mayRecord` false). */
     schedule(mayRecord: boolean): Step {
         return this.#pass.run(mayRecord);
     }
 
-    /** Grants slots of a service's instances to a gateway. Undefined when no such service is known. */
+    /** Grants slots of a service's instances to a gateway; undefined when the service is unknown. */
     acquireSlots(service: string, request: SlotRequest): SlotGrant[] | undefined {
         if (!this.#context.services.has(service)) {
             return undefined;
@@ -225,8 +218,8 @@
     }
 
     /**
-     * Records that an unrepeatable live request is about to be sent; a second one of the same key is told the first.
-     * `nonce` names the send: one that asks again, because an owner's answer was lost, is the same and may go out.
+     * Records that an at-most-once live request is about to be sent. When another send has used the key, returns that one as
+     * `earlier` and records nothing. `nonce` identifies the send, so that a call retried after a lost answer is allowed.
      */
     beginOnce(
         key: string,
@@ -237,20 +230,20 @@
         if (known !== undefined && known.nonce !== nonce) {
             return { step: emptyStep, earlier: known };
         }
-        // The same send records itself again: its first record may not be kept yet, and it must be before the send.
+        // A retried call records again: its first record may not be committed yet, and must be before the request is sent.
         const builder = this.#context.builder();
         builder.record({ kind: "once-began", at: this.#context.at(), key, digest, nonce });
         return { step: builder.step(), earlier: undefined };
     }
 
-    /** Records that an unrepeatable live request was answered; without a status, that it was surely not run. */
+    /** Records that an at-most-once live request was answered or, without a status, that it did not run. */
     endOnce(key: string, status: number | undefined): Step {
         const builder = this.#context.builder();
         builder.record({ kind: "once-ended", at: this.#context.at(), key, status });
         return builder.step();
     }
 
-    /** The records of a step are kept. */
+    /** Must be called once the records of a transition are committed. */
     kept(step: Step): void {
         for (const record of step.records) {
             const job = jobOfRecord(record);
@@ -268,7 +261,7 @@
         }
     }
 
-    /** Whether an attempt is the one that its task has now, and is charged to a worker. */
+    /** Whether this is the task's current attempt and it is assigned to a worker. */
     isCurrent(id: TaskId, attempt: Attempt): boolean {
         const task = this.book.task(id);
         return task?.attempt === attempt && task.assignment !== undefined;
--- a/packages/core/src/shard/slot-ledger.ts
+++ b/packages/core/src/shard/slot-ledger.ts
@@ -1,11 +1,4 @@
-/**
- * Slots of service instances, granted to gateways in bundles that end by themselves.
- *
- * A gateway renews its bundle well before it ends and says how many slots of each instance it uses. What it uses or
- * was granted stays counted until the grant has ended, so the sum never exceeds an instance's slots, also when an
- * answer is lost. A new owner at first grants only what gateways say they already hold; should one that was cut off
- * use more, the instance refuses it, as it enforces its own slots.
- */
+/** Slots of service instances, granted to gateways for a limited time. */
 import type { ProcessId, TaskId, WorkerId } from "../ids/index.js";
 import type { Milliseconds } from "../time/index.js";
 
@@ -13,28 +6,28 @@
 export interface ServiceInstance {
     readonly task: TaskId;
     readonly worker: WorkerId;
-    /** Undefined while a new owner has not heard from the worker. */
+    /** Undefined until the worker has reported to a new owner. */
     readonly address?: string;
     readonly dataHall: string;
     readonly slots: number;
 }
 
-/** Slots of one instance that a gateway may use. */
+/** Number of slots of one instance that a gateway may use at a time. */
 export interface SlotGrant {
     readonly task: TaskId;
     readonly worker: WorkerId;
-    /** Undefined while a new owner has not heard from the worker: the gateway goes on with the address it knows. */
+    /** Undefined until the worker has reported to a new owner; the gateway keeps using the address it knows. */
     readonly address?: string;
     readonly slots: number;
 }
 
-/** What a gateway asks for one service. */
+/** A gateway's request for slots of one service. */
 export interface SlotRequest {
     readonly gateway: ProcessId;
     readonly dataHall: string;
-    /** Most slots it could have used at once lately. */
+    /** Recent peak of slots the gateway could have used at once. */
     readonly demand: number;
-    /** Slots in use or granted before, by instance. */
+    /** Slots that the gateway uses or was granted before, by instance. */
     readonly held: readonly { readonly task: TaskId; readonly slots: number; }[];
 }
 
@@ -49,14 +42,21 @@
     readonly holdings: Map<TaskId, Holding>;
 }
 
-/** Grants of one service. */
+/**
+ * Slot grants of one service.
+ *
+ * Gateways renew their grants before they expire, and report the slots of each instance that they use. What a gateway uses
+ * or was granted stays counted until the grant expires, so the sum never exceeds an instance's slots even when an answer is
+ * lost. A new owner first re-grants only slots that gateways report as held. If a partitioned gateway uses more, the instance
+ * rejects the request, as it enforces its own slots.
+ */
 export class SlotLedger {
     readonly #gateways = new Map<ProcessId, GatewayEntry>();
 
-    /** `settledAt`: from then on every gateway that the owner can hear has said what it holds. */
+    /** `reconciledAt`: from then on every reachable gateway has reported the slots it holds, so grants may grow. */
     constructor(private readonly settledAt: Milliseconds) {}
 
-    /** Grants slots for `duration` from `now` and counts them until then. */
+    /** Grants slots that expire at `now + duration`. */
     acquire(
         request: SlotRequest,
         instances: readonly ServiceInstance[],
@@ -84,7 +84,6 @@
         return grants;
     }
 
-    /** Slots of an instance that are counted as granted. */
     grantedOf(task: TaskId, now: Milliseconds): number {
         this.#dropEnded(now);
         return this.#sum(task, undefined);
@@ -99,7 +98,7 @@
         return entry;
     }
 
-    /** What a gateway holds is what it says; a smaller number than was granted gives the rest back. */
+    /** Replaces a gateway's holdings by those it reports, which releases slots it no longer uses. */
     #takeOverHeld(gateway: GatewayEntry, request: SlotRequest, now: Milliseconds, duration: Milliseconds): void {
         gateway.holdings.clear();
         for (const held of request.held) {
@@ -107,7 +106,10 @@
         }
     }
 
-    /** The demand and a share of what nobody asks for, with one share kept for a gateway that is new; else in proportion. */
+    /**
+     * Target number of slots for a gateway. If all demands fit: its demand plus an equal share of the spare slots, with one
+     * share left for a new gateway. Otherwise a share in proportion to its demand.
+     */
     #shareOf(gateway: GatewayEntry, instances: readonly ServiceInstance[]): number {
         const total = instances.reduce((sum, instance) => sum + instance.slots, 0);
         const demands = [...this.#gateways.values()].reduce((sum, entry) => sum + entry.demand, 0);
@@ -117,7 +119,7 @@
         return Math.max(1, Math.floor(total * gateway.demand / demands));
     }
 
-    /** Instances that the gateway already uses first, then those of its own data hall, then the emptiest. */
+    /** Orders instances: those the gateway already uses, then those in its data hall, then those with the fewest slots granted. */
     #inOrder(gateway: GatewayEntry, instances: readonly ServiceInstance[], dataHall: string): ServiceInstance[] {
         const weight = (instance: ServiceInstance): number => {
             const held = gateway.holdings.has(instance.task) ? 0 : 1_000_000;
--- a/packages/core/src/shard/start-orders.ts
+++ b/packages/core/src/shard/start-orders.ts
@@ -1,4 +1,4 @@
-/** Orders to start attempts: what is sent, and what becomes of it by the worker's answer. */
+/** Requests to workers to start attempts. */
 import { type Attempt, jobOfTask, type TaskId } from "../ids/index.js";
 import { WorkloadClass } from "../jobs/index.js";
 import { type RunningTask, type StartMessage, WorkerRefusal } from "../worker/index.js";
@@ -9,7 +9,7 @@
 import { type Step, TaskPhase } from "./types.js";
 import type { WorkerReports } from "./worker-reports.js";
 
-/** See the module's comment. */
+/** Builds the messages that start attempts, and applies the workers' answers. */
 export class StartOrders {
     constructor(
         private readonly context: ShardContext,
@@ -18,8 +18,8 @@
     ) {}
 
     /**
-     * The message that starts an attempt, or undefined when it is no longer to be sent.
-     * `mayHaveArrived`: a copy of it was sent before and got no answer.
+     * Returns the message that starts an attempt, or undefined when it must no longer be sent.
+     * `mayHaveArrived`: a copy was sent before and not answered.
      */
     message(id: TaskId, attempt: Attempt, mayHaveArrived: boolean): StartMessage | undefined {
         const task = this.context.book.task(id);
@@ -51,7 +51,7 @@
         };
     }
 
-    /** A worker accepted a start. */
+    /** Applies a worker's acceptance of a start. */
     accepted(id: TaskId, attempt: Attempt, running: RunningTask): Step {
         const task = this.context.book.task(id);
         if (task?.attempt !== attempt || task.phase !== TaskPhase.Starting) {
@@ -64,7 +64,7 @@
         return builder.step();
     }
 
-    /** A worker refused a start, or it was given up before it was ever sent: the attempt was not run. */
+    /** Applies a worker's refusal, or without `refusal` that the start was never sent: the attempt did not run. */
     refused(id: TaskId, attempt: Attempt, refusal: WorkerRefusal | undefined): Step {
         const task = this.context.book.task(id);
         if (task?.attempt !== attempt || task.phase !== TaskPhase.Starting || task.assignment === undefined) {
--- a/packages/core/src/shard/step-builder.ts
+++ b/packages/core/src/shard/step-builder.ts
@@ -1,13 +1,13 @@
-/** Gathers the records and effects of one input. */
+/** Construction of transitions. */
 import type { JobId } from "../ids/index.js";
 import type { JobBook } from "./job-book.js";
 import { jobOfRecord, type ShardRecord } from "./records.js";
 import type { Effect, Step } from "./types.js";
 
-/** The step of an input that changes nothing. */
+/** Transition of an input that changes nothing. */
 export const emptyStep: Step = { records: [], effects: [] };
 
-/** Applies each record at once and keeps it for the journal. */
+/** Collects the records and effects of one input. Records are applied to the registry as they are added. */
 export class StepBuilder {
     readonly #records: ShardRecord[] = [];
     readonly #effects: Effect[] = [];
@@ -15,7 +15,6 @@
 
     constructor(private readonly book: JobBook) {}
 
-    /** Adds a record and applies it. */
     record(record: ShardRecord): void {
         this.book.apply(record);
         this.#records.push(record);
@@ -26,12 +25,11 @@
         }
     }
 
-    /** Adds an effect. */
     effect(effect: Effect): void {
         this.#effects.push(effect);
     }
 
-    /** Tells those who wait for a job that it changed; once a step. */
+    /** Adds an effect that notifies those waiting for a job; at most one per job. */
     changed(job: JobId): void {
         if (!this.#changed.has(job)) {
             this.#changed.add(job);
@@ -39,7 +37,6 @@
         }
     }
 
-    /** What was gathered. */
     step(): Step {
         return { records: this.#records, effects: this.#effects };
     }
--- a/packages/core/src/shard/team-use.ts
+++ b/packages/core/src/shard/team-use.ts
@@ -1,4 +1,4 @@
-/** What each team holds, against its quota. */
+/** Resource usage of teams. */
 import {
     addResources,
     dimensions,
@@ -9,11 +9,11 @@
 } from "../resources/index.js";
 import type { ShardSettings } from "./settings.js";
 
-/** Sums of grants by team. */
+/** Sums the granted resources of each team and checks them against its quota. */
 export class TeamUse {
     readonly #used = new Map<string, Resources>();
 
-    /** Whether a team may hold `count` more of a size. */
+    /** Whether a team may hold `count` further tasks of a size. */
     isWithinQuota(team: string, size: Resources, count: number, quotas: ShardSettings["quotas"]): boolean {
         const quota = quotas.get(team);
         if (quota === undefined) {
@@ -23,12 +23,10 @@
         return dimensions.every(name => after[name] <= (quota[name] ?? Infinity));
     }
 
-    /** Counts a grant. */
     take(team: string, grant: Resources): void {
         this.#used.set(team, addResources(this.#usedBy(team), grant));
     }
 
-    /** Gives a grant back. */
     giveBack(team: string, grant: Resources): void {
         this.#used.set(team, subtractResources(this.#usedBy(team), grant));
     }
--- a/packages/core/src/shard/types.ts
+++ b/packages/core/src/shard/types.ts
@@ -1,4 +1,4 @@
-/** State and effects of a shard's owner. */
+/** State of a shard, and the transitions that inputs cause. */
 import type { Attempt, Incarnation, JobId, TaskId, WorkerId } from "../ids/index.js";
 import type { DecisionEntry, JobState, JobSubmission, RanAnswer } from "../jobs/index.js";
 import type { Resources } from "../resources/index.js";
@@ -7,47 +7,47 @@
 import type { Terms } from "./lease-terms.js";
 import type { ShardRecord } from "./records.js";
 
-/** Phase of one task. */
+/** Lifecycle phase of a task. */
 export enum TaskPhase {
-    /** In the queue, or backing off before it returns there. */
+    /** In the queue, or backing off before a retry. */
     Waiting = "waiting",
-    /** Recorded at a worker that has not confirmed the start. */
+    /** Assigned to a worker that has not confirmed the start. */
     Starting = "starting",
     Running = "running",
     Succeeded = "succeeded",
-    /** Will not be tried again. */
+    /** Failed or lost, with no attempts left. */
     Failed = "failed",
-    /** Will not be run: the job ended first. */
+    /** The job ended before the task was run. */
     Dropped = "dropped",
 }
 
-/** Where an attempt is charged. */
+/** The worker that an attempt is assigned to, and the resources reserved there. */
 export interface Assignment {
     readonly worker: WorkerId;
     readonly incarnation: Incarnation;
     readonly grant: Resources;
 }
 
-/** One task of a job. Plain data: it is part of snapshots. */
+/** Task state. Plain data, serialised in snapshots. */
 export interface TaskEntry {
     readonly task: TaskId;
     phase: TaskPhase;
     attempt: Attempt;
     assignment?: Assignment;
-    /** Attempts that failed or were lost after they may have run. */
+    /** Attempts that failed, or were lost after they may have run. */
     spent: number;
     end?: EndKind;
-    /** Whether its last attempt was lost, so that it may have run. */
+    /** Whether the last attempt was lost, so that it may have run. */
     isLost?: boolean;
     output: string;
     checkpoint?: string;
     serviceAddress?: string;
-    /** When the worker confirmed the attempt, by the monotonic clock. Not part of the journal. */
+    /** When the worker confirmed the attempt, on the monotonic clock. Not journaled. */
     confirmedAt?: Milliseconds;
     stopSent?: boolean;
 }
 
-/** One job. Plain data: it is part of snapshots. */
+/** Job state. Plain data, serialised in snapshots. */
 export interface JobEntry {
     readonly job: JobId;
     readonly key: string;
@@ -59,43 +59,43 @@
     reason: string;
     readonly tasks: TaskEntry[];
     readonly history: DecisionEntry[];
-    /** Records of this job that are not yet kept in the journal. Not part of the journal. */
+    /** Records of this job that the journal has not committed yet. Not journaled itself. */
     unkept: number;
     finishedAt?: string;
 }
 
-/** An unrepeatable live request. */
+/** A live request that must be sent at most once. */
 export interface OnceEntry {
     readonly key: string;
     readonly digest: string;
-    /** The send that may go out. */
+    /** Identifies the one send that is allowed. */
     readonly nonce: string;
     readonly at: string;
-    /** Status of its answer, once there is one. */
+    /** HTTP status of the response, once there is one. */
     status?: number;
 }
 
-/** What is to be done once the records of the same step are kept. */
+/** A side effect, carried out once the records of the same transition are committed. */
 export type Effect =
     | { readonly kind: "start"; readonly worker: WorkerId; readonly task: TaskId; readonly attempt: Attempt; }
     | { readonly kind: "stop"; readonly worker: WorkerId; readonly message: StopMessage; }
     | { readonly kind: "throttle"; readonly worker: WorkerId; readonly message: ThrottleMessage; }
     | { readonly kind: "job-changed"; readonly job: JobId; };
 
-/** Result of one input: records to keep, then effects to carry out. */
+/** Result of one input: records to commit, then effects to carry out. */
 export interface Step {
     readonly records: readonly ShardRecord[];
     readonly effects: readonly Effect[];
 }
 
-/** State of a shard as snapshots hold it. */
+/** Serialised state of a shard. */
 export interface ShardSnapshot {
     readonly jobs: readonly JobEntry[];
     readonly once: readonly OnceEntry[];
     readonly terms: Terms | undefined;
 }
 
-/** Why a submission was refused; the job was not run and never will be. */
+/** Why a submission was refused. A refused job has not run and never will. */
 export interface Refusal {
     readonly error:
         | "fits-nowhere"
@@ -106,11 +106,11 @@
         | "no-workers"
         | "journal-stalled";
     readonly reason: string;
-    /** When coming back makes sense. */
+    /** Suggested delay before the caller tries again. */
     readonly retryAfter?: Milliseconds;
 }
 
-/** Answer to a submission. */
+/** Result of a submission. `repeated` means that a job with the same key and body was accepted before. */
 export type SubmitOutcome =
     | { readonly kind: "accepted"; readonly job: JobId; readonly repeated: boolean; }
     | { readonly kind: "refused"; readonly refusal: Refusal; };
--- a/packages/core/src/shard/worker-chooser.ts
+++ b/packages/core/src/shard/worker-chooser.ts
@@ -1,4 +1,4 @@
-/** Chooses workers for what waits: one task, or all tasks of a gang at once. */
+/** Selection of workers for a pending unit. */
 import type { WorkerId } from "../ids/index.js";
 import { noWorker, policyOf, type WorkerSlot } from "../placement/index.js";
 import type { Milliseconds } from "../time/index.js";
@@ -8,29 +8,29 @@
 import type { JobEntry } from "./types.js";
 import type { WorkerEntry, WorkerTable } from "./worker-table.js";
 
-/** Workers for the tasks of a unit, in their order, and why. */
+/** Workers for the tasks of a unit, in the order of the tasks, with the reason. */
 export interface Choice {
     readonly workers: readonly WorkerEntry[];
     readonly reason: string;
 }
 
-/** What is to be placed. */
+/** A pending unit with what its placement depends on. */
 export interface ChoiceRequest {
     readonly unit: PendingUnit;
     readonly job: JobEntry;
     readonly settings: ShardSettings;
-    /** Workers to be taken only if the others have no room. */
+    /** Workers to use only if no others are feasible. */
     readonly avoided: ReadonlySet<WorkerId>;
     readonly now: Milliseconds;
 }
 
 const noWorkers: ReadonlySet<WorkerId> = new Set();
 
-/** See the module's comment. */
+/** Selects workers for a single task, or for all tasks of a gang at once. */
 export class WorkerChooser {
     constructor(private readonly workers: WorkerTable, private readonly saver: RoomSaver) {}
 
-    /** Workers for all tasks of a unit, or undefined when not all of them fit now. Nothing is reserved. */
+    /** Returns workers for all tasks of a unit, or undefined when not all of them fit. Reserves nothing. */
     choose(request: ChoiceRequest): Choice | undefined {
         const { avoided } = request;
         return this.#chooseWithout(request, avoided)
@@ -66,7 +66,7 @@
                 this.workers.index.reserve(decision.worker, size);
             }
         }
-        // Charged with the record; here only the search for the next task of a gang needed the room.
+        // Reserved only while searching for the gang's other tasks; the resources are charged with the record.
         if (isGang) {
             chosen.forEach(entry => this.workers.index.release(entry.slot, size));
         }
--- a/packages/core/src/shard/worker-reports.ts
+++ b/packages/core/src/shard/worker-reports.ts
@@ -1,4 +1,4 @@
-/** What workers and the platform's list say: claims, heartbeats, ends, and workers that leave or are gone. */
+/** Handling of worker reports and of the platform's list of VMs. */
 import { type Attempt, jobOfTask, type TaskId, type WorkerId } from "../ids/index.js";
 import { RanAnswer } from "../jobs/index.js";
 import type { Milliseconds } from "../time/index.js";
@@ -18,24 +18,27 @@
 import type { JobLifecycle } from "./job-lifecycle.js";
 import type { ShardContext } from "./shard-context.js";
 
-/** See the module's comment. */
+/**
+ * Reconciles the shard's state with what workers and the platform report: claims, heartbeats, ended tasks, and workers that
+ * are leaving, silent or gone.
+ */
 export class WorkerReports {
-    /** Tasks of a journal whose worker has not been listed yet. */
+    /** Recovered tasks whose worker has not been listed yet. */
     readonly #unlisted = new Set<TaskEntry>();
     #hasList = false;
 
     constructor(private readonly context: ShardContext, private readonly jobs: JobLifecycle) {}
 
-    /** Whether the list of VMs has been read; before that no worker is known. */
+    /** Whether the list of VMs has been read. Before that no worker is known. */
     get hasList(): boolean {
         return this.#hasList;
     }
 
-    /** Opens and closes workers, and loses the tasks of those that were silent until every lease there had lapsed. */
+    /** Updates which workers are schedulable, and records the tasks of silent workers as lost once all leases there expired. */
     loseSilent(now: Milliseconds, silentAfter: Milliseconds, builder: StepBuilder): void {
         for (const entry of this.context.workers.values()) {
             this.context.refresh(entry);
-            // A worker that answers says itself what became of its tasks; an old lease time means only that it was idle.
+            // A worker that answers reports its tasks itself; an old expiry then only means that it was idle.
             const isSilent = now - entry.answeredAt > silentAfter;
             if (entry.tasks.size > 0 && isSilent && now > entry.leasesLapseAt) {
                 this.jobs.loseTasks(entry, "its worker was silent until every lease there had lapsed", builder);
@@ -43,12 +46,12 @@
         }
     }
 
-    /** Takes over the tasks of a job that the journal has at workers. */
+    /** Resumes the assigned tasks of a job that was restored from the journal. */
     recover(job: JobEntry): void {
         job.tasks.filter(task => task.assignment !== undefined).forEach(task => this.#unlisted.add(task));
     }
 
-    /** Takes in the platform's list of VMs, as far as this shard has them. */
+    /** Applies the platform's list of VMs, limited to those of this shard. */
     listWorkers(listed: readonly ListedWorker[]): Step {
         const builder = this.context.builder();
         const now = this.context.now();
@@ -79,8 +82,8 @@
     }
 
     /**
-     * Whether a worker is gone for good: neither listed nor heard for as long as a lease runs. One reading of the list is
-     * not enough, as the list lags and may lack a VM that runs tasks.
+     * Whether a worker is gone for good: silent, and unlisted for longer than any lease if it has tasks. A single reading is not
+     * enough, as the list lags and may lack a VM that runs tasks.
      */
     #isGone(entry: WorkerEntry, now: Milliseconds): boolean {
         const { unlistedSince } = entry;
@@ -91,7 +94,7 @@
         return isSilent && (entry.tasks.size === 0 || now - unlistedSince > this.context.longestLease());
     }
 
-    /** Charges recovered tasks to their workers as these are listed. */
+    /** Charges recovered tasks to workers that have been listed; records the others as lost after the longest lease. */
     #chargeUnlisted(builder: StepBuilder): void {
         const isOverdue = this.context.now() - this.context.openedAt > this.context.longestLease();
         for (const task of [...this.#unlisted]) {
@@ -111,7 +114,7 @@
         }
     }
 
-    /** Takes in the answer of a worker that has accepted this owner's epoch. `sentAt`: when the claim was sent. */
+    /** Applies the report of a worker that has accepted this owner's epoch. `sentAt`: when the claim was sent. */
     claimAnswered(worker: WorkerId, report: WorkerReport, sentAt: Milliseconds): Step {
         const entry = this.context.workers.get(worker);
         if (entry === undefined) {
@@ -121,19 +124,19 @@
         for (const task of [...entry.tasks.values()]) {
             const isKnown = [...report.running, ...report.ended].some(other => isSameAttempt(other, task));
             if (!isKnown && task.assignment?.incarnation === report.incarnation) {
-                // The worker refuses the former owner from now on, so a start that has not arrived never will.
+                // The worker now rejects the former owner, so a start that has not arrived yet will be refused.
                 this.jobs.notStarted(task, "the start never reached the worker", builder);
             }
         }
         entry.incarnation = report.incarnation;
         this.#takeReport(entry, report, sentAt, builder);
-        // No former owner can renew here any more, so the leases that run now end within one lease.
+        // The former owner can no longer renew leases here, so all of them expire within one lease duration.
         const { leaseDuration, leaseMargin } = this.context.terms.ofFormerOwner();
         entry.leasesLapseAt = this.context.now() + leaseDuration + leaseMargin;
         return builder.step();
     }
 
-    /** The next heartbeat for a worker that was claimed, or undefined when it must be claimed first. */
+    /** Creates the next heartbeat for a worker, or returns undefined when the worker must be claimed first. */
     heartbeatFor(worker: WorkerId, wait: Milliseconds): HeartbeatMessage | undefined {
         const entry = this.context.workers.get(worker);
         if (entry?.incarnation === undefined) {
@@ -158,12 +161,12 @@
         };
     }
 
-    /** A heartbeat got no answer: what it acknowledged is acknowledged again. */
+    /** Queues the acknowledgements of an unanswered heartbeat again. */
     heartbeatFailed(worker: WorkerId, message: HeartbeatMessage): void {
         this.context.workers.get(worker)?.acknowledgements.push(...message.acknowledged);
     }
 
-    /** Takes in the answer to a heartbeat. `sentAt`: when the heartbeat was sent. */
+    /** Applies the report that answers a heartbeat. `sentAt`: when the heartbeat was sent. */
     heartbeatAnswered(worker: WorkerId, report: WorkerReport, sentAt: Milliseconds): Step {
         const entry = this.context.workers.get(worker);
         if (entry === undefined) {
@@ -191,7 +194,7 @@
         this.context.refresh(entry);
     }
 
-    /** A task that uses more processors than it was granted is held to its grant, so that its neighbours keep theirs. */
+    /** Throttles a task that uses more processors than granted, to protect other tasks on the worker. */
     #throttleIfOver(task: TaskEntry, running: RunningTask, builder: StepBuilder): void {
         const { assignment } = task;
         const granted = assignment?.grant.processorThousandths ?? Infinity;
@@ -231,7 +234,7 @@
         }
     }
 
-    /** Notes that a worker runs a task. */
+    /** Marks a task as running. */
     confirm(task: TaskEntry, running: RunningTask): void {
         task.phase = TaskPhase.Running;
         task.confirmedAt = this.context.now();
@@ -242,8 +245,8 @@
     #takeEnd(entry: WorkerEntry, ended: EndedTask, builder: StepBuilder): void {
         const task = this.context.book.task(ended.task);
         if (task === undefined || task.attempt !== ended.attempt || task.assignment?.worker !== entry.worker) {
-            // Acknowledged only once its record is kept: a worker that forgot an end would look as if it had never
-            // been given the start, and the next owner would run the task again.
+            // Acknowledged only once its record is committed. If the worker dropped the end before that, the next owner would
+            // conclude that the start had never arrived and run the task again.
             if ((this.context.book.jobs.get(jobOfTask(ended.task))?.unkept ?? 0) === 0) {
                 entry.acknowledgements.push({ task: ended.task, attempt: ended.attempt });
             }
@@ -269,7 +272,7 @@
         this.jobs.afterTask(job, task, builder);
     }
 
-    /** A result that is too large for the journal is a failure: a shortened one would be a wrong answer. */
+    /** A result over the size limit counts as a failure, as a truncated one would be wrong. */
     #checkedEnd(ended: EndedTask): EndKind {
         const isTooLarge = Buffer.byteLength(ended.output) > this.context.options.settings().resultBytes;
         return isTooLarge && ended.kind === EndKind.Succeeded ? EndKind.Failed : ended.kind;
@@ -311,7 +314,7 @@
         return count;
     }
 
-    /** Moves repeatable work off a leaving worker; an unrepeatable task is left to end by itself. */
+    /** Stops repeatable tasks on a leaving worker so that they move elsewhere. Unrepeatable tasks run to their end. */
     #emptyLeaving(entry: WorkerEntry, builder: StepBuilder): void {
         this.context.refresh(entry);
         for (const task of entry.tasks.values()) {
--- a/packages/core/src/shard/worker-table.ts
+++ b/packages/core/src/shard/worker-table.ts
@@ -1,4 +1,4 @@
-/** What the owner of a shard knows of each worker. */
+/** Workers of a shard. */
 import type { Incarnation, TaskId, WorkerId } from "../ids/index.js";
 import { FleetIndex, type WorkerSlot } from "../placement/index.js";
 import { type Resources, resourcesKey } from "../resources/index.js";
@@ -7,7 +7,7 @@
 import type { TaskAttempt } from "../worker/index.js";
 import type { TaskEntry } from "./types.js";
 
-/** One worker of the shard. */
+/** State of one worker as its shard's owner knows it. */
 export interface WorkerEntry {
     readonly worker: WorkerId;
     readonly slot: WorkerSlot;
@@ -15,18 +15,18 @@
     /** Set once the worker has accepted this owner's epoch. */
     incarnation?: Incarnation;
     number: number;
-    /** When the last answer came, by the monotonic clock. */
+    /** When the worker last answered, on the monotonic clock. */
     answeredAt: Milliseconds;
-    /** From then on no lease that any owner gave here can still run. */
+    /** From then on no lease that any owner granted here can be valid. */
     leasesLapseAt: Milliseconds;
     saidLeaving: boolean;
-    /** Since when the platform's list lacks it, by the monotonic clock. */
+    /** Since when the platform's list lacks the worker, on the monotonic clock. */
     unlistedSince?: Milliseconds;
-    /** Tasks charged to this worker. */
+    /** Tasks whose resources are reserved on this worker. */
     readonly tasks: Map<TaskId, TaskEntry>;
-    /** Ends that are kept and not yet acknowledged to the worker. */
+    /** Ended attempts that are committed and not yet acknowledged to the worker. */
     acknowledgements: TaskAttempt[];
-    /** Attempts running there that this owner did not place; nothing is placed until they are gone. */
+    /** Number of running attempts that this owner did not place. The worker is unschedulable until they are gone. */
     strangers: number;
     quarantinedUntil: Milliseconds;
 }
@@ -34,40 +34,37 @@
 /** Workers of equal capacity. */
 export interface CapacityShape {
     readonly capacity: Resources;
-    /** One of them. */
+    /** Any worker of this capacity, for messages. */
     readonly example: WorkerId;
     readonly count: number;
 }
 
-/** Workers by id, with their room. */
+/** Workers by id, with an index of their free capacity. */
 export class WorkerTable {
     readonly index = new FleetIndex();
     readonly #entries = new Map<WorkerId, WorkerEntry>();
     readonly #bySlot: WorkerEntry[] = [];
-    /** Undefined after a worker was added or removed. */
+    /** Cache, cleared when a worker is added or removed. */
     #shapes: readonly CapacityShape[] | undefined;
 
-    /** All workers that are listed or still have tasks charged. */
+    /** All workers, including unlisted ones that may still run tasks. */
     values(): IterableIterator<WorkerEntry> {
         return this.#entries.values();
     }
 
-    /** Number of workers. */
     get size(): number {
         return this.#entries.size;
     }
 
-    /** The entry of a worker. */
     get(worker: WorkerId): WorkerEntry | undefined {
         return this.#entries.get(worker);
     }
 
-    /** The entry at a place of the index. */
     at(slot: WorkerSlot): WorkerEntry {
         return this.#bySlot[slot];
     }
 
-    /** Adds a listed worker, closed until it has been claimed. */
+    /** Adds a worker, unschedulable until it has been claimed. */
     add(listed: ListedWorker, leasesLapseAt: Milliseconds): WorkerEntry {
         const slot = this.index.add(listed.capacity);
         this.index.setOpen(slot, false);
@@ -90,27 +87,27 @@
         return entry;
     }
 
-    /** Forgets a worker that is gone; its place in the index stays closed. */
+    /** Removes a worker. Its slot in the index stays unschedulable. */
     remove(entry: WorkerEntry): void {
         this.index.setOpen(entry.slot, false);
         this.#entries.delete(entry.worker);
         this.#shapes = undefined;
     }
 
-    /** Charges a task to its worker. */
+    /** Reserves a task's resources on its worker. */
     charge(entry: WorkerEntry, task: TaskEntry, grant: Resources): void {
         entry.tasks.set(task.task, task);
         this.index.reserve(entry.slot, grant);
     }
 
-    /** Gives the room of a task back. */
+    /** Releases a task's resources. Does nothing when the task is not charged to the worker. */
     discharge(entry: WorkerEntry, task: TaskEntry, grant: Resources): void {
         if (entry.tasks.delete(task.task)) {
             this.index.release(entry.slot, grant);
         }
     }
 
-    /** Opens or closes a worker for placements by all that is known of it. */
+    /** Recomputes whether a worker accepts placements. */
     refresh(entry: WorkerEntry, now: Milliseconds, silentAfter: Milliseconds): void {
         const open = entry.incarnation !== undefined
             && entry.strangers === 0
@@ -121,7 +118,7 @@
         this.index.setOpen(entry.slot, open);
     }
 
-    /** Workers by capacity: what can never fit is found without a look at each worker. */
+    /** Workers grouped by capacity, so that admission does not have to visit each worker. */
     shapes(): readonly CapacityShape[] {
         this.#shapes ??= this.#countShapes();
         return this.#shapes;
@@ -138,5 +135,5 @@
     }
 }
 
-/** Whether the list or the worker itself says that it is leaving. */
+/** Whether the platform's list or the worker itself reports that it is leaving. */
 export const isLeaving = (entry: WorkerEntry): boolean => entry.saidLeaving || entry.listed.state === VmState.Leaving;
--- a/packages/core/src/time/clock.ts
+++ b/packages/core/src/time/clock.ts
@@ -26,22 +26,18 @@
 export class SystemClock implements GapClock {
     readonly #gaps = new GapWatch();
 
-    /** See {@link GapClock.countedSince}. */
     countedSince(): Milliseconds {
         return this.#gaps.check(this.monotonic(), this.now().getTime());
     }
 
-    /** See {@link Clock.monotonic}. */
     monotonic(): Milliseconds {
         return performance.now();
     }
 
-    /** See {@link Clock.now}. */
     now(): Date {
         return new Date();
     }
 
-    /** See {@link Clock.sleep}. */
     sleep(duration: Milliseconds, signal?: AbortSignal): Promise<void> {
         return new Promise(resolve => {
             if (signal?.aborted) {
@@ -69,17 +65,14 @@
 
     constructor(private readonly start: Date = new Date("2026-01-01T00:00:00Z")) {}
 
-    /** See {@link Clock.monotonic}. */
     monotonic(): Milliseconds {
         return this.#elapsed;
     }
 
-    /** See {@link Clock.now}. */
     now(): Date {
         return new Date(this.start.getTime() + this.#elapsed + this.#ahead);
     }
 
-    /** See {@link Clock.sleep}. */
     sleep(duration: Milliseconds, signal?: AbortSignal): Promise<void> {
         return new Promise(resolve => {
             if (signal?.aborted) {
@@ -100,7 +93,6 @@
         });
     }
 
-    /** See {@link GapClock.countedSince}. */
     countedSince(): Milliseconds {
         return this.#gaps.check(this.monotonic(), this.now().getTime());
     }
--- a/packages/core/src/worker/index.ts
+++ b/packages/core/src/worker/index.ts
@@ -116,7 +116,6 @@
 export interface WorkerClient {
     /** Raises the epoch at the worker and reads what it runs. */
     claim(message: ClaimMessage, signal: AbortSignal): Promise<WorkerAnswer<WorkerReport>>;
-    /** See {@link HeartbeatMessage}. */
     heartbeat(message: HeartbeatMessage, signal: AbortSignal): Promise<WorkerAnswer<WorkerReport>>;
     /** Starts a task; a copy of a start that was accepted is accepted again without effect. */
     start(message: StartMessage, signal: AbortSignal): Promise<WorkerAnswer<RunningTask>>;
