--- a/packages/core/src/errors/index.ts
+++ b/packages/core/src/errors/index.ts
@@ -1,11 +1,11 @@
-/** The catalogue of all errors that a caller or operator can meet. `docs/ERRORS.md` is made from it. */
+/** Catalogue of all errors that callers and operators receive. `docs/ERRORS.md` is generated from it. */
 
-/** One error as users meet it. */
+/** An error as users see it. */
 export interface ErrorEntry {
     readonly title: string;
     readonly message: string;
     readonly hint: string;
-    /** Status of the HTTP answer that carries it; undefined where only the command line does. */
+    /** HTTP status; undefined for errors that only the command line reports. */
     readonly status?: number;
 }
 
@@ -16,7 +16,7 @@
     status,
 });
 
-/** All errors by name. */
+/** All errors by the name that callers receive. */
 export const errorCatalogue = {
     "bad-request": define(
         "The request cannot be read",
@@ -181,26 +181,26 @@
     ),
 } as const satisfies Record<string, ErrorEntry>;
 
-/** Key of an entry in the catalogue, as callers receive it. */
+/** Name of an error in the catalogue. */
 export type ErrorName = keyof typeof errorCatalogue;
 
-/** An error as it is sent in the body of an answer. */
+/** JSON body of an error response. */
 export interface ErrorBody {
     readonly error: ErrorName;
     readonly title: string;
     readonly message: string;
     readonly hint: string;
-    /** What is particular to this time. */
+    /** Details of this occurrence. */
     readonly reason?: string;
     readonly retryAfterMilliseconds?: number;
     readonly findings?: readonly { readonly place: string; readonly message: string; }[];
 }
 
-/** Makes the body of an error's answer. */
+/** Creates the body of an error response from the catalogue entry and the details of this occurrence. */
 export const errorBody = (error: ErrorName, details: Partial<ErrorBody> = {}): ErrorBody => {
     const { title, message, hint } = errorCatalogue[error] as ErrorEntry;
     return { error, title, message, hint, ...details };
 };
 
-/** The status of an error's answer. */
+/** Returns the HTTP status of an error; 500 for those that only the command line reports. */
 export const statusOf = (error: ErrorName): number => (errorCatalogue[error] as ErrorEntry).status ?? 500;
--- a/packages/core/src/index.ts
+++ b/packages/core/src/index.ts
@@ -1,4 +1,4 @@
-/** Public items of the core: decisions and interfaces, without sockets, timers or the wall clock. */
+/** Scheduling logic and interfaces that the other packages build on. Opens no sockets. */
 export * from "./errors/index.js";
 export * from "./ids/index.js";
 export * from "./jobs/index.js";
--- a/packages/core/src/jobs/index.ts
+++ b/packages/core/src/jobs/index.ts
@@ -1,3 +1,3 @@
-/** Jobs as callers submit them and as they are answered. */
+/** Job submissions, and jobs as callers see them. */
 export * from "./schema.js";
 export * from "./types.js";
--- a/packages/core/src/jobs/schema.ts
+++ b/packages/core/src/jobs/schema.ts
@@ -1,7 +1,7 @@
-/** The checked form of a job submission. */
+/** Validation of job submissions. */
 import { z } from "zod";
 
-/** Classes of workload, each with a policy of its own. */
+/** Workload classes, each with its own placement policy. */
 export enum WorkloadClass {
     Batch = "batch",
     Gang = "gang",
@@ -31,7 +31,7 @@
     "must be letters, digits, dots, underscores and hyphens",
 ).max(most.key);
 
-/** Schema of a job submission; unknown fields are refused. Durations are milliseconds. */
+/** Schema of a job submission. Unknown fields are rejected. Durations are in milliseconds. */
 export const jobSubmissionSchema = z.strictObject({
     key: nameSchema.optional(),
     class: z.enum(WorkloadClass),
@@ -57,5 +57,5 @@
     }
 });
 
-/** A checked submission with its defaults filled in. */
+/** A validated submission with defaults filled in. */
 export type JobSubmission = z.infer<typeof jobSubmissionSchema>;
--- a/packages/core/src/jobs/types.ts
+++ b/packages/core/src/jobs/types.ts
@@ -1,8 +1,8 @@
-/** What callers and operators are told of a job. */
+/** Jobs as callers and operators see them. */
 import type { JobId, TaskId, WorkerId } from "../ids/index.js";
 import type { Milliseconds } from "../time/index.js";
 
-/** State of a job. The last five are final. */
+/** State of a job. All but `Queued`, `Running` and `Cancelling` are final. */
 export enum JobState {
     Queued = "queued",
     Running = "running",
@@ -14,32 +14,32 @@
     Unknown = "unknown",
 }
 
-/** Whether a job's tasks were ever run, as far as can be said with certainty. */
+/** Whether any task of a job has run, as far as is certain. */
 export enum RanAnswer {
     NotRun = "not-run",
     Ran = "ran",
     MayHaveRun = "may-have-run",
 }
 
-/** Whether a state is final. */
+/** Whether a job in this state has ended and never changes state again. */
 export const isFinalState = (state: JobState): boolean =>
     state !== JobState.Queued && state !== JobState.Running && state !== JobState.Cancelling;
 
-/** One decision about a job with its reason. */
+/** A decision about a job in its history. */
 export interface DecisionEntry {
     readonly at: string;
     readonly decision: string;
     readonly reason: string;
 }
 
-/** What became of one task. */
+/** Final result of one task. */
 export interface TaskOutcome {
     readonly task: TaskId;
     readonly output: string;
     readonly succeeded: boolean;
 }
 
-/** What a caller is told of its job. */
+/** A job as its caller sees it. */
 export interface JobView {
     readonly job: JobId;
     readonly key: string;
@@ -48,10 +48,10 @@
     readonly reason: string;
     readonly attempts: number;
     readonly workers: readonly WorkerId[];
-    /** Place in the queue from 1 while queued. */
+    /** Position in the queue, from 1. Set while queued. */
     readonly place?: number;
-    /** Expected further wait while queued, in milliseconds. */
+    /** Expected remaining wait in milliseconds. Set while queued. */
     readonly expectedWait?: Milliseconds;
-    /** Outcomes by task, once final. */
+    /** One entry per task, empty until the job has ended. */
     readonly outcomes: readonly TaskOutcome[];
 }
--- a/packages/core/src/journal/chain.ts
+++ b/packages/core/src/journal/chain.ts
@@ -1,9 +1,4 @@
-/**
- * Reads the journal's segments in their order and seals them.
- *
- * An owner sends several segments at once and tells of one only when all before it are kept. What follows a segment that
- * never arrived was never told of and does not count, nor does what an earlier owner wrote beyond a later one's claim.
- */
+/** Reading and sealing of the journal's segments. */
 import type { Epoch, ProcessId, ShardId } from "../ids/index.js";
 import { absentVersion, type KeyValue, type KeyVersion, type PlatformStore } from "../platform/index.js";
 import type { Random } from "../random/index.js";
@@ -12,7 +7,7 @@
 import { epochOfSnapshot } from "./snapshots.js";
 import type { Segment, SnapshotPointer } from "./types.js";
 
-/** What reading and sealing needs. */
+/** Dependencies and identity of the process that reads and seals a journal. */
 export interface ChainDependencies {
     readonly store: PlatformStore;
     readonly clock: Clock;
@@ -22,19 +17,24 @@
     readonly ringSize: number;
 }
 
-/** The claim that sealed a journal, and when it was sent. */
+/** The claim segment that sealed a journal, and when it was sent. */
 export interface Seal {
     readonly claim: Segment;
     readonly contact: Milliseconds;
 }
 
-/** The journal's segments as they were read. */
+/**
+ * The valid segments of a journal, in order.
+ *
+ * An owner sends several segments at once and reports one as committed only when all before it are. Segments after a gap were
+ * never reported as committed and are ignored, and so are segments that a former owner wrote after a later owner's claim.
+ */
 export class Chain {
-    /** Versions of the ring's keys, by slot. */
+    /** Versions of the ring's keys by slot. */
     readonly versions = new Map<number, KeyVersion>();
-    /** The newest snapshot that a segment names. */
+    /** The newest snapshot that any segment refers to. */
     readonly pointer: SnapshotPointer | undefined;
-    /** The segments that count and follow the snapshot, in order. */
+    /** The valid segments after the snapshot, in order. */
     readonly segments: Segment[] = [];
     readonly #read = new Map<number, Segment>();
     #highestEpoch = 0;
@@ -50,7 +50,7 @@
         this.pointer = pointer;
     }
 
-    /** Follows the segments as far as they go; false when all must be read again. */
+    /** Appends the consecutive segments read so far; false when the journal must be read again. */
     async follow(): Promise<boolean> {
         const last = Math.max(0, ...this.#read.keys());
         while (this.#nextSequence <= last) {
@@ -67,10 +67,10 @@
     }
 
     /**
-     * Seals the chain with a claim; undefined when all must be read again.
+     * Seals the chain with a claim; undefined when the journal must be read again.
      *
-     * An owner that hands over goes on writing meanwhile. What it wrote since is taken in segment by segment, from the
-     * conflicts: reading all again takes longer than its next write.
+     * During a handover the former owner keeps writing. Segments that it wrote since are added one by one as they show up in
+     * conflicts, as reading the whole journal again would take longer than its next write.
      */
     async seal(): Promise<Seal | undefined> {
         const { store, clock, shard, ringSize } = this.dependencies;
@@ -102,7 +102,7 @@
         };
     }
 
-    /** Takes in what stands where the claim was to be; false when all must be read again. */
+    /** Adds the segment found in place of the claim; false when the journal must be read again. */
     async #takeConflict(claim: Segment, slot: number, current: KeyValue): Promise<boolean> {
         const segment = this.#takeIn(slot, current);
         const isNext = segment.sequence === claim.sequence && segment.snapshot?.name === this.pointer?.name;
@@ -126,8 +126,8 @@
     }
 
     /**
-     * Reads a segment that a listing in pages may have passed by: an owner that goes on writing may write one key on a page
-     * that was read already and the next on one that is still to come.
+     * Reads a segment that a paged listing may have missed: the owner may write one key on a page that was already read, and the
+     * next key on a later page.
      */
     async #readPassedBy(sequence: number): Promise<Segment | "overwritten" | undefined> {
         const { store, shard, ringSize } = this.dependencies;
@@ -142,8 +142,8 @@
 }
 
 /**
- * Reads a journal's segments, by calls side by side, as a store that answers slowly would take one answer a page; undefined
- * when all must be read again.
+ * Reads a journal's segments with parallel listings, as reading page after page takes long on a slow store. Returns undefined
+ * when the journal must be read again.
  */
 export const readChain = async (dependencies: ChainDependencies): Promise<Chain | undefined> => {
     const { store, shard, ringSize } = dependencies;
--- a/packages/core/src/journal/errors.ts
+++ b/packages/core/src/journal/errors.ts
@@ -1,11 +1,11 @@
-/** Errors of the journal. */
+/** Errors that the journal throws. */
 
-/** Thrown when another owner has sealed the journal: this process no longer owns the shard. */
+/** Thrown when another owner has sealed the journal, so that this process no longer owns the shard. */
 export class JournalFencedError extends Error {
     override readonly name = "JournalFencedError";
 }
 
-/** Thrown when the journal's keys do not fit together: nothing may be placed before an operator has looked. */
+/** Thrown when the journal's keys are inconsistent. The shard must not be served until an operator has intervened. */
 export class JournalDamagedError extends Error {
     override readonly name = "JournalDamagedError";
 }
--- a/packages/core/src/journal/index.ts
+++ b/packages/core/src/journal/index.ts
@@ -1,4 +1,4 @@
-/** The journal of a shard in the platform's service. */
+/** Journal of a shard, stored in the platform's key-value service. */
 export * from "./errors.js";
 export { Journal, type JournalDependencies } from "./journal.js";
 export { openJournal } from "./open.js";
--- a/packages/core/src/journal/journal.ts
+++ b/packages/core/src/journal/journal.ts
@@ -1,12 +1,4 @@
-/**
- * Append-only records of one shard over single-key compare-and-swap.
- *
- * Segments lie in a fixed ring of keys that are only ever rewritten, never deleted. An append names the version that
- * it expects the ring's key to have, so a stale owner's append fails however late it arrives (DistributedLog's
- * fencing by sealing, on a ring in place of deletable log segments). The claim of a new owner is itself a segment.
- *
- * Several segments may be on their way at once; a record is told to be kept when its segment and all before it are.
- */
+/** Append-only journal of one shard on top of single-key compare-and-swap. */
 import type { Epoch, ProcessId, ShardId } from "../ids/index.js";
 import { absentVersion, type KeyVersion, type PlatformStore } from "../platform/index.js";
 import type { Random } from "../random/index.js";
@@ -17,12 +9,12 @@
 import { removeSnapshot, snapshotKey, snapshotName, splitText } from "./snapshots.js";
 import type { JournalOptions, Segment, SnapshotPointer } from "./types.js";
 
-/** A ring this full gets a snapshot whatever that costs. */
+/** A snapshot is taken regardless of its cost once this share of the ring is in use. */
 const fullShare = 0.6;
-/** A ring this full takes no more segments before a snapshot has freed keys. */
+/** No more segments are sent once this share of the ring is in use, until a snapshot has freed keys. */
 const shortShare = 0.9;
 
-/** Records of one append that are not kept yet. */
+/** An append that is not committed yet. */
 interface Waiting {
     readonly records: readonly unknown[];
     readonly bytes: number;
@@ -30,20 +22,19 @@
     readonly reject: (cause: unknown) => void;
 }
 
-/** One segment that is on its way. */
 interface SentSegment {
     readonly group: readonly Waiting[];
     isKept: boolean;
 }
 
-/** A snapshot that a newer one replaces, once a segment that names that one is kept. */
+/** A snapshot to be removed once a segment that refers to its replacement is committed. */
 interface ObsoleteSnapshot {
     readonly pointer: SnapshotPointer;
-    /** The first segment that names the newer one. */
+    /** Sequence of the first segment that refers to the newer snapshot. */
     readonly replacedBy: number;
 }
 
-/** Where the journal lives and what it needs. */
+/** Dependencies and identity of a journal's writer. */
 export interface JournalDependencies {
     readonly store: PlatformStore;
     readonly clock: Clock;
@@ -54,26 +45,34 @@
     readonly signal: AbortSignal;
 }
 
-/** What a journal was found to hold when it was opened. */
+/** State of a journal's keys when it was opened. */
 export interface OpenedJournal {
-    /** Versions of the ring's keys, by slot. */
+    /** Versions of the ring's keys by slot. */
     readonly versions: Map<number, KeyVersion>;
-    /** The last segment. */
+    /** Sequence of the last segment, which is this owner's claim. */
     readonly sequence: number;
     readonly snapshot: SnapshotPointer | undefined;
-    /** When the claim was sent, by the monotonic clock. */
+    /** When the claim was sent, on the monotonic clock. */
     readonly contact: Milliseconds;
 }
 
-/** Writes of one owner to its shard's journal. Made by {@link openJournal}. */
+/**
+ * Writes one owner's records to its shard's journal. Created by {@link openJournal}.
+ *
+ * Segments are stored in a fixed ring of keys that are overwritten but never deleted. Each write names the version it expects
+ * the key to have, so that a write of a stale owner fails however late it arrives (fencing by sealing as in DistributedLog, on
+ * a ring instead of deletable segments). The claim of a new owner is itself a segment.
+ *
+ * Several segments may be in flight; a record is committed once its segment and all segments before it are stored.
+ */
 export class Journal {
     readonly #swaps: RepeatedSwaps;
     readonly #versions: Map<number, KeyVersion>;
-    /** Segments on their way, by sequence. */
+    /** Segments in flight, by sequence. */
     readonly #sent = new Map<number, SentSegment>();
-    /** The last segment that was sent. */
+    /** Sequence of the last segment sent. */
     #sequence: number;
-    /** All segments up to this one are kept. */
+    /** All segments up to this sequence are committed. */
     #keptThrough: number;
     #snapshot: SnapshotPointer | undefined;
     #obsolete: ObsoleteSnapshot | undefined;
@@ -84,9 +83,9 @@
     #takeSnapshot: (() => unknown) | undefined;
     #snapshotBytes = 0;
     #bytesSince = 0;
-    /** Wake what waits for a segment to be kept. */
+    /** Called whenever segments are committed, and on failure. */
     #progressListeners: (() => void)[] = [];
-    /** Resolves once the snapshot that is on its way is written; undefined when none is. */
+    /** Resolves once the snapshot in progress is written; undefined when there is none. */
     #snapshotOnItsWay: Promise<void> | undefined;
 
     constructor(
@@ -102,38 +101,38 @@
         this.#lastContact = contact;
     }
 
-    /** Number of calls that wrote to the platform. */
+    /** Number of write calls to the store. */
     get writes(): number {
         return this.#swaps.calls;
     }
 
-    /** When the last write that confirmed ownership was sent, by the monotonic clock. */
+    /** When the last write that confirmed ownership was sent, on the monotonic clock. */
     get lastContact(): Milliseconds {
         return this.#lastContact;
     }
 
-    /** How long the platform has not answered; 0 when it answers. */
+    /** How long writes have been failing; 0 while the store answers. */
     stalledFor(): Milliseconds {
         return this.#swaps.failingFor();
     }
 
-    /** How long the oldest write that is on its way has been without an answer; 0 when none is. */
+    /** Age of the oldest unanswered write; 0 when there is none. */
     waitingFor(): Milliseconds {
         return this.#swaps.waitingFor();
     }
 
-    /** How long no write has been answered while some wait; 0 when none is on its way. */
+    /** Time without any answer while writes are in flight; 0 when there are none. */
     silentFor(): Milliseconds {
         return this.#swaps.silentFor();
     }
 
-    /** Gives the function that returns the whole state, in a form that JSON holds, for snapshots. */
+    /** Sets the function that returns the whole state as plain data. Snapshots are taken only once it is set. */
     setSnapshotSource(source: () => unknown): void {
         this.#takeSnapshot = source;
     }
 
     /**
-     * Writes records as one group; resolves when they are kept.
+     * Appends records as one group; resolves once they are committed.
      * Rejects with {@link JournalFencedError} when another owner has taken over.
      */
     append(records: readonly unknown[]): Promise<void> {
@@ -170,12 +169,12 @@
         }
     }
 
-    /** Waits until at most this many segments are on their way. */
+    /** Waits until at most this many segments are in flight. */
     #untilSent(most: number): Promise<void> {
         return this.#until(() => this.#sent.size <= most);
     }
 
-    /** Waits for a condition that can only become true when a segment is kept. */
+    /** Waits for a condition that can only become true when a segment is committed. */
     async #until(isTrue: () => boolean): Promise<void> {
         while (!isTrue()) {
             await new Promise<void>(resolve => this.#progressListeners.push(resolve));
@@ -191,7 +190,7 @@
         listeners.forEach(listener => listener());
     }
 
-    /** Takes the first entries that wait, at most `most` of them and as many as one value holds. */
+    /** Removes the first pending appends, at most `most` of them and as many as fit into one value. */
     #takeGroup(most: number): Waiting[] {
         let bytes = 0;
         let count = 0;
@@ -212,7 +211,7 @@
         const sent = { group, isKept: false };
         this.#sent.set(sequence, sent);
         if (sequence - (this.#snapshot?.through ?? 0) >= options.ringSize) {
-            throw new JournalDamagedError(`the ring of shard ${shard} holds no key that a snapshot has freed`);
+            throw new JournalDamagedError(`journal ring of shard ${shard} is full: no snapshot has freed a key`);
         }
         this.#sequence = sequence;
         this.#write(this.#makeSegment(sequence, group)).then(
@@ -227,7 +226,7 @@
         return { sequence, epoch: this.epoch, writer, nonce: random.name(), snapshot: this.#snapshot, records };
     }
 
-    /** Writes one segment until it is kept. The nonce tells this write from another owner's. */
+    /** Writes one segment. The nonce tells whether a stored segment is this write, whose answer was lost. */
     async #write(segment: Segment): Promise<void> {
         const { shard, options } = this.dependencies;
         const slot = segment.sequence % options.ringSize;
@@ -253,11 +252,11 @@
             if (found.epoch === this.epoch) {
                 throw takenByAnother(segment);
             }
-            // An earlier owner's segment that arrived late, beyond this owner's claim: it does not count.
+            // A late segment of a former owner after this owner's claim: it is ignored by readers and overwritten here.
         }
     }
 
-    /** Tells of all that is kept without a gap. */
+    /** Marks a segment as stored and resolves the appends of all segments that are now committed. */
     #noteKept(sent: SentSegment): void {
         sent.isKept = true;
         for (;;) {
@@ -276,7 +275,7 @@
     #fail(cause: unknown): void {
         this.#fenced ??= cause instanceof JournalFencedError
             ? cause
-            : new JournalFencedError(`stopped: ${String(cause)}`);
+            : new JournalFencedError(`journal stopped: ${String(cause)}`);
         const refused = [...[...this.#sent.values()].flatMap(sent => sent.group), ...this.#waiting];
         this.#sent.clear();
         this.#waiting = [];
@@ -285,8 +284,8 @@
     }
 
     /**
-     * Has the segments so far replaced by a snapshot when enough of them have gathered. Segments go on meanwhile, unless the
-     * ring's keys would run out: a snapshot takes two answers of the store, in which nothing would be kept.
+     * Starts a snapshot when one is due. Segments are still sent while it is written, as it takes two round trips; they wait only
+     * when the ring would run out of keys.
      */
     async #snapshotIfDue(): Promise<void> {
         if (this.#takeSnapshot === undefined || !this.#isSnapshotDue()) {
@@ -301,8 +300,8 @@
     }
 
     /**
-     * The state already holds the records that wait at this moment, so these are sent first; the snapshot then equals the
-     * journal up to the last of them.
+     * The state already includes the pending records, so they are sent first. The snapshot then equals the journal up to the last
+     * of them.
      */
     #beginSnapshot(text: string): void {
         let included = this.#waiting.length;
@@ -318,8 +317,8 @@
     }
 
     /**
-     * Writes a snapshot of the state after segment `through`. Its pointer counts only from the next segment on, and the
-     * former snapshot is removed only after that segment is kept.
+     * Writes a snapshot of the state after segment `through`. It takes effect with the next segment, which refers to it; the former
+     * snapshot is removed once that segment is committed.
      */
     async #writeSnapshot(text: string, through: number): Promise<void> {
         const name = snapshotName(this.epoch, through, this.dependencies.random.name());
@@ -332,11 +331,11 @@
         this.#snapshotBytes = Buffer.byteLength(text);
     }
 
-    /** Writes the parts of a snapshot side by side; returns their number. */
+    /** Writes the parts of a snapshot in parallel and returns their number. */
     async #writeParts(name: string, text: string): Promise<number> {
         const { shard, options } = this.dependencies;
         const parts = splitText(text, options.largestBytes);
-        // The name is drawn once, so a conflict means that a copy of this very part arrived first.
+        // The name is unique, so a conflict means that an earlier call of this write succeeded.
         await Promise.all(parts.map((part, index) =>
             this.#swaps.untilAnswered(snapshotKey(shard, name, index), absentVersion, part)
         ));
@@ -344,8 +343,8 @@
     }
 
     /**
-     * Whether a snapshot is worth its writes: once the segments since the last one hold as many bytes, so that snapshots
-     * at most double what is written, or before the ring runs out of keys.
+     * Whether to take a snapshot: once the segments since the last one hold as many bytes as it did, so that snapshots at most
+     * double the bytes written, or before the ring runs out of keys.
      */
     #isSnapshotDue(): boolean {
         const { snapshotEvery, ringSize, largestBytes } = this.dependencies.options;
@@ -358,7 +357,7 @@
         return this.#bytesSince >= this.#snapshotBytes || expected >= ringSize * fullShare;
     }
 
-    /** Whether the keys of the ring are nearly used up, so that a snapshot has to free some first. */
+    /** Whether the ring is nearly full, so that a snapshot must free keys first. */
     #isRingShort(): boolean {
         const { ringSize, mostOnTheirWay } = this.dependencies.options;
         return this.#sequence - (this.#snapshot?.through ?? 0) >= ringSize * shortShare - mostOnTheirWay;
@@ -369,11 +368,11 @@
         if (this.#obsolete !== undefined && this.#keptThrough >= this.#obsolete.replacedBy) {
             const { pointer } = this.#obsolete;
             this.#obsolete = undefined;
-            // Not awaited: a part left behind costs room only.
+            // Not awaited, and failures are ignored: a leftover part only takes up storage.
             void removeSnapshot(store, shard, pointer).catch(() => undefined);
         }
     }
 }
 
 const takenByAnother = ({ sequence }: Segment): JournalFencedError =>
-    new JournalFencedError(`segment ${sequence} of the journal was taken by another owner`);
+    new JournalFencedError(`another owner has written segment ${sequence} of the journal`);
--- a/packages/core/src/journal/open.ts
+++ b/packages/core/src/journal/open.ts
@@ -1,4 +1,4 @@
-/** Opens a journal: reads it, and seals it against the former owner. */
+/** Opening of a shard's journal by a new owner. */
 import { readChain } from "./chain.js";
 import { JournalDamagedError } from "./errors.js";
 import { Journal, type JournalDependencies } from "./journal.js";
@@ -6,10 +6,10 @@
 import type { JournalContents } from "./types.js";
 
 /**
- * Claims a shard's journal: seals it against the former owner and reads all it holds.
- * Rejects with `PlatformUnavailableError` when the platform does not answer; then nothing may be assumed.
+ * Reads a shard's journal and seals it against the former owner.
+ * Rejects with `PlatformUnavailableError` when the platform does not answer; the journal may or may not be sealed then.
  *
- * `maySeal`: awaited between the reading and the claim, so that the journal is read while the right to claim it is sought.
+ * `sealPermission` is awaited between reading and sealing, so that the journal can be read while ownership is negotiated.
  */
 export const openJournal = async (
     dependencies: JournalDependencies,
@@ -31,7 +31,7 @@
             continue;
         }
         if (pointer !== undefined && snapshot === undefined) {
-            throw new JournalDamagedError(`snapshot ${pointer.name} of shard ${shard} is not complete`);
+            throw new JournalDamagedError(`snapshot ${pointer.name} of shard ${shard} is incomplete`);
         }
         const { claim, contact } = seal;
         const journal = new Journal(dependencies, claim.epoch, {
--- a/packages/core/src/journal/repeated-swap.ts
+++ b/packages/core/src/journal/repeated-swap.ts
@@ -1,22 +1,15 @@
-/**
- * Writes that are repeated until they are answered.
- *
- * A write that stays without an answer is sent again beside the first one, not after it: while the store is silent each call
- * waits for its time to be over, and the write is to be answered as soon as the store is back. Of several that wait only the
- * oldest is repeated; the others once a later call than theirs was answered, so that a slow store gets few calls twice, and one that
- * turns calls away is not flooded.
- */
+/** Compare-and-swap writes that are hedged and retried until they are answered. */
 import { type KeyVersion, type PlatformStore, PlatformUnavailableError, type SwapOutcome } from "../platform/index.js";
 import { AnswerTimes, type Clock, type Milliseconds } from "../time/index.js";
 import type { JournalOptions } from "./types.js";
 
-/** An answer, and when the call that it answers was sent. */
+/** The answer to a write, and when the answered call was sent. */
 export interface AnsweredSwap {
     readonly outcome: SwapOutcome;
     readonly sent: Milliseconds;
 }
 
-/** What repeated writes need. */
+/** Dependencies of {@link HedgedWriter}. */
 export interface RepeatedSwapOptions {
     readonly store: PlatformStore;
     readonly clock: Clock;
@@ -24,37 +17,40 @@
     readonly signal: AbortSignal;
 }
 
-/** One write that has no answer yet. */
 interface OpenSwap {
     readonly key: string;
     readonly expected: KeyVersion;
     readonly value: string;
-    /** When its first call was sent. */
     readonly since: Milliseconds;
-    /** When its last call was sent. */
     lastSent: Milliseconds;
-    /** When its first call that failed was sent. */
+    /** When the first call that failed was sent. */
     failedSince: Milliseconds | undefined;
 }
 
-/** How one call ended: answered, or failed with a cause. */
 type CallEnd =
     | { readonly kind: "answered"; readonly answer: AnsweredSwap; }
     | { readonly kind: "failed"; readonly cause: unknown; };
 
-/** Longest time after which a write is repeated, however slow the store is, in milliseconds. */
+/** Upper bound of the delay before a hedged call, in milliseconds. */
 const longestRepeatAfter: Milliseconds = 800;
 
-/** See the module's comment. */
+/**
+ * Repeats each write until it is answered.
+ *
+ * A write without an answer is sent again in parallel to the first call, as calls to a silent store only fail after their
+ * timeout and the write should succeed as soon as the store is back. Of several pending writes only the oldest is repeated; the
+ * others follow once a call sent later than theirs was answered. This limits duplicate calls on a slow store, and does not
+ * overload a store that rejects calls.
+ */
 export class RepeatedSwaps {
-    /** Those that wait, the oldest first. */
+    /** Unanswered writes, oldest first. */
     readonly #open = new Set<OpenSwap>();
     readonly #answerTimes: AnswerTimes | undefined;
-    /** When the latest call that was answered was sent. */
+    /** Latest send time of all answered calls. */
     #answeredSent: Milliseconds = -Infinity;
-    /** When the latest answer came. */
+    /** When the latest answer arrived. */
     #answeredAt: Milliseconds = -Infinity;
-    /** Wake the writes that wait until another one is answered. */
+    /** Called on each answer; wakes writes that wait for another one to be answered. */
     readonly #onAnswer = new Set<() => void>();
     #calls = 0;
 
@@ -65,27 +61,26 @@
             : new AnswerTimes({ shortest: repeatAfter, longest: Math.max(repeatAfter, longestRepeatAfter) });
     }
 
-    /** Number of calls so far. */
     get calls(): number {
         return this.#calls;
     }
 
-    /** How long the oldest write has been without an answer; 0 when none is on its way. */
+    /** Age of the oldest unanswered write; 0 when there is none. */
     waitingFor(): Milliseconds {
         return this.#longest(({ since }) => since);
     }
 
-    /** How long no write has been answered while some wait; 0 when none is on its way. */
+    /** Time without any answer while writes are pending; 0 when there are none. */
     silentFor(): Milliseconds {
         return Math.min(this.waitingFor(), this.needs.clock.monotonic() - this.#answeredAt);
     }
 
-    /** How long calls have failed without an answer since; 0 while the store answers. */
+    /** Longest time for which calls of a pending write have been failing; 0 when none has failed. */
     failingFor(): Milliseconds {
         return this.#longest(({ failedSince }) => failedSince);
     }
 
-    /** Repeats a write until it is answered. Rejects when the signal fires, or with an error that no repetition mends. */
+    /** Sends a write until it is answered. Rejects when the signal aborts, or with an error that is not retryable. */
     async untilAnswered(key: string, expected: KeyVersion, value: string): Promise<AnsweredSwap> {
         const now = this.needs.clock.monotonic();
         const swap: OpenSwap = { key, expected, value, since: now, lastSent: now, failedSince: undefined };
@@ -114,7 +109,7 @@
         }
     }
 
-    /** Waits for an answer; undefined when every call has failed or it is time for another one. */
+    /** Waits for an answer; undefined when all calls have failed or another one is due. */
     async #untilNextIsDue(
         swap: OpenSwap,
         pending: Map<number, Promise<readonly [number, CallEnd]>>,
@@ -137,7 +132,7 @@
         return undefined;
     }
 
-    /** Resolves when a write whose answer is out is to be sent again, or is over. */
+    /** Resolves when a hedged call of an unanswered write is due, or the write has ended. */
     async #untilRepeated(swap: OpenSwap, times: AnswerTimes): Promise<undefined> {
         const { clock, signal } = this.needs;
         do {
@@ -146,7 +141,7 @@
         while (this.#open.has(swap) && !signal.aborted && !this.#mayRepeat(swap));
     }
 
-    /** Resolves when a write all of whose calls failed is to be sent again: after a pause, or as soon as another one is answered. */
+    /** Resolves when a write whose calls have all failed may be retried, after the retry delay at the earliest. */
     async #untilRetried(swap: OpenSwap): Promise<void> {
         const { clock, options, signal } = this.needs;
         await clock.sleep(options.retryDelay, signal);
--- a/packages/core/src/journal/snapshots.ts
+++ b/packages/core/src/journal/snapshots.ts
@@ -1,25 +1,25 @@
-/** Stored form of snapshots: a text cut into parts that one value holds each. */
+/** Storage of snapshots as text, split into parts that each fit into one value. */
 import type { Epoch, ShardId } from "../ids/index.js";
 import type { PlatformStore } from "../platform/index.js";
 import type { SnapshotPointer } from "./types.js";
 
-/** Bytes of UTF-8 that do not begin a character. */
+/** Bit pattern of UTF-8 continuation bytes. */
 const continuationMask = 0xc0;
 const continuationByte = 0x80;
 
 const snapshotPrefix = (shard: ShardId): string => `shards/${shard}/snapshots/`;
 
-/** Names a snapshot; `draw` tells it from another of the same owner. */
+/** Creates the name of a snapshot. `nonce` makes it unique among those of the same owner. */
 export const snapshotName = (epoch: Epoch, through: number, draw: string): string => `${epoch}-${through}-${draw}`;
 
-/** The epoch of the owner that took a snapshot. */
+/** Returns the epoch of the owner that took a snapshot. */
 export const epochOfSnapshot = ({ name }: SnapshotPointer): number => Number(name.slice(0, name.indexOf("-")));
 
-/** The key of one part. */
+/** Key of one part; parts are numbered from 0. */
 export const snapshotKey = (shard: ShardId, name: string, part: number): string =>
     `${snapshotPrefix(shard)}${name}/${part}`;
 
-/** Cuts a text into parts of at most `largestBytes` bytes each, never within a character. */
+/** Splits a text into parts of at most `maxBytes` bytes each, never within a character. */
 export const splitText = (text: string, largestBytes: number): string[] => {
     const bytes = Buffer.from(text);
     const parts: string[] = [];
@@ -36,7 +36,7 @@
     return parts;
 };
 
-/** Removes a snapshot's parts. */
+/** Removes all parts of a snapshot that still exist. */
 export const removeSnapshot = async (store: PlatformStore, shard: ShardId, pointer: SnapshotPointer): Promise<void> => {
     for (let part = 0; part < pointer.parts; part++) {
         const key = snapshotKey(shard, pointer.name, part);
@@ -47,7 +47,7 @@
     }
 };
 
-/** Reads a snapshot; undefined when a part is missing. */
+/** Reads and decodes a snapshot; undefined when a part is missing. */
 export const readSnapshot = async (
     store: PlatformStore,
     shard: ShardId,
--- a/packages/core/src/journal/types.ts
+++ b/packages/core/src/journal/types.ts
@@ -1,45 +1,45 @@
-/** Stored form of the journal. */
+/** Stored types and options of the journal. */
 import type { Epoch, ProcessId } from "../ids/index.js";
 import type { Milliseconds } from "../time/index.js";
 
-/** Where the newest snapshot stands and which segments it replaces. */
+/** Refers to a stored snapshot and the segments it replaces. */
 export interface SnapshotPointer {
     readonly name: string;
     readonly parts: number;
-    /** The last segment whose records the snapshot holds. */
+    /** Sequence of the last segment whose records the snapshot includes. */
     readonly through: number;
 }
 
-/** One write of the journal. */
+/** One write to the journal. */
 export interface Segment {
     readonly sequence: number;
     readonly epoch: Epoch;
     readonly writer: ProcessId;
-    /** Tells this write from every other, to settle a lost answer. */
+    /** Unique per write; tells after a lost answer whether the write succeeded. */
     readonly nonce: string;
     readonly snapshot: SnapshotPointer | undefined;
     readonly records: readonly unknown[];
 }
 
-/** Sizes and times of the journal. */
+/** Sizes and intervals of the journal. */
 export interface JournalOptions {
-    /** Number of keys of the ring. */
+    /** Number of keys in the ring. */
     readonly ringSize: number;
-    /** A snapshot is taken after this many segments. */
+    /** Minimum number of segments between two snapshots. */
     readonly snapshotEvery: number;
-    /** Least time between two writes: bounds the calls of a shard. */
+    /** Minimum time between two writes, which bounds the call rate of a shard. */
     readonly commitInterval: Milliseconds;
-    /** Wait before a write all of whose calls have failed is sent again. */
+    /** Delay before a write whose calls have all failed is retried. */
     readonly retryDelay: Milliseconds;
-    /** A write that has no answer for this long is sent again beside the first; undefined: only after that has failed. */
+    /** Shortest delay before an unanswered write is sent again in parallel; undefined to send again only after a failure. */
     readonly repeatAfter: Milliseconds | undefined;
-    /** Most segments that are on their way at once: a slow store then delays a record by one answer, not by two. */
+    /** Maximum number of segments in flight. With several, a slow store delays a record by one round trip instead of two. */
     readonly mostOnTheirWay: number;
-    /** Largest segment or snapshot part in bytes. */
+    /** Maximum size of a segment or snapshot part in bytes. */
     readonly largestBytes: number;
 }
 
-/** What an opened journal held. */
+/** Contents of a journal when it was opened. */
 export interface JournalContents {
     readonly epoch: Epoch;
     readonly snapshot: unknown;
--- a/packages/core/src/placement/fleet-index.ts
+++ b/packages/core/src/placement/fleet-index.ts
@@ -1,16 +1,10 @@
-/**
- * Free capacity of the workers of a shard in typed arrays, with an index over it.
- *
- * Workers lie in a grid of cells by their level of free processors and of free memory. A search visits only cells
- * whose level can hold the task, in the order of the preference, and stops once it has seen enough workers that fit.
- * The cost of a decision so depends on the number of cells and not on the number of workers.
- */
+/** Index of the free capacity of a shard's workers. */
 import { dimensionCount, dimensions, type Resources } from "../resources/index.js";
 import { noWorker, type PlacementDecision, type PlacementRequest, Preference, type WorkerSlot } from "./types.js";
 
-/** Levels of free processors and of free memory; one 32-bit mask holds a row of cells. */
+/** Levels of free processors and of free memory. A row of cells fits into one 32-bit mask. */
 const levelCount = 32;
-/** A search stops after this many workers that fit. */
+/** A search stops after this many feasible workers. */
 const enoughFitting = 8;
 const initialRoom = 64;
 const processorDimension = 0;
@@ -19,7 +13,13 @@
 
 const toArray = (size: Resources): Float64Array => Float64Array.from(dimensions, name => size[name]);
 
-/** Capacity and use of workers; answers which worker a task goes to. */
+/**
+ * Capacity and usage of workers in typed arrays, searched to place tasks.
+ *
+ * Workers are kept in a grid of cells by their levels of free processors and free memory. A search visits only cells whose
+ * levels can hold the task, in order of preference, and stops after enough feasible workers. The cost of a decision thus
+ * depends on the number of cells rather than on the number of workers.
+ */
 export class FleetIndex {
     #capacity = new Float64Array(initialRoom * dimensionCount);
     #free = new Float64Array(initialRoom * dimensionCount);
@@ -35,17 +35,17 @@
     readonly #open: boolean[] = [];
     readonly #needed = new Float64Array(dimensionCount);
 
-    /** Number of workers ever added. */
+    /** Number of workers added so far; workers are never removed. */
     get size(): number {
         return this.#count;
     }
 
-    /** Changes whenever room came free: what did not fit before need not be tried while this stands still. */
+    /** Incremented whenever capacity is freed. While it is unchanged, a task that did not fit still does not fit. */
     get roomVersion(): number {
         return this.#roomVersion;
     }
 
-    /** Adds a worker with nothing placed on it; it takes placements at once. */
+    /** Adds an empty worker, schedulable at once. */
     add(capacity: Resources): WorkerSlot {
         const worker = this.#count++;
         this.#makeRoom(worker);
@@ -64,7 +64,7 @@
         return worker;
     }
 
-    /** Whether a worker takes placements; what is placed on it stays counted. */
+    /** Sets whether a worker accepts placements. Its usage stays counted. */
     setOpen(worker: WorkerSlot, open: boolean): void {
         if (this.#open[worker] === open) {
             return;
@@ -74,39 +74,36 @@
         this.#relink(worker);
     }
 
-    /** Whether a worker takes placements. */
     isOpen(worker: WorkerSlot): boolean {
         return this.#open[worker];
     }
 
-    /** Takes `size` from a worker's room. The caller has checked that it fits. */
+    /** Reserves resources on a worker. The caller must have checked that they fit. */
     reserve(worker: WorkerSlot, size: Resources): void {
         this.#change(worker, size, -1);
     }
 
-    /** Gives `size` back to a worker's room. */
+    /** Releases reserved resources of a worker. */
     release(worker: WorkerSlot, size: Resources): void {
         this.#roomVersion++;
         this.#change(worker, size, 1);
     }
 
-    /** What is free at a worker. */
     freeOf(worker: WorkerSlot): Resources {
         return this.#read(this.#free, worker);
     }
 
-    /** What a worker has in all. */
     capacityOf(worker: WorkerSlot): Resources {
         return this.#read(this.#capacity, worker);
     }
 
-    /** Whether a task would fit a worker now. */
+    /** Whether a task fits on a worker, without headroom and whether or not it is schedulable. */
     fits(worker: WorkerSlot, size: Resources): boolean {
         this.#setNeeded(size);
         return this.#hasRoom(worker, 0);
     }
 
-    /** Finds a worker for one task; reserves nothing. */
+    /** Finds a worker for one task. Reserves nothing. */
     find(request: PlacementRequest): PlacementDecision {
         this.#setNeeded(request.size);
         const firstRow = this.#level(request.size.processorThousandths, this.#largestProcessors);
@@ -163,7 +160,7 @@
         return true;
     }
 
-    /** Room left after the placement, as the sum of the shares of each dimension that the worker has. */
+    /** Capacity left after the placement, as the sum over all dimensions of the free share. */
     #leftover(worker: WorkerSlot): number {
         const base = worker * dimensionCount;
         let sum = 0;
--- a/packages/core/src/placement/index.ts
+++ b/packages/core/src/placement/index.ts
@@ -1,4 +1,4 @@
-/** Finds workers for tasks: filter, then score, over an index of free capacity. */
+/** Placement of tasks on workers: filter and score, over an index of free capacity. */
 export * from "./fleet-index.js";
 export * from "./policy.js";
 export * from "./types.js";
--- a/packages/core/src/placement/policy.ts
+++ b/packages/core/src/placement/policy.ts
@@ -1,26 +1,26 @@
-/** The policy of each workload class: which workers it prefers and which it must leave alone. */
+/** Placement policies of the workload classes. */
 import { WorkloadClass } from "../jobs/schema.js";
 import { Preference } from "./types.js";
 
-/** Values of a site's settings that placement reads. */
+/** Settings that affect placement. */
 export interface PlacementSettings {
     readonly preference: Preference;
-    /** Share of each worker's processors kept free of batch work, from 0 to 1. */
+    /** Share of each worker's processors that batch tasks and gangs leave free, from 0 to 1. */
     readonly headroom: number;
 }
 
-/** How one workload class is placed. */
+/** Placement rules of one workload class. */
 export interface PlacementPolicy {
     readonly workloadClass: WorkloadClass;
-    /** The preference among workers that fit. */
+    /** Returns the preference among feasible workers. */
     preference(settings: PlacementSettings): Preference;
-    /** Share of a worker that must stay free after placing. */
+    /** Returns the share of a worker's processors that must stay free after the placement. */
     headroom(settings: PlacementSettings): number;
-    /** Whether all tasks of a job must be placed in one decision. */
+    /** Whether all tasks of a job must be placed together. */
     readonly allOrNothing: boolean;
 }
 
-/** Batch tasks follow the site's preference and leave its headroom. */
+/** Batch tasks follow the configured preference and headroom. */
 export class BatchPolicy implements PlacementPolicy {
     readonly workloadClass = WorkloadClass.Batch;
     readonly allOrNothing = false;
@@ -34,7 +34,7 @@
     }
 }
 
-/** Gangs pack, so that one gang touches few workers, and are placed whole or not at all. */
+/** Gangs are packed, so that each uses few workers, and are placed as a whole or not at all. */
 export class GangPolicy implements PlacementPolicy {
     readonly workloadClass = WorkloadClass.Gang;
     readonly allOrNothing = true;
@@ -48,7 +48,7 @@
     }
 }
 
-/** Instances of a long-lived service spread, so that one worker's end takes few of them, and may use the headroom. */
+/** Service instances are spread, so that losing a worker affects few of them, and may use the headroom. */
 export class ServicePolicy implements PlacementPolicy {
     readonly workloadClass = WorkloadClass.Service;
     readonly allOrNothing = false;
@@ -68,5 +68,5 @@
     [WorkloadClass.Service]: new ServicePolicy(),
 };
 
-/** The policy of a workload class. */
+/** Returns the shared policy instance of a workload class. */
 export const policyOf = (workloadClass: WorkloadClass): PlacementPolicy => policies[workloadClass];
--- a/packages/core/src/placement/types.ts
+++ b/packages/core/src/placement/types.ts
@@ -1,35 +1,35 @@
 /** Inputs and results of a placement decision. */
 import type { Resources } from "../resources/index.js";
 
-/** Position of a worker within a {@link FleetIndex}. */
+/** Position of a worker within a {@link FleetIndex}, assigned when the worker is added. */
 export type WorkerSlot = number;
 
-/** How a policy prefers among workers that fit. */
+/** Which of several feasible workers to choose. */
 export enum Preference {
-    /** The worker that is left with the least room: keeps whole workers free. */
+    /** The worker with the least capacity left afterwards, which keeps whole workers free. */
     Pack = "pack",
-    /** The worker that is left with the most room: keeps load even. */
+    /** The worker with the most capacity left afterwards, which evens out load. */
     Spread = "spread",
 }
 
-/** What one task asks of placement. */
+/** Requirements of one task. */
 export interface PlacementRequest {
     readonly size: Resources;
     readonly preference: Preference;
     /** Share of each worker's processors that must stay free after the placement, from 0 to 1. */
     readonly headroom: number;
-    /** Whether a worker may not be taken, besides its room; called only for workers that fit. */
+    /** Excludes workers for reasons other than capacity. Called only for workers with enough capacity. */
     readonly isExcluded?: (worker: WorkerSlot) => boolean;
 }
 
-/** A decision with what it weighed. `worker` is -1 when none fits. */
+/** Result of a search; `worker` is {@link noWorker} when none is feasible. */
 export interface PlacementDecision {
     readonly worker: WorkerSlot;
-    /** Number of workers whose room was looked at. */
+    /** Number of workers whose capacity was checked. */
     readonly considered: number;
-    /** Number of those that fitted. */
+    /** Number of feasible workers found before the search stopped. */
     readonly fitted: number;
 }
 
-/** The slot that stands for "no worker". */
+/** Sentinel slot for "no worker". */
 export const noWorker: WorkerSlot = -1;
--- a/packages/core/src/platform/index.ts
+++ b/packages/core/src/platform/index.ts
@@ -1,81 +1,80 @@
-/** The platform's key-value service as the product sees it. One adapter implements it for each real service. */
+/** Interfaces to the platform's key-value store, implemented by one adapter per actual store. */
 import type { Branded } from "../ids/index.js";
 import type { Milliseconds } from "../time/index.js";
 
-/** Version of one key: grows with each write of the key; 0 means that the key does not exist. */
+/** Version of a key. Increases with each write; 0 means that the key does not exist. */
 export type KeyVersion = Branded<number, "KeyVersion">;
-/** Names a lease of the platform. */
+/** Id of a lease in the platform's store. */
 export type PlatformLeaseId = Branded<string, "PlatformLeaseId">;
 
-/** The version of a key that does not exist. */
+/** Expected version for a write that must create the key. */
 export const absentVersion = 0 as KeyVersion;
-/** Largest value in bytes that the platform's service holds. */
+/** Maximum size of a value in the platform's store, in bytes. */
 export const largestValueBytes = 1_000_000;
 
-/** One key with its value. */
+/** A key with its value and version. */
 export interface KeyValue {
     readonly key: string;
     readonly value: string;
     readonly version: KeyVersion;
 }
 
-/** What became of a compare-and-swap that got an answer. */
+/** Result of an answered compare-and-swap. */
 export type SwapOutcome =
     | { readonly kind: "swapped"; readonly version: KeyVersion; }
     | { readonly kind: "conflict"; readonly current: KeyValue | undefined; };
 
-/** What a watch saw. `cursor` is passed to the next call. */
+/** Keys that a watch saw change. Pass `cursor` to the next call. */
 export interface WatchEvents {
     readonly cursor: string;
     readonly changed: readonly string[];
 }
 
-/** Thrown when a call got no answer: it may or may not have taken effect. */
+/** Thrown when a call was not answered. It may or may not have taken effect. */
 export class PlatformUnavailableError extends Error {
     override readonly name = "PlatformUnavailableError";
 }
 
-/** Calls of the platform's service. Each rejects with {@link PlatformUnavailableError} when no answer came. */
+/** The platform's key-value store. All calls reject with {@link PlatformUnavailableError} when they are not answered. */
 export interface PlatformStore {
-    /** Reads one key. */
     get(key: string): Promise<KeyValue | undefined>;
-    /** Reads all keys that begin with `prefix`, in the order of the keys. */
+    /** Reads all keys that begin with `prefix`, in key order. */
     list(prefix: string): Promise<readonly KeyValue[]>;
-    /** Writes `value` if the key's version is `expected`. With `lease`, the key goes when the lease ends. */
+    /** Writes `value` if the key's version is `expected`. With `lease`, the key is deleted when the lease ends. */
     compareAndSwap(key: string, expected: KeyVersion, value: string, lease?: PlatformLeaseId): Promise<SwapOutcome>;
-    /** Deletes the key if its version is `expected`; resolves to whether it is gone. */
+    /** Deletes the key if its version is `expected`; resolves to whether it was deleted. */
     remove(key: string, expected: KeyVersion): Promise<boolean>;
-    /** Makes a lease that ends `duration` after its last renewal. */
+    /** Creates a lease that ends `duration` after its last renewal. */
     grantLease(duration: Milliseconds): Promise<PlatformLeaseId>;
-    /** Renews a lease; resolves to false when it has already ended. */
+    /** Renews a lease; resolves to false when it has ended. */
     renewLease(lease: PlatformLeaseId): Promise<boolean>;
-    /** Ends a lease and all its keys. */
+    /** Ends a lease and deletes all its keys. */
     revokeLease(lease: PlatformLeaseId): Promise<void>;
     /**
-     * Waits at most `duration` for a change below `prefix` after `cursor`.
-     * With the cursor `""`, or one that is too old, it resolves at once with the present cursor: the caller then reads.
+     * Waits up to `duration` for a change below `prefix` after `cursor`.
+     * With an empty or outdated cursor it resolves at once with the current cursor, and the caller must read the keys.
      */
     watch(prefix: string, cursor: string, duration: Milliseconds, signal: AbortSignal): Promise<WatchEvents>;
 }
 
-/** Keys below a prefix, with where {@link ChangeFeed.changes} goes on. */
+/** Keys below a prefix, with the cursor from which to follow changes. */
 export interface KeysAtCursor {
     readonly entries: readonly KeyValue[];
     readonly cursor: string;
 }
 
-/** What changed below a prefix since a cursor. */
+/** Changes below a prefix since a cursor. */
 export interface KeyChanges {
     readonly changed: readonly KeyValue[];
     readonly removed: readonly string[];
     readonly cursor: string;
 }
 
-/** Follows keys with their values. Each call rejects with {@link PlatformUnavailableError} when no answer came. */
+/** Follows keys and their values. All calls reject with {@link PlatformUnavailableError} when they are not answered. */
 export interface ChangeFeed {
-    /** Reads all keys that begin with `prefix`. Pages are no snapshot: changes from the cursor on are to be taken in. */
+    /** Reads all keys that begin with `prefix`. Not a consistent snapshot: apply the changes since the returned cursor. */
     readAll(prefix: string, signal?: AbortSignal): Promise<KeysAtCursor>;
-    /** Waits at most `duration` for changes; undefined when the history since the cursor is gone: read all again. */
+    /** Waits up to `duration` for changes; undefined when the history since the cursor is gone and all must be read again. */
     changes(
         prefix: string,
         cursor: string,
--- a/packages/core/src/random/index.ts
+++ b/packages/core/src/random/index.ts
@@ -1,16 +1,16 @@
-/** Randomness as an interface; tests and benches pass a seeded one. */
+/** Random number generators. Tests and benchmarks use a seeded one. */
 import { uniformFloat64 } from "pure-rand/distribution/uniformFloat64";
 import { xoroshiro128plus } from "pure-rand/generator/xoroshiro128plus";
 
-/** Source of random numbers and names. */
+/** Source of random numbers and unique names. */
 export interface Random {
     /** A number in [0, 1). */
     next(): number;
-    /** A name that no other process draws, safe in a URL. */
+    /** A unique name that is safe in a URL. */
     name(): string;
 }
 
-/** Random numbers that repeat for the same seed. */
+/** Deterministic generator: equal seeds give equal sequences. */
 export class SeededRandom implements Random {
     readonly #generator;
 
@@ -28,7 +28,7 @@
     }
 }
 
-/** Random numbers of the system. The only place that draws them. */
+/** The system's generator. No other code draws from it. */
 export class SystemRandom implements Random {
     next(): number {
         return Math.random();
--- a/packages/core/src/resources/index.ts
+++ b/packages/core/src/resources/index.ts
@@ -1,6 +1,6 @@
-/** Sizes of workers and of tasks over the dimensions that placement counts. */
+/** Resource vectors: capacities of workers and sizes of tasks. */
 
-/** Amounts in each dimension. Processors are in thousandths, memory in mebibytes, the others are counts. */
+/** Amounts per dimension: processors in thousandths, memory in mebibytes, all others as counts. */
 export interface Resources {
     readonly processorThousandths: number;
     readonly memoryMebibytes: number;
@@ -9,14 +9,14 @@
     readonly connections: number;
 }
 
-/** The names of the dimensions, in the order of typed arrays. */
+/** Names of all dimensions, in the order in which typed arrays store them. */
 export const dimensions = ["processorThousandths", "memoryMebibytes", "accelerators", "slots", "connections"] as const;
-/** One dimension of {@link Resources}. */
+/** Name of a dimension of {@link Resources}. */
 export type Dimension = (typeof dimensions)[number];
-/** Number of dimensions. */
+/** Number of values per entry in typed arrays of resources. */
 export const dimensionCount = dimensions.length;
 
-/** Nothing in any dimension. */
+/** Zero in all dimensions. */
 export const noResources: Resources = {
     processorThousandths: 0,
     memoryMebibytes: 0,
@@ -33,20 +33,20 @@
     connections: merge(left.connections, right.connections),
 });
 
-/** The sum, dimension by dimension. */
+/** Adds two vectors by dimension. */
 export const addResources = (left: Resources, right: Resources): Resources => combine(left, right, (a, b) => a + b);
-/** The difference, dimension by dimension; may go below zero. */
+/** Subtracts `right` from `left` by dimension. The result may be negative. */
 export const subtractResources = (left: Resources, right: Resources): Resources =>
     combine(left, right, (a, b) => a - b);
-/** The larger amount of each dimension. */
+/** Takes the larger amount in each dimension. */
 export const largerResources = (left: Resources, right: Resources): Resources => combine(left, right, Math.max);
-/** `size` taken `count` times. */
+/** Multiplies all dimensions by `count`. */
 export const multiplyResources = (size: Resources, count: number): Resources => combine(size, size, a => a * count);
-/** Whether `size` fits into `room` in every dimension. */
+/** Whether `size` is at most `room` in every dimension. */
 export const fitsInto = (size: Resources, room: Resources): boolean =>
     dimensions.every(name => size[name] <= room[name]);
-/** The dimensions in which `size` is larger than `room`. */
+/** Returns the dimensions in which `size` exceeds `room`. */
 export const lackingDimensions = (size: Resources, room: Resources): Dimension[] =>
     dimensions.filter(name => size[name] > room[name]);
-/** A short text that is equal for equal sizes. */
+/** Returns a string that is equal for equal vectors, for use as a map key. */
 export const resourcesKey = (size: Resources): string => dimensions.map(name => size[name]).join(":");
--- a/packages/core/src/settings/definitions.ts
+++ b/packages/core/src/settings/definitions.ts
@@ -1,10 +1,10 @@
-/** Kinds of setting values: how each is read, checked and shown. */
+/** Types of setting values: parsing, validation and description. */
 import ms, { type StringValue } from "ms";
 import { err, ok, type Result } from "neverthrow";
 
-/** Reads one kind of value from text. The error says what is wrong, without the place. */
+/** Parses one type of value. Error messages do not include the location. */
 export interface ValueKind<Value> {
-    /** What an operator may write. */
+    /** Accepted values, for error messages and the settings page. */
     readonly description: string;
     read(text: string): Result<Value, string>;
 }
@@ -14,7 +14,7 @@
 const sharePattern = /^\d+(\.\d+)?%$/;
 const addressPattern = /^(\d{1,3})\.(\d{1,3})\.(\d{1,3})\.(\d{1,3}):(\d{1,5})$/;
 
-/** A length of time with its unit, read to milliseconds. */
+/** A duration with a unit, parsed to milliseconds. */
 export class DurationKind implements ValueKind<number> {
     readonly description: string;
 
@@ -32,7 +32,7 @@
     }
 }
 
-/** A whole number. */
+/** A whole number within bounds. */
 export class CountKind implements ValueKind<number> {
     readonly description: string;
 
@@ -46,7 +46,7 @@
     }
 }
 
-/** A share in percent, read to a number from 0 to 1. */
+/** A percentage, parsed to a number from 0 to 1. */
 export class ShareKind implements ValueKind<number> {
     readonly description: string;
 
@@ -60,7 +60,7 @@
     }
 }
 
-/** One of a few words. */
+/** One of a fixed set of words. */
 export class ChoiceKind implements ValueKind<string> {
     readonly description: string;
 
@@ -73,7 +73,7 @@
     }
 }
 
-/** Letters, digits, dots, underscores and hyphens, and slashes where a path is meant. */
+/** A name of letters, digits, dots, underscores and hyphens; a path also has slashes. */
 export class NameKind implements ValueKind<string> {
     readonly description: string;
     readonly #pattern: RegExp;
@@ -88,7 +88,7 @@
     }
 }
 
-/** An IP number with a port. */
+/** An IPv4 address with a port. */
 export class AddressKind implements ValueKind<string> {
     readonly description = "IP number and port, as in 127.0.0.1:7000";
 
@@ -99,7 +99,7 @@
     }
 }
 
-/** Addresses parted by commas; may be empty. */
+/** Comma-separated addresses. May be empty. */
 export class AddressListKind implements ValueKind<readonly string[]> {
     readonly description = "addresses parted by commas, as in 127.0.0.1:7000, 127.0.0.1:7001";
     readonly #address = new AddressKind();
@@ -111,16 +111,16 @@
     }
 }
 
-/** One key of a schema. */
+/** Definition of one key in a settings schema. */
 export interface SettingDefinition<Value> {
     readonly kind: ValueKind<Value>;
-    /** The value in text where none is set; undefined when one must be set. */
+    /** Default value as text; undefined for a required key. */
     readonly fallback: string | undefined;
-    /** What it does, for the page that lists all settings. */
+    /** Description for the generated settings page. */
     readonly comment: string;
 }
 
-/** Makes a definition; the type of the value follows from the kind. */
+/** Creates a definition, inferring the value's type from its kind. */
 export const defineSetting = <Value>(
     kind: ValueKind<Value>,
     fallback: string | undefined,
--- a/packages/core/src/settings/diff.ts
+++ b/packages/core/src/settings/diff.ts
@@ -1,11 +1,11 @@
-/** Differences between two trees, key by key. */
+/** Comparison of two settings trees. */
 import { pipe } from "fp-ts/lib/function.js";
 import * as Ord from "fp-ts/lib/Ord.js";
 import * as ReadonlyArray from "fp-ts/lib/ReadonlyArray.js";
 import * as String from "fp-ts/lib/string.js";
 import type { SettingsTree } from "./tree.js";
 
-/** One key that differs. */
+/** A key whose value differs between two trees. */
 export interface SettingsDifference {
     readonly section: string;
     readonly key: string;
@@ -18,7 +18,7 @@
 const bySection = Ord.contramap((difference: SettingsDifference) => difference.section)(String.Ord);
 const byKey = Ord.contramap((difference: SettingsDifference) => difference.key)(String.Ord);
 
-/** All keys that differ between two trees, by section and key. */
+/** Returns all keys that differ between two trees, sorted by section and key. */
 export const diffSettings = (before: SettingsTree, after: SettingsTree): readonly SettingsDifference[] => {
     const places = new Map<string, SettingsDifference>();
     const placeOf = (section: string, key: string) => `${section}\n${key}`;
--- a/packages/core/src/settings/index.ts
+++ b/packages/core/src/settings/index.ts
@@ -1,4 +1,4 @@
-/** The operators' tree of settings: INI text, a schema, inheritance, differences and findings with their place. */
+/** The operators' settings tree: INI parsing, schema, inheritance, comparison, validation and storage. */
 export * from "./definitions.js";
 export * from "./diff.js";
 export * from "./ini-document.js";
--- a/packages/core/src/settings/ini-document.ts
+++ b/packages/core/src/settings/ini-document.ts
@@ -1,12 +1,12 @@
-/** Reads INI text with the line of each entry. The `ini` library reads the values; the places are found here. */
+/** INI parser that keeps line numbers. Values are decoded by the `ini` library, which does not report lines. */
 import { parse } from "ini";
 import type { Finding, IniEntry } from "./types.js";
 
-/** Entries of an INI file and what is wrong with its form. */
+/** Entries and syntax errors of an INI file. */
 export interface IniDocument {
     readonly file: string;
     readonly entries: readonly IniEntry[];
-    /** The line of each section's head. */
+    /** Line of each section's header. */
     readonly sections: ReadonlyMap<string, number>;
     readonly findings: readonly Finding[];
 }
@@ -14,13 +14,13 @@
 const sectionPattern = /^\[([^\]]*)\]\s*$/;
 const entryPattern = /^([^=]+?)\s*=/;
 
-/** Reads one value as the library does: quotes and escapes are its matter. */
+/** Decodes the value of a line with the library, which handles quotes and escapes. */
 const readValue = (line: string): string => {
     const value = Object.values(parse(line))[0];
     return typeof value === "string" ? value : String(value);
 };
 
-/** Reads INI text; never throws. */
+/** Parses INI text. Never throws; errors are returned as findings. */
 export const readIniDocument = (text: string, file: string): IniDocument => {
     const entries: IniEntry[] = [];
     const findings: Finding[] = [];
--- a/packages/core/src/settings/schema.ts
+++ b/packages/core/src/settings/schema.ts
@@ -1,83 +1,83 @@
-/** The one schema of the settings tree, with the default and a comment at each key. */
+/** Schema of the settings tree, with the default and a description of each key. */
 import { ChoiceKind, CountKind, defineSetting, DurationKind, ShareKind } from "./definitions.js";
 
-/** Every key that an organisation, region, site or class may set. */
+/** Keys that an organisation, region, site or class may set. */
 export const treeSchema = {
     "placement.preference": defineSetting(
         new ChoiceKind(["spread", "pack"]),
         "spread",
-        "Which worker batch tasks prefer: spread keeps waiting short, pack keeps whole workers free.",
+        "Preferred worker for batch tasks: spread keeps waits short, pack keeps whole workers free.",
     ),
     "placement.headroom": defineSetting(
         new ShareKind(0, 90),
         "10%",
-        "Share of each worker's processors that batch tasks and gangs leave free for live work.",
+        "Share of each worker's processors that batch tasks and gangs leave free for live requests.",
     ),
     "placement.gang_patience": defineSetting(
         new DurationKind("0s", "24h"),
         "30s",
-        "How long a gang waits before room is saved for it.",
+        "How long a gang waits before workers are reserved for it.",
     ),
     "lease.duration": defineSetting(
         new DurationKind("500ms", "1h"),
         "15s",
-        "How long a worker goes on with a task after the owner's last renewal.",
+        "How long a worker continues a task after the owner's last renewal.",
     ),
     "lease.margin": defineSetting(
         new DurationKind("100ms", "10m"),
         "2s",
-        "Added to a lease before its end is relied on; covers clocks that run at different rates.",
+        "Safety margin after a lease's expiry, for clocks that run at different rates.",
     ),
     "lease.start_within": defineSetting(
         new DurationKind("200ms", "1m"),
         "5s",
-        "A start that reaches its worker later than this is refused there.",
+        "Workers refuse a start request that arrives later than this.",
     ),
     "owner.horizon": defineSetting(
         new DurationKind("1s", "24h"),
         "15m",
-        "How long an owner goes on without the platform. Longer than the outages that tasks must live through; "
-            + "a cut owner's tasks are run elsewhere only after it.",
+        "How long an owner continues without the platform. Must exceed the outages that tasks have to survive; "
+            + "tasks of a partitioned owner are run elsewhere only after this time.",
     ),
     "worker.heartbeat": defineSetting(
         new DurationKind("50ms", "1m"),
         "1s",
-        "How long a worker holds a heartbeat's answer while nothing ends there.",
+        "How long a worker delays its answer to a heartbeat while no task ends.",
     ),
     "worker.silent_after": defineSetting(
         new DurationKind("200ms", "10m"),
         "3s",
-        "A worker that has not answered for this long gets nothing new.",
+        "A worker that has not answered for this long gets no new tasks.",
     ),
     "worker.quarantine_share": defineSetting(
         new ShareKind(0, 100),
         "20%",
-        "Most workers that may be in quarantine at once.",
+        "Maximum share of workers in quarantine at a time.",
     ),
     "worker.quarantine_duration": defineSetting(
         new DurationKind("1s", "24h"),
         "1m",
-        "Length of a worker's first quarantine; doubled with each further one.",
+        "Duration of a worker's first quarantine, doubled for each further one.",
     ),
     "queue.limit": defineSetting(
         new CountKind(1, 10_000_000),
         "100000",
-        "Most tasks and gangs that wait in a shard; normal work is refused at 90% of it, patient work at 70%.",
+        "Maximum number of tasks and gangs queued in a shard; normal work is refused above 90% of it, patient work above 70%.",
     ),
     "retry.attempts": defineSetting(
         new CountKind(0, 100),
         "3",
-        "How often a repeatable task that failed or was lost is tried again.",
+        "How many times a repeatable task is retried after it failed or was lost.",
     ),
     "retry.delay": defineSetting(
         new DurationKind("1ms", "1h"),
         "500ms",
-        "Wait before the first further try; doubled each time, with jitter.",
+        "Delay before the first retry, doubled for each further one, with jitter.",
     ),
     "result.bytes": defineSetting(
         new CountKind(0, 262_144, "bytes"),
         "16384",
-        "Largest output of a task; a larger one is a failure, never cut short.",
+        "Maximum size of a task's output; a task with a larger one fails, as outputs are never truncated.",
     ),
     "result.retention": defineSetting(
         new DurationKind("1s", "30d"),
@@ -87,52 +87,56 @@
     "live.slot_grant": defineSetting(
         new DurationKind("500ms", "10m"),
         "10s",
-        "How long a gateway may use a bundle of slots after its last renewal; covers an owner's replacement.",
+        "How long a gateway may use granted slots after its last renewal; must cover a change of owner.",
     ),
     "live.wait_limit": defineSetting(
         new DurationKind("0ms", "1m"),
         "200ms",
-        "Longest expected wait for a slot; a live request that would wait longer is refused at once.",
+        "Maximum expected wait for a slot; live requests that would wait longer are refused at once.",
     ),
     "live.retry_share": defineSetting(
         new ShareKind(0, 100),
         "10%",
-        "Most repeated sends of repeatable live requests, as a share of first sends.",
+        "Maximum number of retries of repeatable live requests, as a share of first sends.",
     ),
     "objective.waiting": defineSetting(
         new DurationKind("1ms", "24h"),
         "250ms",
-        "A request that waits longer than this counts against the objective.",
+        "Requests that wait longer than this count against the objective.",
     ),
     "objective.share": defineSetting(
         new ShareKind(1, 99.999),
         "99%",
-        "Share of requests that must be answered whole and in time.",
+        "Share of requests that must be answered completely and in time.",
     ),
 } as const;
 
-/** A key of the tree. */
+/** A key of {@link treeSchema}, as it is written in the INI text. */
 export type TreeKey = keyof typeof treeSchema;
 
-/** Keys of a team's section: the most that the team may hold at once. */
+/** Keys of a team's section: limits on the resources that the team holds at a time. */
 export const teamSchema = {
     "quota.processors": defineSetting(
         new CountKind(0, 1_000_000),
         undefined,
-        "Most processors that a team holds at once.",
+        "Maximum number of processors that a team holds at a time.",
     ),
     "quota.memory": defineSetting(
         new CountKind(0, 1_000_000_000, "MiB"),
         undefined,
-        "Most memory that a team holds at once.",
+        "Maximum memory that a team holds at a time.",
     ),
     "quota.accelerators": defineSetting(
         new CountKind(0, 1_000_000),
         undefined,
-        "Most accelerators that a team holds at once.",
+        "Maximum number of accelerators that a team holds at a time.",
+    ),
+    "quota.slots": defineSetting(
+        new CountKind(0, 1_000_000),
+        undefined,
+        "Maximum number of slots that a team holds at a time.",
     ),
-    "quota.slots": defineSetting(new CountKind(0, 1_000_000), undefined, "Most slots that a team holds at once."),
 } as const;
 
-/** A key of a team's section. */
+/** A key of {@link teamSchema}, as it is written in the INI text. */
 export type TeamKey = keyof typeof teamSchema;
--- a/packages/core/src/settings/shard-settings.ts
+++ b/packages/core/src/settings/shard-settings.ts
@@ -1,4 +1,4 @@
-/** Values of the tree as a shard's owner reads them. */
+/** Conversion of the settings tree to the settings of a shard. */
 import type { WorkloadClass } from "../jobs/index.js";
 import { Preference } from "../placement/index.js";
 import type { Resources } from "../resources/index.js";
@@ -21,7 +21,7 @@
     return quotas;
 };
 
-/** Reads all values of one workload class at a site. */
+/** Resolves the settings of a site. With a workload class, keys that classes may override take the class's values. */
 export const shardSettingsOf = (tree: SettingsTree, path: TreePath, workloadClass?: WorkloadClass): ShardSettings => {
     const place = { ...path, workloadClass };
     return {
--- a/packages/core/src/settings/stored.ts
+++ b/packages/core/src/settings/stored.ts
@@ -1,4 +1,4 @@
-/** The accepted tree as the platform's service holds it, and the race of operators over it. */
+/** Storage of settings revisions in the platform's store, with optimistic concurrency between operators. */
 import { type SettingsRevision, settingsRevision } from "../ids/index.js";
 import {
     absentVersion,
@@ -9,35 +9,35 @@
 } from "../platform/index.js";
 import type { Clock, Milliseconds } from "../time/index.js";
 
-/** Prefix of all keys of settings. */
+/** Key prefix to watch for new revisions. The history is stored outside of it. */
 export const settingsPrefix = "settings/";
-/** The key of the tree in force. */
+/** Key of the current revision. */
 export const settingsHeadKey = `${settingsPrefix}head`;
 const historyKeyOf = (revision: SettingsRevision): string => `settings-history/${String(revision).padStart(9, "0")}`;
-/** Room that is left beside the text for the other fields. */
+/** Bytes reserved for the fields other than the text. */
 const reservedBytes = 4_096;
 
-/** One accepted tree. */
+/** An accepted revision of the settings tree. */
 export interface StoredSettings {
     readonly revision: SettingsRevision;
     readonly text: string;
     readonly author: string;
     readonly note: string;
     readonly acceptedAt: string;
-    /** Tells this write from every other, to settle a lost answer. */
+    /** Unique per write; tells after a lost answer whether the write succeeded. */
     readonly nonce: string;
 }
 
-/** The revision before any tree was accepted. */
+/** Revision number before the first tree is accepted. */
 export const noRevision = settingsRevision(0);
 
-/** The outcome of accepting a tree. */
+/** Result of {@link acceptSettings}. `superseded` means that the given base is no longer the current revision. */
 export type AcceptOutcome =
     | { readonly kind: "accepted"; readonly stored: StoredSettings; }
     | { readonly kind: "superseded"; readonly current: StoredSettings | undefined; }
     | { readonly kind: "too-large"; readonly bytes: number; readonly most: number; };
 
-/** Thrown when the platform did not say whether a tree was accepted before the time ran out. */
+/** Thrown when it could not be determined in time whether a tree was accepted. */
 export class AcceptUnsettledError extends Error {
     override readonly name = "AcceptUnsettledError";
 }
@@ -45,11 +45,11 @@
 const parseStored = (entry: KeyValue | undefined): StoredSettings | undefined =>
     entry === undefined ? undefined : JSON.parse(entry.value) as StoredSettings;
 
-/** Reads the tree in force; undefined when none was ever accepted. */
+/** Reads the current revision; undefined when none was ever accepted. */
 export const readSettings = async (store: PlatformStore): Promise<StoredSettings | undefined> =>
     parseStored(await store.get(settingsHeadKey));
 
-/** Reads one accepted revision; undefined when it is unknown. */
+/** Reads a given revision; undefined when it does not exist. */
 export const readRevision = async (
     store: PlatformStore,
     revision: SettingsRevision,
@@ -58,7 +58,7 @@
     return head?.revision === revision ? head : parseStored(await store.get(historyKeyOf(revision)));
 };
 
-/** Reads the newest revisions, newest first. */
+/** Reads up to `limit` revisions, newest first. */
 export const readHistory = async (store: PlatformStore, most: number): Promise<StoredSettings[]> => {
     const revisions: StoredSettings[] = [];
     let entry = await readSettings(store);
@@ -69,28 +69,28 @@
     return revisions;
 };
 
-/** What accepting needs. */
+/** A new settings text with its metadata and the dependencies to store it. */
 export interface AcceptRequest {
     readonly store: PlatformStore;
     readonly clock: Clock;
-    /** The revision that the operator edited. */
+    /** The revision that the text was edited from. */
     readonly base: SettingsRevision;
     readonly text: string;
     readonly author: string;
     readonly note: string;
     readonly nonce: string;
-    /** How long a lost answer is settled by reading before this gives up. */
+    /** How long to retry after lost answers before giving up. */
     readonly settleWithin: Milliseconds;
 }
 
 /**
- * Puts a tree in force if `base` still is. An answer that was lost is settled by reading.
- * Rejects with {@link AcceptUnsettledError} when the platform stayed silent.
+ * Makes a text the current revision if `base` still is. After a lost answer, reads back whether the write succeeded.
+ * Rejects with {@link AcceptUnsettledError} when the platform does not answer in time.
  */
 export const acceptSettings = async (request: AcceptRequest): Promise<AcceptOutcome> => {
     const bytes = Buffer.byteLength(request.text);
     if (bytes > largestValueBytes / 2 - reservedBytes) {
-        // JSON may double the text's length; half of the platform's limit always fits.
+        // JSON escaping may double the length of the text, so half of the platform's limit always fits.
         return { kind: "too-large", bytes, most: largestValueBytes / 2 - reservedBytes };
     }
     const giveUpAt = request.clock.monotonic() + request.settleWithin;
@@ -122,12 +122,12 @@
         return { kind: "accepted", stored: current };
     }
     if ((current?.revision ?? noRevision) !== base) {
-        // This write may have been accepted and then replaced by another operator's: the history tells.
+        // This write may have succeeded and then been replaced by another operator's. The history shows it.
         const earlier = parseStored(await store.get(historyKeyOf(settingsRevision(base + 1))));
         return earlier?.nonce === nonce ? { kind: "accepted", stored: earlier } : { kind: "superseded", current };
     }
     if (head !== undefined) {
-        // The history is written before the head is replaced, so no accepted revision is ever missing from it.
+        // The history is written before the head is replaced, so that it never lacks an accepted revision.
         await store.compareAndSwap(historyKeyOf(base), absentVersion, head.value);
     }
     const stored: StoredSettings = {
--- a/packages/core/src/settings/tree.ts
+++ b/packages/core/src/settings/tree.ts
@@ -1,4 +1,4 @@
-/** Inheritance: a class takes what it does not set from its site, that from its region, that from the organisation. */
+/** Parsing and validation of the settings tree, and lookup of values in it. */
 import { pipe } from "fp-ts/lib/function.js";
 import * as Option from "fp-ts/lib/Option.js";
 import * as ReadonlyArray from "fp-ts/lib/ReadonlyArray.js";
@@ -7,14 +7,14 @@
 import { type TeamKey, teamSchema, type TreeKey, treeSchema } from "./schema.js";
 import type { Finding, IniEntry } from "./types.js";
 
-/** Where in the tree a value is asked for. */
+/** Level of the tree at which a value is looked up. */
 export interface TreePath {
     readonly region?: string;
     readonly site?: string;
     readonly workloadClass?: string;
 }
 
-/** A value with the line it came from. */
+/** A value with its origin. */
 export interface ExplainedValue {
     readonly key: TreeKey;
     readonly value: string;
@@ -24,7 +24,7 @@
     readonly line: number;
 }
 
-/** The name that the tree's text has in findings. */
+/** File name in findings when none is given. */
 export const defaultTreeFile = "settings.ini";
 const organisationSection = "organisation";
 const sectionPattern =
@@ -33,7 +33,7 @@
 const isTreeKey = (key: string): key is TreeKey => Object.hasOwn(treeSchema, key);
 const isTeamKey = (key: string): key is TeamKey => Object.hasOwn(teamSchema, key);
 
-/** The sections that a path takes its values from, nearest first. */
+/** Returns the sections that a path inherits from, most specific first. */
 export const sectionsOf = (path: TreePath): string[] => {
     const sections = [organisationSection];
     if (path.region !== undefined) {
@@ -48,7 +48,11 @@
     return sections;
 };
 
-/** A checked tree. Made by {@link parseSettingsTree}. */
+/**
+ * A validated settings tree. Created by {@link parseSettingsTree}.
+ *
+ * A class inherits values that it does not set from its site, a site from its region, a region from the organisation.
+ */
 export class SettingsTree {
     readonly #entries = new Map<string, Map<string, IniEntry>>();
 
@@ -60,12 +64,12 @@
         }
     }
 
-    /** All lines that set a key. */
+    /** All keys that are set explicitly. */
     entries(): IniEntry[] {
         return [...this.#entries.values()].flatMap(section => [...section.values()]);
     }
 
-    /** The value in force at a path and where it came from. */
+    /** Returns the effective value at a path and its origin. */
     explain(key: TreeKey, path: TreePath): ExplainedValue {
         return pipe(
             sectionsOf(path),
@@ -77,19 +81,19 @@
         );
     }
 
-    /** A number in force at a path: milliseconds, a count, or a share from 0 to 1. */
+    /** Returns the effective value of a numeric key: milliseconds, a count, or a share from 0 to 1. */
     number(key: TreeKey, path: TreePath): number {
         return Number(treeSchema[key].kind.read(this.explain(key, path).value)._unsafeUnwrap());
     }
 
-    /** The names of teams with a section. */
+    /** Names of all teams that have a section. */
     teams(): string[] {
         return [...this.#entries.keys()].filter(name => name.startsWith("team ")).map(name =>
             name.slice("team ".length)
         );
     }
 
-    /** A quota of a team; undefined when it has none. */
+    /** Returns a quota of a team; undefined when it is not set. */
     quota(team: string, key: TeamKey): number | undefined {
         const entry = this.#entries.get(`team ${team}`)?.get(key);
         return entry === undefined ? undefined : Number(entry.value);
@@ -108,7 +112,7 @@
     return definition.kind.read(entry.value).match(() => [], message => [{ ...place, message }]);
 };
 
-/** Reads and checks the text of a tree; all findings are returned together. */
+/** Parses and validates a settings text. On failure returns all findings, in the order of lines. */
 export const parseSettingsTree = (text: string, file = defaultTreeFile): Result<SettingsTree, readonly Finding[]> => {
     const document = readIniDocument(text, file);
     const findings = [...document.findings];
--- a/packages/core/src/settings/types.ts
+++ b/packages/core/src/settings/types.ts
@@ -1,6 +1,6 @@
-/** Findings and places of settings. */
+/** Entries and findings of settings files. */
 
-/** Something wrong in a settings file, with its place. Lines count from 1. */
+/** An error in a settings file with its location. Lines are numbered from 1. */
 export interface Finding {
     readonly file: string;
     readonly line: number;
@@ -9,7 +9,7 @@
     readonly message: string;
 }
 
-/** One line that sets a key. */
+/** A key set in an INI file, with its location. */
 export interface IniEntry {
     readonly section: string;
     readonly key: string;
@@ -17,7 +17,7 @@
     readonly line: number;
 }
 
-/** One finding as a line of text. */
+/** Formats a finding as `FILE:LINE: [SECTION] KEY: MESSAGE`. */
 export const formatFinding = (finding: Finding): string => {
     const place = [finding.section === "" ? "" : `[${finding.section}]`, finding.key].filter(part => part !== "").join(
         " ",
--- a/packages/core/src/time/answer-times.ts
+++ b/packages/core/src/time/answer-times.ts
@@ -1,27 +1,24 @@
-/**
- * How long an answer of one server may stay out before it is taken for lost.
- *
- * The estimate is that of TCP's retransmission timer (RFC 6298): the smoothed time of answers and their deviation, doubled
- * with each answer that was lost in a row.
- */
+/** Response timeout that adapts to the response times of a server. */
 import type { Milliseconds } from "./milliseconds.js";
 
-/** Weight of one answer in the smoothed time (RFC 6298). */
+/** Weight of a sample in the smoothed response time (RFC 6298). */
 const timeWeight = 1 / 8;
-/** Weight of one answer in the deviation (RFC 6298). */
+/** Weight of a sample in the deviation (RFC 6298). */
 const deviationWeight = 1 / 4;
-/** An answer is lost once it is later than the smoothed time by this many deviations (RFC 6298). */
+/** The timeout exceeds the smoothed time by this many deviations (RFC 6298). */
 const deviations = 4;
 
-/** Bounds of the estimate. */
+/** Bounds of the response timeout. */
 export interface AnswerTimeBounds {
-    /** No answer is taken for lost before this. */
     readonly shortest: Milliseconds;
-    /** An answer is taken for lost after this, whatever earlier ones took; also before there was any. */
+    /** Upper bound, which also applies until there is a sample. */
     readonly longest: Milliseconds;
 }
 
-/** See the module's comment. */
+/**
+ * Estimates the response timeout of one server like TCP's retransmission timer (RFC 6298): from the smoothed response time and
+ * its deviation, doubled with each consecutive timeout.
+ */
 export class AnswerTimes {
     #smoothed: Milliseconds | undefined;
     #deviation: Milliseconds = 0;
@@ -29,7 +26,6 @@
 
     constructor(private readonly bounds: AnswerTimeBounds) {}
 
-    /** An answer came after this time. */
     note(took: Milliseconds): void {
         this.#lostInARow = 0;
         if (this.#smoothed === undefined) {
@@ -41,17 +37,17 @@
         this.#smoothed += (took - this.#smoothed) * timeWeight;
     }
 
-    /** An answer did not come in time. */
+    /** Records that a response did not arrive in time. */
     noteLost(): void {
         this.#lostInARow++;
     }
 
-    /** Whether there was an answer. */
+    /** Whether any response was recorded. */
     get hasAny(): boolean {
         return this.#smoothed !== undefined;
     }
 
-    /** An answer that stays out for this long is taken for lost. */
+    /** Time after which a pending response should be considered lost. */
     get limit(): Milliseconds {
         const { shortest, longest } = this.bounds;
         if (this.#smoothed === undefined) {
--- a/packages/core/src/time/clock.ts
+++ b/packages/core/src/time/clock.ts
@@ -1,28 +1,27 @@
-/** Time as the product sees it: an interface that is passed in, never the process's own clock. */
-
+/** Clock interfaces. Code takes a clock as a dependency instead of reading the process's clock. */
 import { GapWatch } from "./gap-watch.js";
 import type { Milliseconds } from "./milliseconds.js";
 
-/** Source of time and of waiting. */
+/** Source of time and timers. */
 export interface Clock {
-    /** Milliseconds since an arbitrary start; never goes back. For lengths of time. */
+    /** Milliseconds since an arbitrary start, for measuring durations. Never decreases. */
     monotonic(): Milliseconds;
-    /** Wall-clock time, for deadlines that callers give and for logs. */
+    /** Wall-clock time, for callers' deadlines and for logs. */
     now(): Date;
-    /** Resolves after `duration`, or at once when `signal` aborts. Never rejects. */
+    /** Resolves after `duration`, or as soon as `signal` aborts. Never rejects. */
     sleep(duration: Milliseconds, signal?: AbortSignal): Promise<void>;
 }
 
-/** A clock that knows when it may have missed time. */
+/** A clock that detects possible suspensions of the machine. */
 export interface GapClock extends Clock {
     /**
-     * By the monotonic clock: since when it is sure to have counted all time; -Infinity while there was no sign of a gap.
-     * What was confirmed before that moment may be older than it looks. Cheap enough to be asked at each use.
+     * Returns the monotonic time since which no suspension was detected, or -Infinity when there was none. Anything confirmed
+     * before that time may be older than it seems. Cheap enough to call at each use.
      */
     countedSince(): Milliseconds;
 }
 
-/** The clock of the process. The only place that reads it. */
+/** The clock of the process. No other code reads the process's time. */
 export class SystemClock implements GapClock {
     readonly #gaps = new GapWatch();
 
@@ -55,11 +54,11 @@
     }
 }
 
-/** A clock that stands still until a test moves it. */
+/** A clock for tests that only moves when it is advanced. */
 export class ManualClock implements GapClock {
     readonly #gaps = new GapWatch();
     #elapsed = 0;
-    /** By how much the time of day is ahead of the monotonic clock since the start. */
+    /** Time by which the wall clock has moved ahead of the monotonic clock. */
     #ahead = 0;
     readonly #waiting = new Set<{ readonly at: Milliseconds; readonly resolve: () => void; }>();
 
@@ -97,13 +96,13 @@
         return this.#gaps.check(this.monotonic(), this.now().getTime());
     }
 
-    /** The machine is suspended for `duration`, or its time of day is set ahead: the monotonic clock stands still. */
+    /** Moves only the wall clock, as a suspension of the machine or a change of its time of day does. */
     suspend(duration: Milliseconds): void {
         this.countedSince();
         this.#ahead += duration;
     }
 
-    /** Moves time on by `duration` and wakes all who waited for it. */
+    /** Advances the clock and resolves all sleeps that are due. */
     advance(duration: Milliseconds): void {
         this.#elapsed += duration;
         const due = [...this.#waiting].filter(entry => entry.at <= this.#elapsed);
--- a/packages/core/src/time/gap-watch.ts
+++ b/packages/core/src/time/gap-watch.ts
@@ -1,26 +1,25 @@
-/**
- * Tells since when the monotonic clock is sure to have counted all time.
- *
- * A machine may be suspended for seconds. The monotonic clock does not count that time; the time of day does. So when the time of
- * day gets ahead of the monotonic clock, the process may have been suspended just now, or the time of day was set: which of the
- * two cannot be told here, so it is a sign on which to ask again, never a length of time to reckon with. The clock that counts
- * suspension (CLOCK_BOOTTIME) is not read: Node.js has it only through `os.uptime()`, and where the users run us that shows the
- * time of the host, which does not go with the clocks of the process.
- */
+/** Detection of machine suspensions by comparing clocks. */
 import type { Milliseconds } from "./milliseconds.js";
 
 /**
- * The time of day may get ahead by this much without a sign: it is read in whole milliseconds and is slewed by half a
- * millisecond a second at most. Shorter suspensions are within what leases have to spare for messages.
+ * Smallest jump of the wall clock that counts as a suspension, well above its resolution and slewing. Lease margins cover
+ * shorter suspensions.
  */
 const leastGap: Milliseconds = 100;
 
-/** See the module's comment. */
+/**
+ * Detects possible suspensions of the machine.
+ *
+ * While a machine is suspended, the wall clock advances and the monotonic clock does not. A jump of the wall clock relative to
+ * the monotonic clock thus means a suspension or a change of the time of day. These cannot be told apart, so a jump only means
+ * that earlier confirmations are out of date; its size is not meaningful. CLOCK_BOOTTIME, which counts suspensions, is not used:
+ * Node.js exposes it only as `os.uptime()`, which may show the host's time and not match the clocks of the process.
+ */
 export class GapWatch {
     #offset: Milliseconds | undefined;
     #countedSince: Milliseconds = -Infinity;
 
-    /** Compares both clocks; the moment by the monotonic clock since which there was no gap, as far as is known. */
+    /** Compares readings of both clocks; returns the monotonic time of the last detected jump, or -Infinity. */
     check(monotonic: Milliseconds, timeOfDay: number): Milliseconds {
         const offset = timeOfDay - monotonic;
         if (this.#offset !== undefined && offset - this.#offset > leastGap) {
--- a/packages/core/src/time/index.ts
+++ b/packages/core/src/time/index.ts
@@ -1,4 +1,4 @@
-/** Time as the product sees it, and what is learned from it. */
+/** Clocks, and estimates based on them. */
 export * from "./answer-times.js";
 export * from "./clock.js";
 export * from "./gap-watch.js";
--- a/packages/core/src/time/milliseconds.ts
+++ b/packages/core/src/time/milliseconds.ts
@@ -1,4 +1,4 @@
-/** The unit of all times. */
+/** Unit of durations and of monotonic times. */
 
-/** A length of time in milliseconds. */
+/** A duration in milliseconds, or a time on the monotonic clock. Not branded: an alias for readability. */
 export type Milliseconds = number;
--- a/packages/core/src/vm-list/index.ts
+++ b/packages/core/src/vm-list/index.ts
@@ -1,17 +1,17 @@
-/** The platform's lagging list of VMs. */
+/** Interface to the platform's list of VMs, which may lag behind the actual state. */
 import type { WorkerId } from "../ids/index.js";
 import type { Resources } from "../resources/index.js";
 
-/** What the platform says of a VM. */
+/** State of a VM as the platform reports it. */
 export enum VmState {
     Live = "live",
     Leaving = "leaving",
 }
 
-/** One VM that runs tasks. */
+/** A VM that runs tasks, as the platform lists it. */
 export interface ListedWorker {
     readonly worker: WorkerId;
-    /** IP number and port of the worker's protocol. */
+    /** IP address and port of the worker's protocol endpoint. */
     readonly address: string;
     readonly rack: string;
     readonly dataHall: string;
@@ -20,8 +20,8 @@
     readonly capacity: Resources;
 }
 
-/** Reads the platform's list of VMs. A VM that is gone for good is no longer in it. */
+/** Reads the platform's list of VMs, which does not contain VMs that are gone for good. */
 export interface VmList {
-    /** All workers that are live or leaving. Rejects when the list cannot be read. */
+    /** Returns all workers that are live or leaving. Rejects when the list cannot be read. */
     read(signal?: AbortSignal): Promise<readonly ListedWorker[]>;
 }
--- a/packages/core/src/worker-health/index.ts
+++ b/packages/core/src/worker-health/index.ts
@@ -1,2 +1,2 @@
-/** Tells workers at fault from jobs at fault. */
+/** Detection of failing workers. */
 export * from "./worker-health.js";
--- a/packages/core/src/worker-health/worker-health.ts
+++ b/packages/core/src/worker-health/worker-health.ts
@@ -1,29 +1,22 @@
-/**
- * Tells a worker that fails what it starts from a job that fails everywhere.
- *
- * Each worker keeps its last outcomes. A failure counts against a worker only while the same job has not failed on
- * another one: a job that fails on two workers is taken to be at fault itself, and its failures are taken back. And it
- * counts only if the worker does much worse than its peers: when many jobs fail everywhere at once, each has failed on
- * one worker only so far, and no worker is to blame.
- */
+/** Attribution of task failures to workers or jobs. */
 import type { JobId, WorkerId } from "../ids/index.js";
 
-/** When a worker looks at fault. */
+/** Thresholds above which a worker is considered failing. */
 export interface HealthLimits {
-    /** Outcomes that are remembered of one worker. */
+    /** Number of most recent outcomes evaluated per worker. */
     readonly rememberedOutcomes: number;
-    /** Fewest jobs with failures there that can lead to quarantine. */
+    /** Minimum number of different jobs that must have failed on the worker. */
     readonly fewestFailures: number;
-    /** Share of failures among the remembered outcomes that leads to quarantine. */
+    /** Minimum share of failures among the evaluated outcomes. */
     readonly failingShare: number;
 }
 
-/** Limits where a worker's tasks are few and long: a wrong quarantine costs more than some failures. */
+/** Thresholds for workers with few, long tasks, where a wrong quarantine costs more than some failures. */
 export const patientLimits: HealthLimits = { rememberedOutcomes: 12, fewestFailures: 4, failingShare: 0.5 };
 
 const noWorkers: ReadonlySet<WorkerId> = new Set();
 
-/** A worker's share of failures must be this many times that of its peers. */
+/** A failing worker's share of failures is at least this many times that of its peers. */
 const worseThanPeers = 2;
 
 interface Outcome {
@@ -31,20 +24,25 @@
     readonly failed: boolean;
 }
 
-/** Outcomes by worker and failures by job. */
+/**
+ * Distinguishes workers that fail their tasks from jobs that fail everywhere.
+ *
+ * A failure counts against a worker only while the job has not failed on another worker; a job that fails on two workers is
+ * assumed to be at fault itself. A worker must also fail much more often than its peers: when many jobs start to fail at
+ * once, each has failed on only one worker so far, and no worker is to blame.
+ */
 export class WorkerHealth {
     readonly #outcomes = new Map<WorkerId, Outcome[]>();
     readonly #failedOn = new Map<JobId, Set<WorkerId>>();
-    /** Sums over all workers. */
+    /** Totals over all workers. */
     #remembered = 0;
     #failures = 0;
     readonly #quarantines = new Map<WorkerId, number>();
 
     constructor(private readonly limits: HealthLimits = patientLimits) {}
 
-    /** Notes that a task of a job succeeded at a worker. */
     noteSuccess(worker: WorkerId, job: JobId): void {
-        // The job can succeed, so the workers where it failed are at fault after all.
+        // The job is able to succeed, so its failures count against the workers again.
         this.#failedOn.delete(job);
         this.#add(worker, { job, failed: false });
         if (this.#recentFailures(worker) === 0) {
@@ -52,7 +50,7 @@
         }
     }
 
-    /** Notes a failure; resolves to whether the worker now looks at fault. */
+    /** Records a failure and returns whether the worker is now considered failing. */
     noteFailure(worker: WorkerId, job: JobId): boolean {
         const workers = this.#failedOn.get(job) ?? new Set<WorkerId>();
         workers.add(worker);
@@ -61,37 +59,37 @@
         return this.isFailing(worker);
     }
 
-    /** Whether a worker fails most of what it starts, jobs that fail elsewhere too left out. */
+    /** Whether a worker exceeds the thresholds. Jobs that also fail elsewhere are left out. */
     isFailing(worker: WorkerId): boolean {
         const counted = this.#counted(worker);
         const failed = counted.filter(outcome => outcome.failed);
         const share = failed.length / Math.max(1, counted.length);
-        // Several tasks of one job may fail together for the job's own sake.
+        // Several tasks of one job may fail together because of the job.
         const jobs = new Set(failed.map(outcome => outcome.job)).size;
         return jobs >= this.limits.fewestFailures && share >= this.limits.failingShare
             && share >= this.#shareOfPeers(worker) * worseThanPeers;
     }
 
-    /** Share of failures among the remembered outcomes of all other workers. */
+    /** Share of failures among the recent outcomes of all other workers. */
     #shareOfPeers(worker: WorkerId): number {
         const own = this.#outcomes.get(worker) ?? [];
         const ownFailures = own.filter(outcome => outcome.failed).length;
         return (this.#failures - ownFailures) / Math.max(1, this.#remembered - own.length);
     }
 
-    /** Whether a worker's last outcomes hold failures that are not their jobs' own. */
+    /** Whether any recent failure is attributed to a worker. */
     isSuspect(worker: WorkerId): boolean {
         return this.#recentFailures(worker) > 0;
     }
 
-    /** Drops what is known of a worker that is gone. */
+    /** Deletes the history of a worker that is gone. */
     forgetWorker(worker: WorkerId): void {
         (this.#outcomes.get(worker) ?? []).forEach(outcome => this.#count(outcome, -1));
         this.#outcomes.delete(worker);
         this.#quarantines.delete(worker);
     }
 
-    /** Number of this quarantine of a worker, from 1; its outcomes are forgotten, so that it starts afresh. */
+    /** Starts a quarantine: clears the worker's outcomes and returns the number of consecutive quarantines, from 1. */
     beginQuarantine(worker: WorkerId): number {
         const count = (this.#quarantines.get(worker) ?? 0) + 1;
         this.#quarantines.set(worker, count);
@@ -100,12 +98,12 @@
         return count;
     }
 
-    /** Number of different workers on which a job failed. */
+    /** Workers on which a job failed. */
     failedWorkersOf(job: JobId): ReadonlySet<WorkerId> {
         return this.#failedOn.get(job) ?? noWorkers;
     }
 
-    /** Drops what is known of a job that has its final answer. */
+    /** Deletes the history of a finished job. */
     forgetJob(job: JobId): void {
         this.#failedOn.delete(job);
     }
--- a/packages/core/src/worker/index.ts
+++ b/packages/core/src/worker/index.ts
@@ -1,23 +1,23 @@
-/** The workers' protocol as the product sees it. One adapter implements it for each real protocol. */
+/** Worker protocol of shards, implemented by one adapter per actual protocol. */
 import type { Attempt, Epoch, Incarnation, ShardId, TaskId, WorkerId } from "../ids/index.js";
 import type { Resources } from "../resources/index.js";
 import type { Milliseconds } from "../time/index.js";
 
-/** One attempt to run a task. */
+/** Identifies one attempt to run a task. */
 export interface TaskAttempt {
     readonly task: TaskId;
     readonly attempt: Attempt;
 }
 
-/** A task that runs at a worker. */
+/** A running task in a worker's report. */
 export interface RunningTask extends TaskAttempt {
-    /** Usage as last measured by the worker; late. */
+    /** Usage as last measured by the worker, so possibly out of date. */
     readonly usage: Resources;
-    /** Where live requests for this task go, if it serves any: IP number and port. */
+    /** IP address and port for live requests, if the task serves any. */
     readonly serviceAddress?: string;
 }
 
-/** How a task ended at its worker. */
+/** How an attempt ended on its worker. */
 export enum EndKind {
     Succeeded = "succeeded",
     Failed = "failed",
@@ -26,50 +26,50 @@
     LeaseLapsed = "lease-lapsed",
 }
 
-/** A task that ended at a worker and whose end was not yet acknowledged. */
+/** An ended attempt in a worker's report, repeated until it is acknowledged. */
 export interface EndedTask extends TaskAttempt {
     readonly kind: EndKind;
-    /** The task's output, or its checkpoint, or the text of its failure. */
+    /** The task's output, its checkpoint, or the message of its failure. */
     readonly output: string;
     readonly ranFor: Milliseconds;
 }
 
-/** What a worker says of itself in answer to a claim or a heartbeat. */
+/** State of a worker, sent in answer to a claim or a heartbeat. */
 export interface WorkerReport {
     readonly worker: WorkerId;
     readonly incarnation: Incarnation;
-    /** A fresh number; a start or renewal that echoes it is counted from when it was issued. */
+    /** A new number for each report. The time limits of a start or renewal that echoes it count from its issue. */
     readonly number: number;
     readonly leaving: boolean;
     readonly running: readonly RunningTask[];
     readonly ended: readonly EndedTask[];
 }
 
-/** Tells a worker which owner it now has. */
+/** Announces a new owner to a worker. */
 export interface ClaimMessage {
     readonly shard: ShardId;
     readonly epoch: Epoch;
 }
 
-/** Renews leases, acknowledges ends and asks for the next report. */
+/** Renews leases, acknowledges ended attempts and requests the next report. */
 export interface HeartbeatMessage extends ClaimMessage {
-    /** The number of the last report. */
+    /** Number of the last report. */
     readonly number: number;
     readonly renewals: readonly TaskAttempt[];
     readonly acknowledged: readonly TaskAttempt[];
-    /** How long a renewed lease runs from the issue of `number`. */
+    /** Duration of renewed leases, from the issue of `number`. */
     readonly lease: Milliseconds;
-    /** How long the worker may hold the answer back while nothing ends. */
+    /** How long the worker may delay its answer while no task ends. */
     readonly wait: Milliseconds;
 }
 
-/** Starts one attempt. */
+/** Requests the start of an attempt. */
 export interface StartMessage extends ClaimMessage, TaskAttempt {
     readonly number: number;
-    /** Refused when it arrives later than this after `number` was issued. */
+    /** The worker refuses the start when it arrives later than this after the issue of `number`. */
     readonly latestStart: Milliseconds;
     readonly lease: Milliseconds;
-    /** What the worker is told to enforce. */
+    /** Resources granted to the task, which the worker enforces. */
     readonly grant: Resources;
     readonly payload: unknown;
     readonly checkpoint?: string;
@@ -77,23 +77,23 @@
     readonly serves: boolean;
 }
 
-/** How a running task is to be ended. */
+/** How to end a running task. */
 export enum StopMode {
     Stop = "stop",
     Checkpoint = "checkpoint",
 }
 
-/** Ends one attempt. */
+/** Requests the end of an attempt. */
 export interface StopMessage extends ClaimMessage, TaskAttempt {
     readonly mode: StopMode;
 }
 
-/** Limits the processors of one attempt. */
+/** Limits the processors that an attempt may use. */
 export interface ThrottleMessage extends ClaimMessage, TaskAttempt {
     readonly processorThousandths: number;
 }
 
-/** Why a worker refused a message. A refused start was not run and will not be. */
+/** Why a worker refused a message. A task whose start was refused has not run and will not run. */
 export enum WorkerRefusal {
     OldEpoch = "old-epoch",
     OldNumber = "old-number",
@@ -102,25 +102,25 @@
     NoRoom = "no-room",
 }
 
-/** The worker's answer to a message that it may refuse. */
+/** A worker's answer to a message that it may refuse. */
 export type WorkerAnswer<Value> =
     | { readonly kind: "accepted"; readonly value: Value; }
     | { readonly kind: "refused"; readonly refusal: WorkerRefusal; };
 
-/** Thrown when a worker gave no answer: the message may or may not have arrived. */
+/** Thrown when a worker did not answer. The message may or may not have arrived. */
 export class WorkerUnreachableError extends Error {
     override readonly name = "WorkerUnreachableError";
 }
 
-/** Calls of one worker. Each rejects with {@link WorkerUnreachableError} when no answer came. */
+/** Client of one worker. All calls reject with {@link WorkerUnreachableError} when they are not answered. */
 export interface WorkerClient {
-    /** Raises the epoch at the worker and reads what it runs. */
+    /** Raises the epoch at the worker and returns its state. */
     claim(message: ClaimMessage, signal: AbortSignal): Promise<WorkerAnswer<WorkerReport>>;
     heartbeat(message: HeartbeatMessage, signal: AbortSignal): Promise<WorkerAnswer<WorkerReport>>;
-    /** Starts a task; a copy of a start that was accepted is accepted again without effect. */
+    /** Starts a task. Idempotent: a copy of an accepted start is accepted again without effect. */
     start(message: StartMessage, signal: AbortSignal): Promise<WorkerAnswer<RunningTask>>;
-    /** Asks for the end of a task; the end itself comes with a report. */
+    /** Requests the end of a task. The end itself arrives with a later report. */
     stop(message: StopMessage, signal: AbortSignal): Promise<WorkerAnswer<boolean>>;
-    /** Limits a task that uses more than it was granted. */
+    /** Throttles a task that uses more processors than granted. */
     throttle(message: ThrottleMessage, signal: AbortSignal): Promise<WorkerAnswer<boolean>>;
 }
