--- a/packages/cell/src/upkeep/wave-planner.ts
+++ b/packages/cell/src/upkeep/wave-planner.ts
@@ -12,7 +12,7 @@
     /** Runs that are not over. */
     readonly runs: number;
     /** Whether its loss would take more tasks that last away than their steps allow. */
-    readonly holdsNeeded: boolean;
+    readonly isNeeded: boolean;
 }
 
 /** What the planner asks for. */
@@ -53,7 +53,7 @@
 }
 
 /** Share of a wave's time after which VMs go down even if work runs there. */
-const patientShare = 0.5;
+const drainShare = 0.5;
 /** Added to the time a VM is down: the platform's list may be a little old. In milliseconds. */
 const upkeepMargin: Milliseconds = 500;
 
@@ -91,14 +91,14 @@
     }
 
     /** Takes the platform's list in. */
-    takeList(entries: readonly VmEntry[]): void {
+    applyList(entries: readonly VmEntry[]): void {
         this.#vms = new Map(entries.map(entry => [entry.vm, entry]));
-        this.#waves.forEach(wave => wave.definition.vms.forEach(vm => this.#follow(wave, vm)));
+        this.#waves.forEach(wave => wave.definition.vms.forEach(vm => this.#updateVm(wave, vm)));
     }
 
     /** An order is given. Until it is refused, or seen not to have been carried out, its VM counts as down. */
     noteOrdered(wave: number, vm: VmId): void {
-        this.#waves.get(wave)?.begun.set(vm, this.#orderNow(false));
+        this.#waves.get(wave)?.begun.set(vm, this.#newOrder(false));
     }
 
     /** An order was carried out. */
@@ -158,23 +158,23 @@
         if (known === undefined || known.runs === 0) {
             return true;
         }
-        return !known.holdsNeeded && this.options.now() > wave.since + this.#patience(wave);
+        return !known.isNeeded && this.options.now() > wave.since + this.#maxDrainTime(wave);
     }
 
     /** How long VMs may wait for their work to end: the rest of the wave's time is needed for the upkeep itself. */
-    #patience({ definition, begun }: Wave): Milliseconds {
+    #maxDrainTime({ definition, begun }: Wave): Milliseconds {
         const rounds = Math.ceil((definition.vms.length - begun.size) / Math.max(1, definition.mostDown));
         const needed = rounds * (this.options.upkeepTime + upkeepMargin);
         const elapsedShare = begun.size / Math.max(1, definition.vms.length);
-        return Math.min(definition.within * (patientShare + elapsedShare), definition.within - needed);
+        return Math.min(definition.within * (drainShare + elapsedShare), definition.within - needed);
     }
 
-    #orderNow(isConfirmed: boolean): Order {
+    #newOrder(isConfirmed: boolean): Order {
         return { at: this.options.now(), isConfirmed };
     }
 
     /** Follows a VM through its upkeep: it is finished once it is up again after it was down, or is no longer there. */
-    #follow(wave: Wave, vm: VmId): void {
+    #updateVm(wave: Wave, vm: VmId): void {
         const entry = this.#vms.get(vm);
         const order = wave.begun.get(vm);
         if (entry === undefined) {
@@ -183,7 +183,7 @@
         }
         if (entry.state === VmCondition.Upkeep) {
             // Also when an earlier owner began it.
-            wave.begun.set(vm, { ...order ?? this.#orderNow(true), isConfirmed: true });
+            wave.begun.set(vm, { ...order ?? this.#newOrder(true), isConfirmed: true });
             wave.seenDown.add(vm);
             return;
         }
--- a/packages/cell/src/watching/health-watch.ts
+++ b/packages/cell/src/watching/health-watch.ts
@@ -2,7 +2,13 @@
 import { logEvents, WorkerHealth } from "@pebbledale/core";
 import type { CellContext, Job, Step, TaskRun, WorkerState } from "../state/index.js";
 import { RunEnd } from "../task-worker/index.js";
-import { firstQuarantine, probationLimit, quarantineDoublings, quarantineShare, workerLimits } from "./constants.js";
+import {
+    idleProbationTime,
+    initialQuarantine,
+    maxQuarantineDoublings,
+    maxQuarantinedShare,
+    workerHealthLimits,
+} from "./constants.js";
 
 /** Added to the cost of a worker whose last outcomes hold a failure that is not its job's own. */
 const suspectCost = 20;
@@ -10,8 +16,8 @@
 const failedBeforeCost = 500;
 
 /** See the module's comment. */
-export class HealthWatch {
-    readonly #health = new WorkerHealth(workerLimits);
+export class HealthMonitor {
+    readonly #health = new WorkerHealth(workerHealthLimits);
 
     constructor(private readonly context: CellContext) {}
 
@@ -24,9 +30,9 @@
         }
         if (end === RunEnd.Done) {
             worker.isOnProbation = false;
-            this.#health.noteSuccess(worker.id, id);
+            this.#health.recordSuccess(worker.id, id);
         }
-        else if (end === RunEnd.Failed && this.#health.noteFailure(worker.id, id)) {
+        else if (end === RunEnd.Failed && this.#health.recordFailure(worker.id, id)) {
             this.#quarantine(worker);
         }
     }
@@ -35,7 +41,7 @@
     tick(): void {
         const now = this.context.now();
         for (const worker of this.context.workers.values()) {
-            const isUntried = worker.runs.size === 0 && now > worker.quarantinedUntil + probationLimit;
+            const isUntried = worker.runs.size === 0 && now > worker.quarantinedUntil + idleProbationTime;
             if (worker.isOnProbation && isUntried) {
                 worker.isOnProbation = false;
                 this.context.options.log.log(logEvents.workerTrusted, { worker: worker.id });
@@ -67,11 +73,11 @@
         const now = this.context.now();
         const all = [...this.context.workers.values()];
         const quarantined = all.filter(other => other.quarantinedUntil > now).length;
-        if (quarantined + 1 > all.length * quarantineShare) {
+        if (quarantined + 1 > all.length * maxQuarantinedShare) {
             return;
         }
         const count = this.#health.beginQuarantine(worker.id);
-        const duration = firstQuarantine * 2 ** Math.min(count - 1, quarantineDoublings);
+        const duration = initialQuarantine * 2 ** Math.min(count - 1, maxQuarantineDoublings);
         worker.quarantinedUntil = now + duration;
         worker.isOnProbation = true;
         this.context.options.log.log(logEvents.workerQuarantined, { worker: worker.id, count, duration });
--- a/packages/cell/src/watching/progress-watch.ts
+++ b/packages/cell/src/watching/progress-watch.ts
@@ -7,14 +7,14 @@
 import { logEvents, type Milliseconds } from "@pebbledale/core";
 import type { CellContext, Step, TaskRun, WorkerState } from "../state/index.js";
 import type { WorkerRun } from "../task-worker/index.js";
-import { slowFor, slowShare } from "./constants.js";
-import { middleOf } from "./middle.js";
-import { paceOfDone, type RunPace, sampleRun } from "./run-paces.js";
-import { findSpeed, isSlow, type SpeedFinding, type StepSamples } from "./slowness.js";
+import { maxSlowShare, slowDuration } from "./constants.js";
+import { medianOf } from "./middle.js";
+import { paceOfCompleted, type RunPace, sampleRun } from "./run-paces.js";
+import { assessSpeed, isSlow, type SpeedFinding, type StepSamples } from "./slowness.js";
 import { StepPaces } from "./step-paces.js";
 
 /** See the module's comment. */
-export class ProgressWatch {
+export class ProgressMonitor {
     readonly #paces = new StepPaces();
 
     constructor(private readonly context: CellContext) {}
@@ -30,8 +30,8 @@
                 samples.set(step, [...samples.get(step) ?? [], sample]);
             }
         }
-        const finding = findSpeed([...samples].map(([step, paces]) => this.#samplesOf(worker, step, paces)));
-        samples.forEach((paces, step) => this.#paces.note(step, worker.id, middleOf(paces.map(({ pace }) => pace))));
+        const finding = assessSpeed([...samples].map(([step, paces]) => this.#samplesOf(worker, step, paces)));
+        samples.forEach((paces, step) => this.#paces.note(step, worker.id, medianOf(paces.map(({ pace }) => pace))));
         if (finding !== undefined) {
             this.#judge(worker, finding, now);
         }
@@ -39,14 +39,14 @@
 
     /** Takes in that a run has ended well: its time tells of its step's tasks elsewhere. */
     noteDone(run: TaskRun): void {
-        const pace = paceOfDone(run, this.context.now());
+        const pace = paceOfCompleted(run, this.context.now());
         if (pace !== undefined) {
             this.#paces.note(run.task.step, run.worker.id, pace);
         }
     }
 
     /** Whether runs of a worker are worth moving: it is slow, or it does not answer. */
-    isHindered(worker: WorkerState, now: Milliseconds): boolean {
+    isDegraded(worker: WorkerState, now: Milliseconds): boolean {
         return worker.slowUntil > now || worker.silentSince !== undefined;
     }
 
@@ -57,9 +57,11 @@
             // Members of a gang may hold each other up.
             changes: step.definition.isGang
                 ? []
-                : paces.flatMap(({ pace, formerPace }) => formerPace === undefined ? [] : [pace - formerPace]),
+                : paces.flatMap(({ pace, earlierPace: formerPace }) =>
+                    formerPace === undefined ? [] : [pace - formerPace]
+                ),
             roundingVariance: Math.max(...paces.map(({ roundingVariance }) => roundingVariance)),
-            expected: this.#paces.expectedOf(step, worker.id),
+            expected: this.#paces.expectedPaceOf(step, worker.id),
         };
     }
 
@@ -68,26 +70,26 @@
         if (!isSlow(finding)) {
             worker.slowUntil = 0;
             if (wasSlow) {
-                this.context.options.log.log(logEvents.workerFast, { worker: worker.id, ...told(finding) });
+                this.context.options.log.log(logEvents.workerFast, { worker: worker.id, ...logFieldsOf(finding) });
             }
             return;
         }
         const all = [...this.context.workers.values()];
         const slow = all.filter(other => other !== worker && other.slowUntil > now).length;
-        if (slow + 1 > all.length * slowShare) {
+        if (slow + 1 > all.length * maxSlowShare) {
             // That many at once are no outliers.
             return;
         }
-        worker.slowUntil = now + slowFor;
+        worker.slowUntil = now + slowDuration;
         if (!wasSlow) {
             const { size: runs } = worker.runs;
-            this.context.options.log.log(logEvents.workerSlow, { worker: worker.id, ...told(finding), runs });
+            this.context.options.log.log(logEvents.workerSlow, { worker: worker.id, ...logFieldsOf(finding), runs });
         }
     }
 }
 
 /** A finding as log lines tell it. */
-const told = ({ ground, speed, deviations, samples }: SpeedFinding) => ({
+const logFieldsOf = ({ baseline: ground, speed, deviations, samples }: SpeedFinding) => ({
     ground,
     speed: Number(speed.toFixed(3)),
     deviations: Number(deviations.toFixed(1)),
--- a/packages/cell/src/watching/slowness.ts
+++ b/packages/cell/src/watching/slowness.ts
@@ -6,17 +6,17 @@
  * differ, and with enough certainty.
  */
 import {
-    certainDeviations,
-    fewestChangeSamples,
-    fewestJobs,
-    fewestSpeedSamples,
-    middleFactor,
+    medianDeviationFactor,
+    minChangeSamples,
+    minJobs,
+    minPeerSamples,
     runVariance,
+    slowDeviations,
     slowestSoundPace,
     slowestSteadyPace,
     steadyVariance,
 } from "./constants.js";
-import { middleOf } from "./middle.js";
+import { medianOf } from "./middle.js";
 import type { ExpectedPace } from "./step-paces.js";
 
 /** Samples of one step's runs at a worker. */
@@ -32,7 +32,7 @@
 /** What some runs tell of their worker. */
 export interface SpeedFinding {
     /** Compared with what: runs of the same steps elsewhere, or the same runs before. */
-    readonly ground: "peers" | "past";
+    readonly baseline: "peers" | "past";
     /** The worker's speed as a multiple of theirs. */
     readonly speed: number;
     /** How many standard deviations it is below the slowest sound one; negative when above. */
@@ -41,22 +41,22 @@
 }
 
 /** The finding that speaks most for a slow worker; undefined when there are too few samples. */
-export const findSpeed = (steps: readonly StepSamples[]): SpeedFinding | undefined => {
+export const assessSpeed = (steps: readonly StepSamples[]): SpeedFinding | undefined => {
     const findings = [compareWithPeers(steps), compareWithPast(steps)].filter(finding => finding !== undefined);
     return findings.sort((left, right) => right.deviations - left.deviations).at(0);
 };
 
 /** Whether a finding says that its worker is slow. */
-export const isSlow = ({ deviations }: SpeedFinding): boolean => deviations >= certainDeviations;
+export const isSlow = ({ deviations }: SpeedFinding): boolean => deviations >= slowDeviations;
 
 const compareWithPeers = (steps: readonly StepSamples[]): SpeedFinding | undefined => {
     const known = steps.filter(({ expected }) => expected.peers > 0);
     const samples = countOf(known.map(({ paces }) => paces));
-    if (samples < fewestSpeedSamples) {
+    if (samples < minPeerSamples) {
         return undefined;
     }
     const differences = known.map(({ paces, expected, roundingVariance }) => ({
-        value: middleOf(paces) - expected.pace,
+        value: medianOf(paces) - expected.pace,
         variance: expected.variance + (runVariance + roundingVariance) / paces.length,
     }));
     return findingOf("peers", differences, slowestSoundPace, samples);
@@ -66,11 +66,11 @@
     const known = steps.filter(({ changes }) => changes.length > 0);
     const samples = countOf(known.map(({ changes }) => changes));
     const jobs = new Set(known.map(({ job }) => job)).size;
-    if (samples < fewestChangeSamples && jobs < fewestJobs) {
+    if (samples < minChangeSamples && jobs < minJobs) {
         return undefined;
     }
     const differences = known.map(({ changes, roundingVariance }) => ({
-        value: middleOf(changes),
+        value: medianOf(changes),
         variance: (steadyVariance + 2 * roundingVariance) / changes.length,
     }));
     return findingOf("past", differences, slowestSteadyPace, samples);
@@ -82,19 +82,19 @@
 }
 
 const findingOf = (
-    ground: SpeedFinding["ground"],
+    ground: SpeedFinding["baseline"],
     differences: readonly Difference[],
     bound: number,
     samples: number,
 ): SpeedFinding => {
-    const value = weightedMiddleOf(differences);
+    const value = weightedMedianOf(differences);
     const precision = differences.reduce((sum, { variance }) => sum + 1 / variance, 0);
-    const deviation = (differences.length > 1 ? middleFactor : 1) / Math.sqrt(precision);
-    return { ground, speed: Math.exp(value), deviations: (bound - value) / deviation, samples };
+    const deviation = (differences.length > 1 ? medianDeviationFactor : 1) / Math.sqrt(precision);
+    return { baseline: ground, speed: Math.exp(value), deviations: (bound - value) / deviation, samples };
 };
 
 /** The least value that more than half of the weight is not above. */
-const weightedMiddleOf = (differences: readonly Difference[]): number => {
+const weightedMedianOf = (differences: readonly Difference[]): number => {
     const sorted = [...differences].sort((left, right) => left.value - right.value);
     let left = sorted.reduce((sum, { variance }) => sum + 1 / variance, 0) / 2;
     for (const { value, variance } of sorted) {
--- a/packages/cell/src/watching/step-paces.ts
+++ b/packages/cell/src/watching/step-paces.ts
@@ -4,8 +4,8 @@
  */
 import type { WorkerId } from "@pebbledale/core";
 import type { Step } from "../state/index.js";
-import { estimateVariance, mostPeers, peerVariance } from "./constants.js";
-import { middleOf } from "./middle.js";
+import { estimateVariance, maxPeers, peerVariance } from "./constants.js";
+import { medianOf } from "./middle.js";
 
 /** What the pace of a step's tasks is expected to be on a sound worker. */
 export interface ExpectedPace {
@@ -28,14 +28,14 @@
         const paces = this.#paces.get(step) ?? new Map<WorkerId, number>();
         this.#paces.set(step, paces);
         const former = paces.get(worker);
-        if (former === undefined && paces.size >= mostPeers) {
+        if (former === undefined && paces.size >= maxPeers) {
             return;
         }
         paces.set(worker, former === undefined ? pace : former + (pace - former) * newestWeight);
     }
 
     /** From the other workers of a step, and from the estimate as far as these are few. */
-    expectedOf(step: Step, worker: WorkerId): ExpectedPace {
+    expectedPaceOf(step: Step, worker: WorkerId): ExpectedPace {
         const others = [...this.#paces.get(step) ?? []].filter(([id]) => id !== worker).map(([, pace]) => pace);
         const peers = others.length;
         if (peers === 0) {
@@ -43,6 +43,6 @@
         }
         const precisionOfPeers = peers / peerVariance;
         const precision = precisionOfPeers + 1 / estimateVariance;
-        return { pace: middleOf(others) * precisionOfPeers / precision, variance: 1 / precision, peers };
+        return { pace: medianOf(others) * precisionOfPeers / precision, variance: 1 / precision, peers };
     }
 }
--- a/packages/cell/src/worker-directory/index.ts
+++ b/packages/cell/src/worker-directory/index.ts
@@ -1,5 +1,5 @@
 /** Workers as they record themselves in the platform's store. */
-import type { Milliseconds, ServiceName, WorkerId, WorkerLife } from "@pebbledale/core";
+import type { Milliseconds, ServiceName, WorkerId, WorkerIncarnation } from "@pebbledale/core";
 import type { TaskSize } from "../task-size/index.js";
 import type { VmId } from "../upkeep/index.js";
 
@@ -7,7 +7,7 @@
 export interface WorkerEntry {
     readonly worker: WorkerId;
     /** Left out where the platform gives a restarted worker another id. */
-    readonly life?: WorkerLife;
+    readonly life?: WorkerIncarnation;
     /** IP number and port. */
     readonly address: string;
     readonly service: ServiceName;
--- a/packages/cell/src/yielding/constants.ts
+++ b/packages/cell/src/yielding/constants.ts
@@ -1,7 +1,7 @@
 /** Times and shares of runs that give way. Times are in milliseconds. */
 /** Least part of a run, in percent, that must be left for it to be stopped: with less it is about to end. */
-export const leastPercentLeft = 15;
+export const minPercentLeft = 15;
 /** A run gives way only if its job has this much time to spare, in milliseconds: to be stopped, placed again, restored. */
-export const leastSlackToYield = 2_500;
+export const minSlackToPreempt = 2_500;
 /** A task gives way at most this often. */
-export const mostPreemptions = 3;
+export const maxPreemptions = 3;
--- a/packages/cell/src/yielding/run-stopper.ts
+++ b/packages/cell/src/yielding/run-stopper.ts
@@ -1,14 +1,14 @@
 /** Stops runs so that more urgent work has their room. */
 import { logEvents } from "@pebbledale/core";
-import type { RunBook } from "../runs/index.js";
+import type { RunLifecycle } from "../runs/index.js";
 import type { CellContext, TaskRun } from "../state/index.js";
 
 /** See the module's comment. */
-export class RunStopper {
-    constructor(private readonly context: CellContext, private readonly runs: RunBook) {}
+export class RunPreemptor {
+    constructor(private readonly context: CellContext, private readonly runs: RunLifecycle) {}
 
     /** Stops a run. `by`: what needs its room, for the log. */
-    stop(run: TaskRun, by: string): void {
+    preempt(run: TaskRun, by: string): void {
         run.task.preemptions++;
         this.runs.stop(run, "more urgent work needs its room");
         this.context.options.log.log(logEvents.runPreempted, {
--- a/packages/cell/src/yielding/yield-policy.ts
+++ b/packages/cell/src/yielding/yield-policy.ts
@@ -1,41 +1,42 @@
 /** Decides which runs give way to more urgent work. */
 import type { Milliseconds } from "@pebbledale/core";
-import { compareRanks, hasSlack, rank, type RankedStep } from "../choosing/index.js";
+import { compareRanks, hasSlack, type RankedStep, rankStep } from "../choosing/index.js";
 import { type CellContext, RunPhase, type Step, type TaskRun } from "../state/index.js";
-import { leastPercentLeft, leastSlackToYield, mostPreemptions } from "./constants.js";
+import { maxPreemptions, minPercentLeft, minSlackToPreempt } from "./constants.js";
 
 /** Decides which runs give way to which steps. */
-export interface YieldPolicy {
+export interface PreemptionPolicy {
     /** Whether a run may be stopped to make room for tasks of a step. */
-    yieldsTo(run: TaskRun, step: Step, now: Milliseconds): boolean;
+    mayPreemptFor(run: TaskRun, step: Step, now: Milliseconds): boolean;
     /** Whether a run may be stopped for work of a priority that is still to come: its job has ample time. */
-    yieldsToPriority(run: TaskRun, priority: number, now: Milliseconds): boolean;
+    mayPreemptForPriority(run: TaskRun, priority: number, now: Milliseconds): boolean;
 }
 
 /** Runs of less urgent queues give way if their progress is saved and their jobs can still be on time. */
-export class SavedProgressYields implements YieldPolicy {
+export class SavedProgressPreemption implements PreemptionPolicy {
     constructor(private readonly context: CellContext) {}
 
-    /** See {@link YieldPolicy.yieldsTo}. */
-    yieldsTo(run: TaskRun, step: Step, now: Milliseconds): boolean {
-        return mayGiveWay(run, step.job.terms.priority) && this.#hasTime(run, step, now);
+    /** See {@link PreemptionPolicy.mayPreemptFor}. */
+    mayPreemptFor(run: TaskRun, step: Step, now: Milliseconds): boolean {
+        return isPreemptibleBy(run, step.job.terms.priority) && this.#isOutrankedInTime(run, step, now);
     }
 
-    /** See {@link YieldPolicy.yieldsToPriority}. */
-    yieldsToPriority(run: TaskRun, priority: number, now: Milliseconds): boolean {
+    /** See {@link PreemptionPolicy.mayPreemptForPriority}. */
+    mayPreemptForPriority(run: TaskRun, priority: number, now: Milliseconds): boolean {
         const { step } = run.task;
-        return mayGiveWay(run, priority) && hasSlack(step, slackOf(run, rank(this.context, step, now), now));
+        return isPreemptibleBy(run, priority) && hasSlack(step, slackOf(run, rankStep(this.context, step, now), now));
     }
 
     /** Whether the step goes first, and the run's job is on time all the same. */
-    #hasTime(run: TaskRun, step: Step, now: Milliseconds): boolean {
-        const victim = rank(this.context, run.task.step, now);
-        return slackOf(run, victim, now) > leastSlackToYield && compareRanks(rank(this.context, step, now), victim) < 0;
+    #isOutrankedInTime(run: TaskRun, step: Step, now: Milliseconds): boolean {
+        const victim = rankStep(this.context, run.task.step, now);
+        return slackOf(run, victim, now) > minSlackToPreempt
+            && compareRanks(rankStep(this.context, step, now), victim) < 0;
     }
 }
 
-const mayGiveWay = (run: TaskRun, priority: number): boolean =>
-    run.task.step.job.terms.priority > priority && isCheapToStop(run) && run.task.preemptions < mostPreemptions;
+const isPreemptibleBy = (run: TaskRun, priority: number): boolean =>
+    run.task.step.job.terms.priority > priority && isCheapToStop(run) && run.task.preemptions < maxPreemptions;
 
 /** How much time a run's job has to spare, were the run stopped now. */
 const slackOf = ({ task, percent }: TaskRun, { latestStart }: RankedStep, now: Milliseconds): Milliseconds =>
@@ -45,6 +46,6 @@
     definition.savesProgress
     && !definition.isGang
     && !definition.isLasting
-    && phase === RunPhase.AtWork
+    && phase === RunPhase.Running
     && stopReason === undefined
-    && percent <= 100 - leastPercentLeft;
+    && percent <= 100 - minPercentLeft;
--- a/packages/cell/test/advising/advice-dispatcher.test.ts
+++ b/packages/cell/test/advising/advice-dispatcher.test.ts
@@ -40,7 +40,7 @@
         ask("slow", 800);
         ask("next", 800);
         expect(asked.map(entry => entry.step)).toEqual(["slow"]);
-        dispatcher.answered(asked[0].question);
+        dispatcher.complete(asked[0].question);
         expect(asked.map(entry => entry.step)).toEqual(["slow", "next"]);
     });
 
@@ -50,7 +50,7 @@
         dispatcher.leave(asked[0].vm);
         expect(asked.length).toEqual(2);
         expect(asked[1].vm === asked[0].vm).toEqual(false);
-        expect(dispatcher.answered(asked[1].question)?.step).toEqual("step");
+        expect(dispatcher.complete(asked[1].question)?.step).toEqual("step");
     });
 
     it("wait in the order of their urgency", () => {
@@ -58,7 +58,7 @@
         ask("first", 800, 2);
         ask("patient", 800, 2);
         ask("urgent", 800, 0);
-        dispatcher.answered(asked[0].question);
+        dispatcher.complete(asked[0].question);
         expect(asked[1].step).toEqual("urgent");
     });
 
@@ -69,7 +69,7 @@
         for (let next = 0; next < 10 && !asked.some(entry => entry.step === "patient"); next++) {
             ask(`urgent-${next}`, 800, 1);
             clock.advance(800);
-            dispatcher.answered(asked.at(-1)!.question);
+            dispatcher.complete(asked.at(-1)!.question);
         }
         expect(asked.some(entry => entry.step === "patient")).toEqual(true);
     });
@@ -78,7 +78,7 @@
         const { dispatcher, asked, ask, unwanted, dropped } = make("a");
         ["first", "cancelled", "next"].forEach(step => ask(step, 800));
         unwanted.add("cancelled");
-        dispatcher.answered(asked[0].question);
+        dispatcher.complete(asked[0].question);
         expect(asked.map(entry => entry.step)).toEqual(["first", "next"]);
         expect(dropped).toEqual(["cancelled"]);
     });
@@ -125,7 +125,7 @@
         const { dispatcher, asked } = makeMany(4);
         dispatcher.ask(question(240));
         expect(asked.map(({ workers }) => workers)).toEqual([100, 100]);
-        expect(dispatcher.answered(asked[0].question)?.workers.length).toEqual(100);
+        expect(dispatcher.complete(asked[0].question)?.workers.length).toEqual(100);
         expect(asked.map(({ workers }) => workers)).toEqual([100, 100, 40]);
     });
 
@@ -136,7 +136,7 @@
         dispatcher.leave(asked[0].vm);
         expect(asked.length).toEqual(parts + 1);
         expect(asked.at(-1)?.workers).toEqual(asked[0].workers);
-        expect(dispatcher.answered(asked[0].question)).toEqual(undefined);
+        expect(dispatcher.complete(asked[0].question)).toEqual(undefined);
     });
 });
 
@@ -157,7 +157,7 @@
         expect(asked.length).toEqual(160);
         looks = 0;
         for (let answered = 0; answered < 100; answered++) {
-            dispatcher.answered(asked[answered]);
+            dispatcher.complete(asked[answered]);
         }
         expect(asked.length).toEqual(260);
         expect(looks).toEqual(100);
--- a/packages/cell/test/crashes/crash-fuzz.test.ts
+++ b/packages/cell/test/crashes/crash-fuzz.test.ts
@@ -2,8 +2,8 @@
 import { jobId, logEvents, SeededRandom, type TaskAddress } from "@pebbledale/core";
 import { expect } from "earl";
 import { describe, it } from "node:test";
-import { CellJobState, type JobDefinition, placeOf } from "../../src/index.js";
-import { type Conduct, CrashingCell, makeJob, makeStep } from "../support/index.js";
+import { CellJobState, type JobDefinition, parseTaskAddress } from "../../src/index.js";
+import { CrashingCell, makeJob, makeStep, type TaskBehaviour } from "../support/index.js";
 
 /** Seeds 1 to so many; CRASH_WORLDS=1000 plays the long run by hand, some two minutes. */
 const worlds = Number(process.env["CRASH_WORLDS"] ?? 150);
@@ -21,7 +21,7 @@
 class CrashWorld {
     readonly cell: CrashingCell;
     readonly #random: SeededRandom;
-    readonly #conducts = new Map<TaskAddress, Conduct>();
+    readonly #conducts = new Map<TaskAddress, TaskBehaviour>();
     readonly #jobs: JobDefinition[] = [];
     readonly #guilty = new Set<string>();
     readonly #broken: string[] = [];
@@ -29,7 +29,7 @@
     constructor(seed: number) {
         this.#random = new SeededRandom(seed);
         this.cell = new CrashingCell(workers, task => this.#conductOf(task));
-        this.cell.losesAnswer = () => this.#happens(0.03);
+        this.cell.losesStartAnswer = () => this.#happens(0.03);
     }
 
     /** Plays it; returns what was broken. */
@@ -39,10 +39,10 @@
                 this.#submit();
             }
             this.#strike();
-            this.cell.pass(stepTime);
+            this.cell.advance(stepTime);
         }
         for (let rested = 0; rested < longestRest && !this.#isOver(); rested += 1_000) {
-            this.cell.pass(1_000);
+            this.cell.advance(1_000);
         }
         this.#check();
         return this.#broken;
@@ -81,16 +81,16 @@
         }
     }
 
-    #conductOf(task: TaskAddress): Conduct {
+    #conductOf(task: TaskAddress): TaskBehaviour {
         const known = this.#conducts.get(task);
         if (known !== undefined) {
             return known;
         }
-        const { job, index } = placeOf(task)!;
+        const { job, index } = parseTaskAddress(task)!;
         const crashesAfter = this.#guilty.has(job) && index === 0 ? this.#crashTime() : undefined;
         const { taskCount, isGang } = this.#jobs.find(other => other.job === job)!.steps[0];
-        const takes = Math.max(200 + this.#below(4_000), (crashesAfter ?? 0) + 200);
-        const conduct = { crashesAfter, takes, ...(isGang ? { gangSize: taskCount } : {}) };
+        const duration = Math.max(200 + this.#below(4_000), (crashesAfter ?? 0) + 200);
+        const conduct = { crashesAfter, duration: duration, ...(isGang ? { gangSize: taskCount } : {}) };
         this.#conducts.set(task, conduct);
         return conduct;
     }
--- a/packages/cell/test/crashes/judgement.test.ts
+++ b/packages/cell/test/crashes/judgement.test.ts
@@ -2,11 +2,11 @@
 import { expect } from "earl";
 import { describe, it } from "node:test";
 import { CellJobState } from "../../src/index.js";
-import { type Conduct, CrashingCell, makeJob, makeStep } from "../support/index.js";
+import { CrashingCell, makeJob, makeStep, type TaskBehaviour } from "../support/index.js";
 
-const innocent: Conduct = { crashesAfter: undefined, takes: 2_000 };
-const conductOf = (crashesAfter: Milliseconds) => (task: TaskAddress): Conduct =>
-    task.startsWith("bad") ? { crashesAfter, takes: crashesAfter + 1_000 } : innocent;
+const innocent: TaskBehaviour = { crashesAfter: undefined, duration: 2_000 };
+const conductOf = (crashesAfter: Milliseconds) => (task: TaskAddress): TaskBehaviour =>
+    task.startsWith("bad") ? { crashesAfter, duration: crashesAfter + 1_000 } : innocent;
 
 const stateOf = (cell: CrashingCell, job: string): CellJobState | undefined => cell.driver.cell.stateOf(jobId(job));
 
@@ -14,10 +14,10 @@
     it("is tried with nothing else started beside it", () => {
         const cell = new CrashingCell(8, conductOf(10));
         cell.driver.cell.submit(makeJob("bad", [makeStep()]));
-        cell.pass(3_500);
+        cell.advance(3_500);
         const [, trial] = cell.startsOf("bad/0/0/0");
         cell.driver.cell.submit(makeJob("good", [makeStep({ taskCount: 16 })]));
-        cell.pass(100);
+        cell.advance(100);
         const beside = cell.starts.filter(start => start.task.startsWith("good") && start.worker === trial.worker);
         expect(beside).toEqual([]);
     });
@@ -26,7 +26,7 @@
         const cell = new CrashingCell(2, conductOf(10));
         cell.driver.cell.submit(makeJob("good", [makeStep({ taskCount: 6 })]));
         cell.driver.cell.submit(makeJob("bad", [makeStep({ taskCount: 6 })]));
-        cell.pass(60_000);
+        cell.advance(60_000);
         expect(stateOf(cell, "good")).toEqual(CellJobState.Completed);
         expect(stateOf(cell, "bad")).toEqual(CellJobState.Failed);
     });
@@ -34,7 +34,7 @@
     it("is given up after five crashes when it crashes its workers in the middle of its work", () => {
         const cell = new CrashingCell(8, conductOf(1_500));
         cell.driver.cell.submit(makeJob("bad", [makeStep()]));
-        cell.pass(60_000);
+        cell.advance(60_000);
         expect(cell.startsOf("bad/0/0/0").length).toEqual(5);
         expect(stateOf(cell, "bad")).toEqual(CellJobState.Failed);
     });
@@ -43,20 +43,20 @@
         const cell = new CrashingCell(8, conductOf(10));
         cell.driver.cell.submit(makeJob("good", [makeStep()]));
         for (let cuts = 0; cuts < 6; cuts++) {
-            cell.pass(50);
+            cell.advance(50);
             const at = cell.starts.at(-1)!.worker;
             cell.cutWorker(at, 40_000);
-            cell.pass(7_000);
+            cell.advance(7_000);
         }
         expect(stateOf(cell, "good")).toEqual(CellJobState.Running);
-        cell.pass(90_000);
+        cell.advance(90_000);
         expect(stateOf(cell, "good")).toEqual(CellJobState.Completed);
     });
 
     it("is given up once for its job when word of one silent worker convicts two of its tasks", () => {
         const cell = new CrashingCell(8, conductOf(10));
         cell.driver.cell.submit(makeJob("bad", [makeStep({ taskCount: 2 })]));
-        cell.pass(40_000);
+        cell.advance(40_000);
         const ended = cell.driver.logged.filter(({ event }) => event === logEvents.jobEnded);
         expect(ended.length).toEqual(1);
         expect(cell.driver.logged.filter(({ event }) => event === logEvents.taskGivenUp).length).toEqual(1);
@@ -65,7 +65,7 @@
     it("that lasts is given up too, though it has no limit of failed runs", () => {
         const cell = new CrashingCell(8, conductOf(10));
         cell.driver.cell.submit(makeJob("bad", [makeStep({ isLasting: true })]));
-        cell.pass(60_000);
+        cell.advance(60_000);
         expect(cell.startsOf("bad/0/0/0").length).toEqual(3);
         expect(stateOf(cell, "bad")).toEqual(CellJobState.Failed);
     });
@@ -74,7 +74,7 @@
         const cell = new CrashingCell(8, conductOf(10));
         const timetable = { occurrences: 20, firstAt: cell.clock.now().getTime(), interval: 4_000 };
         cell.driver.cell.submit(makeJob("bad", [makeStep()], { timetable }));
-        cell.pass(80_000);
+        cell.advance(80_000);
         expect(cell.starts.filter(start => start.task.startsWith("bad")).length <= 5).toEqual(true);
         expect(stateOf(cell, "bad")).toEqual(CellJobState.Failed);
     });
@@ -87,7 +87,7 @@
         }
         let mostDown = 0;
         for (let waited = 0; waited < 120_000; waited += 50) {
-            cell.pass(50);
+            cell.advance(50);
             const repeated = cell.crashes.filter(({ by, at, backAt }) =>
                 backAt > cell.clock.monotonic()
                 && cell.crashes.some(other => other.tasks.includes(by!) && other.at < at)
--- a/packages/cell/test/crashes/silence-log.test.ts
+++ b/packages/cell/test/crashes/silence-log.test.ts
@@ -20,7 +20,7 @@
     driver.confirm(...starts);
     driver.clock.advance(1_000);
     own.forEach(({ worker }) =>
-        driver.look(
+        driver.poll(
             worker,
             starts.filter(start => start.worker === worker).map(start => ({
                 ...start,
@@ -31,8 +31,8 @@
         )
     );
     const lost = own.slice(0, silent).map(({ worker }) => worker);
-    lost.forEach(worker => driver.cell.takeSilence(worker, driver.clock.monotonic()));
-    lost.forEach(worker => driver.cell.takeOtherLife(worker));
+    lost.forEach(worker => driver.cell.applySilence(worker, driver.clock.monotonic()));
+    lost.forEach(worker => driver.cell.applyReplacement(worker));
     return driver.logged.filter(({ fields }) => fields["cause"] === "crashed").map(({ fields }) => fields["isShared"]);
 };
 
--- a/packages/cell/test/crashes/tasks-that-crash-workers.test.ts
+++ b/packages/cell/test/crashes/tasks-that-crash-workers.test.ts
@@ -9,10 +9,10 @@
 import { expect } from "earl";
 import { describe, it } from "node:test";
 import { CellJobState } from "../../src/index.js";
-import { type Conduct, CrashingCell, makeJob, makeStep } from "../support/index.js";
+import { CrashingCell, makeJob, makeStep, type TaskBehaviour } from "../support/index.js";
 
-const atFault: Conduct = { crashesAfter: 10, takes: 640 };
-const innocent: Conduct = { crashesAfter: undefined, takes: 640 };
+const atFault: TaskBehaviour = { crashesAfter: 10, duration: 640 };
+const innocent: TaskBehaviour = { crashesAfter: undefined, duration: 640 };
 /** Starts after which nothing more of a task may be started: as many workers have crashed under it. */
 const mostCrashes = 3;
 
@@ -20,7 +20,7 @@
     it("is given up after three workers, and its job is shown as failed", () => {
         const cell = new CrashingCell(33, task => task.startsWith("bad") ? atFault : innocent);
         const job = cell.driver.cell.submit(makeJob("bad", [makeStep()]))!;
-        cell.pass(120_000);
+        cell.advance(120_000);
         expect(cell.startsOf("bad/0/0/0").length).toEqual(mostCrashes);
         expect(cell.driver.cell.stateOf(job.id)).toEqual(CellJobState.Failed);
     });
@@ -29,7 +29,7 @@
         const cell = new CrashingCell(33, task => task.startsWith("bad") ? atFault : innocent);
         cell.driver.cell.submit(makeJob("bad", [makeStep()]));
         for (let owner = 0; owner < 30; owner++) {
-            cell.pass(4_300);
+            cell.advance(4_300);
             cell.takeOver();
         }
         expect(cell.startsOf("bad/0/0/0").length <= mostCrashes + 2).toEqual(true);
--- a/packages/cell/test/headroom/urgent-stops.test.ts
+++ b/packages/cell/test/headroom/urgent-stops.test.ts
@@ -51,7 +51,7 @@
 ): void =>
     workers.forEach(({ worker }) => {
         const here = starts.filter(start => start.worker === worker);
-        driver.look(worker, here.map(start => running(start, percentOf(start))), [], false);
+        driver.poll(worker, here.map(start => running(start, percentOf(start))), [], false);
     });
 
 const runOf = (starts: readonly StartCommand[], task: string): StartCommand =>
@@ -104,7 +104,7 @@
         const { driver } = filled();
         driver.cell.submit(jobOf("urgent", "urgent"));
         const [first] = driver.run().stops;
-        driver.cell.takeSilence(first.worker, driver.clock.monotonic() + 6_000);
+        driver.cell.applySilence(first.worker, driver.clock.monotonic() + 6_000);
         const { stops } = driver.run();
         expect(stops.length).toEqual(1);
         expect(stops[0].worker).not.toEqual(first.worker);
@@ -115,14 +115,14 @@
         driver.cell.submit(jobOf("urgent", "urgent"));
         const { stops: [stop] } = driver.run();
         driver.takeOver();
-        driver.cell.changeWorkers(workers, []);
+        driver.cell.updateWorkerEntries(workers, []);
         const stopped = runOf(starts, stop.task);
         for (const { worker } of workers) {
             const others = starts.filter(start => start.worker === worker && start !== stopped);
             const ends = worker === stop.worker
                 ? [driver.ended(worker, stop.task, stop.run, RunEnd.Stopped, "saved")]
                 : [];
-            driver.look(worker, others.map(start => running(start, 25)), ends);
+            driver.poll(worker, others.map(start => running(start, 25)), ends);
         }
         const output = driver.run();
         expect(output.stops).toEqual([]);
--- a/packages/cell/test/load/lost-gangs.test.ts
+++ b/packages/cell/test/load/lost-gangs.test.ts
@@ -11,13 +11,13 @@
     const { starts } = driver.run();
     driver.confirm(...starts);
     driver.clock.advance(1_000);
-    starts.forEach(start => driver.look(start.worker, [running(start, percent)], [], false));
+    starts.forEach(start => driver.poll(start.worker, [running(start, percent)], [], false));
     return driver;
 };
 
 /** What is stopped once a worker says that it leaves after a while. */
 const stopsWhenOneLeaves = (driver: CellDriver, leavesIn: number): number => {
-    driver.cell.changeWorkers([makeWorker("w1", { isDraining: true, leavesIn })], []);
+    driver.cell.updateWorkerEntries([makeWorker("w1", { isDraining: true, leavesIn })], []);
     driver.cell.tick();
     return driver.run().stops.length;
 };
--- a/packages/cell/test/load/replays.test.ts
+++ b/packages/cell/test/load/replays.test.ts
@@ -21,7 +21,7 @@
 const wideShares = (outcomes: readonly Outcome[]): readonly number[] =>
     outcomes.map(({ queues }) => queues["wide"].all.share);
 
-const expectOthersServed = ({ queues, broken }: Outcome): void => {
+const expectOthersServed = ({ queues, violations: broken }: Outcome): void => {
     expect(queues["urgent"].all.share).toBeGreaterThan(0.97);
     expect(queues["patient"].all.share).toBeGreaterThan(0.98);
     expect(broken).toEqual([]);
@@ -57,7 +57,7 @@
 describe("load of twenty organisations, each under its limit, one of which sends eight times its usual urgent jobs", () => {
     it("serves urgent jobs beside patient ones of the same organisation, and never more than a limit holds", () => {
         const outcomes = [play(sharedLoad, 1), play(sharedLoad, 2)];
-        outcomes.forEach(({ broken }) => expect(broken).toEqual([]));
+        outcomes.forEach(({ violations: broken }) => expect(broken).toEqual([]));
         expect(meanOf(outcomes.map(({ queues }) => queues["urgent"].all.share))).toBeGreaterThan(0.95);
     });
 });
@@ -66,10 +66,10 @@
     // Without trials and a limit such a task crashes one worker after the other until the end.
     it("gives each of these tasks up after three workers, nothing else, and goes on serving urgent jobs", () => {
         const outcomes = [play(crashingLoad, 1), play(crashingLoad, 2)];
-        for (const { queues, broken, mostCrashes } of outcomes) {
+        for (const { queues, violations: broken, mostCrashes } of outcomes) {
             expect(broken).toEqual([]);
             expect(mostCrashes <= 3).toEqual(true);
-            expect(queues["faulty"].all.asked > 0).toEqual(true);
+            expect(queues["faulty"].all.submitted > 0).toEqual(true);
             expect(queues["urgent"].all.share).toBeGreaterThan(0.88);
             expect(queues["patient"].all.share).toBeGreaterThan(0.9);
         }
@@ -79,7 +79,7 @@
 describe("load of twenty organisations, the largest of which sends three and a half times its usual of all for sixteen seconds", () => {
     it("serves what each is owed within 0.03 of what it has when nobody sends more than that", () => {
         const differences = [3, 4].map(seed => {
-            const alone = play({ ...hotLoad, isWithoutSurplus: true }, seed);
+            const alone = play({ ...hotLoad, excludesSurplus: true }, seed);
             return alone.total - play(hotLoad, seed).total;
         });
         expect(meanOf(differences)).toBeLessThan(0.03);
--- a/packages/cell/test/load/urgent-work.test.ts
+++ b/packages/cell/test/load/urgent-work.test.ts
@@ -10,7 +10,7 @@
     it("serves urgent jobs, also those of a burst, while patient ones are on time", () => {
         const outcomes = [play(1), play(2)];
         expect(meanOf(outcomes.map(({ queues }) => queues["urgent"].all.share))).toBeGreaterThan(0.95);
-        outcomes.forEach(({ queues, broken }) => {
+        outcomes.forEach(({ queues, violations: broken }) => {
             expect(queues["patient"].all.share).toBeGreaterThan(0.9);
             expect(broken).toEqual([]);
         });
--- a/packages/cell/test/organisations/limits.test.ts
+++ b/packages/cell/test/organisations/limits.test.ts
@@ -83,7 +83,7 @@
         const { starts } = driver.run();
         driver.confirm(...starts);
         const lapsesAt = driver.clock.monotonic() + 3_000;
-        new Set(starts.map(({ worker }) => worker)).forEach(worker => driver.cell.takeSilence(worker, lapsesAt));
+        new Set(starts.map(({ worker }) => worker)).forEach(worker => driver.cell.applySilence(worker, lapsesAt));
         driver.clock.advance(2_000);
         driver.cell.tick();
         expect(driver.run().starts).toEqual([]);
@@ -188,11 +188,11 @@
 describe("a new owner", () => {
     const names = ["w1", "w2", "w3"];
     const listAgain = (driver: CellDriver, ...others: WorkerEntry[]): void =>
-        driver.cell.listWorkers([...names.map(name => makeWorker(name)), ...others]);
+        driver.cell.replaceWorkerEntries([...names.map(name => makeWorker(name)), ...others]);
     /** Each worker answers its first look with what was started there. */
     const lookAtAll = (driver: CellDriver, starts: readonly StartCommand[]): void =>
         names.forEach(name =>
-            driver.look(name, starts.filter(({ worker }) => worker as string === name).map(start => running(start)))
+            driver.poll(name, starts.filter(({ worker }) => worker as string === name).map(start => running(start)))
         );
     const begin = (): { driver: CellDriver; starts: readonly StartCommand[]; } => {
         const driver = makeDriver(makeOrganisation("north", 4));
@@ -208,7 +208,7 @@
         const idle = makeWorker("w4");
         listAgain(driver, idle);
         driver.run();
-        driver.look("w4");
+        driver.poll("w4");
         expect(driver.run().starts).toEqual([]);
         lookAtAll(driver, starts);
         expect(driver.run().starts).toEqual([]);
@@ -234,7 +234,7 @@
         const idle = makeWorker("w4");
         listAgain(driver, idle);
         driver.run();
-        driver.look("w4");
+        driver.poll("w4");
         expect(driver.run().starts).toEqual([]);
         lookAtAll(driver, starts);
         expect(driver.run().starts).toEqual([]);
@@ -247,7 +247,7 @@
         const [job] = driver.cell.jobs.keys();
         driver.cell.cancel(job);
         driver.decide();
-        driver.keep();
+        driver.commit();
         driver.takeOver();
         listAgain(driver);
         lookAtAll(driver, starts);
--- a/packages/cell/test/scheduler/advice.test.ts
+++ b/packages/cell/test/scheduler/advice.test.ts
@@ -20,7 +20,7 @@
         expect(starts).toEqual([]);
         expect(questions.map(question => [question.step, question.workers.length])).toEqual([["j/0/0", 2]]);
         const answer = { kind: "advised" as const, permits: [permit("w2", "ticket-2")], validity: 1_500 };
-        driver.cell.takeAdvice("j/0/0", questions[0].workers, answer);
+        driver.cell.applyAdvice("j/0/0", questions[0].workers, answer);
         expect(driver.run().starts.map(start => [String(start.worker), start.ticket])).toEqual([["w2", "ticket-2"]]);
     });
 
@@ -28,7 +28,7 @@
         const driver = advised();
         const { questions } = driver.run();
         const answer = { kind: "advised" as const, permits: [permit("w2", "ticket-2")], validity: 1_500 };
-        driver.cell.takeAdvice("j/0/0", questions[0].workers, answer);
+        driver.cell.applyAdvice("j/0/0", questions[0].workers, answer);
         driver.clock.advance(1_500);
         const later = driver.run();
         expect(later.starts).toEqual([]);
@@ -39,17 +39,17 @@
         const driver = advised();
         const { questions } = driver.run();
         const answer = { kind: "advised" as const, permits: [permit("w2", "ticket-2")], validity: 1_500 };
-        driver.cell.takeAdvice("j/0/0", questions[0].workers, answer);
+        driver.cell.applyAdvice("j/0/0", questions[0].workers, answer);
         driver.decide();
         driver.clock.advance(1_500);
-        expect(driver.keep().starts).toEqual([]);
+        expect(driver.commit().starts).toEqual([]);
         expect(driver.run().questions.length).toEqual(1);
     });
 
     it("that had no answer is asked for again", () => {
         const driver = advised();
         const { questions } = driver.run();
-        driver.cell.takeAdvice("j/0/0", questions[0].workers, undefined);
+        driver.cell.applyAdvice("j/0/0", questions[0].workers, undefined);
         driver.clock.advance(200);
         expect(driver.run().questions.length).toEqual(1);
     });
@@ -62,7 +62,7 @@
         driver.addWorkers(makeWorker("w1"), makeWorker("w2"));
         const permits = [permit("w1", "t1"), permit("w2", "t2")];
         const answer = (step: string) =>
-            driver.cell.takeAdvice(step, [idOf("w1"), idOf("w2")], { kind: "advised", permits, validity: 1_500 });
+            driver.cell.applyAdvice(step, [idOf("w1"), idOf("w2")], { kind: "advised", permits, validity: 1_500 });
         driver.cell.submit(makeJob("holder", [makeStep({ size: core, estimate: 60_000 })]));
         driver.run();
         answer("holder/0/0");
@@ -106,7 +106,7 @@
         const before = firstQuestion("before");
         // Tickets of one and the same permitted worker are renewed time and again.
         for (let round = 0; round < 20; round++) {
-            driver.cell.takeAdvice("before/0/0", [idOf("w0")], {
+            driver.cell.applyAdvice("before/0/0", [idOf("w0")], {
                 kind: "advised",
                 permits: [permit("w0", `t${round}`)],
                 validity: 1,
--- a/packages/cell/test/scheduler/fuzz.test.ts
+++ b/packages/cell/test/scheduler/fuzz.test.ts
@@ -1,6 +1,6 @@
 import { expect } from "earl";
 import { describe, it } from "node:test";
-import { type Faults, noFaults, World } from "../support/index.js";
+import { type Faults, noFaults, SimulatedCell } from "../support/index.js";
 
 const seeds = 40;
 const stepsUnderFaults = 400;
@@ -11,7 +11,7 @@
 
 /** Plays one seed; returns what was broken. */
 const play = (seed: number, faults: Faults): readonly string[] => {
-    const world = new World(seed, faults, workers);
+    const world = new SimulatedCell(seed, faults, workers);
     for (let step = 0; step < stepsUnderFaults; step++) {
         if (step % 10 === 0 && world.jobs.size < mostJobs) {
             world.submit();
@@ -21,7 +21,7 @@
     for (let step = 0; step < stepsToFinish && !world.isFinished; step++) {
         world.step(false);
     }
-    return world.isFinished ? world.broken : [...world.broken, "not every job reached its end"];
+    return world.isFinished ? world.violations : [...world.violations, "not every job reached its end"];
 };
 
 const kinds: Readonly<Record<string, Faults>> = {
--- a/packages/cell/test/scheduler/gangs.test.ts
+++ b/packages/cell/test/scheduler/gangs.test.ts
@@ -108,7 +108,7 @@
         const job = driver.cell.submit(makeJob("g", [gangOf(1)]))!;
         const [first] = driver.run().starts;
         driver.confirm(first);
-        driver.cell.takeSilence(first.worker, driver.clock.monotonic() + 500);
+        driver.cell.applySilence(first.worker, driver.clock.monotonic() + 500);
         driver.clock.advance(1_000);
         driver.cell.tick();
         const [second] = driver.run().starts;
--- a/packages/cell/test/scheduler/jobs.test.ts
+++ b/packages/cell/test/scheduler/jobs.test.ts
@@ -16,7 +16,7 @@
         const { id } = driver.cell.submit(makeJob("j", [makeStep()]))!;
         driver.decide();
         expect(driver.cell.stateOf(id)).toEqual(undefined);
-        driver.keep();
+        driver.commit();
         expect(driver.cell.stateOf(id)).toEqual(CellJobState.Queued);
     });
 
@@ -36,7 +36,7 @@
         driver.end(start);
         driver.decide();
         expect(driver.cell.stateOf(id)).toEqual(CellJobState.Running);
-        driver.keep();
+        driver.commit();
         expect(driver.cell.stateOf(id)).toEqual(CellJobState.Completed);
     });
 
@@ -46,7 +46,7 @@
         const [start] = driver.run().starts;
         driver.end(start);
         driver.decide();
-        expect(driver.keep().acknowledged).toEqual({ w1: 1 });
+        expect(driver.commit().acknowledged).toEqual({ w1: 1 });
     });
 
     it("begins a step once all tasks of the steps before it are done", () => {
@@ -117,7 +117,7 @@
         driver.confirm(start);
         driver.cell.cancel(id);
         expect(driver.run().stops.length).toEqual(1);
-        driver.look("w1", [running(start)], [], false);
+        driver.poll("w1", [running(start)], [], false);
         expect(driver.run().stops.length).toEqual(1);
     });
 
@@ -143,17 +143,17 @@
 
     it("takes nothing new while it drains", () => {
         const driver = ready();
-        driver.cell.changeWorkers([makeWorker("w1", { isDraining: true, leavesIn: 2_000 })], []);
+        driver.cell.updateWorkerEntries([makeWorker("w1", { isDraining: true, leavesIn: 2_000 })], []);
         driver.cell.submit(makeJob("j", [makeStep()]));
         expect(driver.run().starts).toEqual([]);
     });
 
     it("takes nothing before this owner has seen what runs there", () => {
         const driver = new CellDriver();
-        driver.cell.changeWorkers([makeWorker("w1")], []);
+        driver.cell.updateWorkerEntries([makeWorker("w1")], []);
         driver.cell.submit(makeJob("j", [makeStep()]));
         expect(driver.run().starts).toEqual([]);
-        driver.look("w1");
+        driver.poll("w1");
         expect(driver.run().starts.length).toEqual(1);
     });
 
@@ -162,7 +162,7 @@
         driver.cell.submit(makeJob("j", [makeStep()]));
         const [start] = driver.run().starts;
         driver.confirm(start);
-        driver.cell.takeOtherLife(idOf("w1"));
+        driver.cell.applyReplacement(idOf("w1"));
         driver.addWorkers(makeWorker("w2"));
         expect(driver.run().starts.map(again => [String(again.worker), Number(again.run)])).toEqual([["w2", 2]]);
     });
@@ -174,8 +174,8 @@
         driver.confirm(confirmed);
         driver.clock.advance(400);
         // The last answer came 150 ms before the silence was noticed, so the run is known to have stood 250 ms.
-        driver.cell.takeSilence(idOf("w1"), driver.clock.monotonic() + 6_000, { cause: "no answer", heardAgo: 150 });
-        driver.cell.takeOtherLife(idOf("w1"));
+        driver.cell.applySilence(idOf("w1"), driver.clock.monotonic() + 6_000, { cause: "no answer", heardAgo: 150 });
+        driver.cell.applyReplacement(idOf("w1"));
         const lost = driver.logged.filter(line => line.event === logEvents.runLost);
         expect(lost.map(({ fields }) => fields["stood"])).toEqual([250, undefined]);
     });
@@ -186,7 +186,7 @@
         const [start] = driver.run().starts;
         driver.confirm(start);
         driver.addWorkers(makeWorker("w2"));
-        driver.cell.takeSilence(idOf("w1"), driver.clock.monotonic() + 6_000);
+        driver.cell.applySilence(idOf("w1"), driver.clock.monotonic() + 6_000);
         driver.clock.advance(5_900);
         driver.cell.tick();
         expect(driver.run().starts).toEqual([]);
--- a/packages/cell/test/scheduler/lasting.test.ts
+++ b/packages/cell/test/scheduler/lasting.test.ts
@@ -77,7 +77,7 @@
     };
     const pacesOf = (driver: CellDriver): number[] => {
         driver.decide();
-        return driver.keep().paces.map(pace => pace.percent);
+        return driver.commit().paces.map(pace => pace.percent);
     };
 
     it("take no processor of a worker's room", () => {
@@ -92,7 +92,7 @@
         const { driver, server, filler } = fillerAndServer();
         const look = (tail: number): number[] => {
             driver.clock.advance(500);
-            driver.look("w1", [measured(server, tail), running(filler)], [], false);
+            driver.poll("w1", [measured(server, tail), running(filler)], [], false);
             return pacesOf(driver);
         };
         expect(look(50)).toEqual([]);
@@ -106,7 +106,7 @@
         const { driver, server, filler } = fillerAndServer();
         let last: number[] = [];
         for (let look = 0; look < 8; look++) {
-            driver.look("w1", [measured(server, 200), running(filler)], [], false);
+            driver.poll("w1", [measured(server, 200), running(filler)], [], false);
             last = pacesOf(driver);
         }
         expect(last).toEqual([0]);
@@ -143,8 +143,8 @@
         driver.run();
         expect(driver.cell.stateOf(id)).toEqual(CellJobState.Running);
         driver.takeOver();
-        driver.cell.changeWorkers([makeWorker("w1")], []);
-        driver.look("w1");
+        driver.cell.updateWorkerEntries([makeWorker("w1")], []);
+        driver.poll("w1");
         const [second] = at(interval);
         expect(String(second.task)).toEqual("t/1/0/0");
         driver.end(second);
@@ -160,7 +160,7 @@
         const [first] = driver.run().starts;
         driver.confirm(first);
         driver.addWorkers(makeWorker("w2"));
-        driver.cell.takeSilence(idOf("w1"), driver.clock.monotonic() + 6_000);
+        driver.cell.applySilence(idOf("w1"), driver.clock.monotonic() + 6_000);
         const [copy] = driver.run().starts;
         expect([String(copy.worker), Number(copy.run)]).toEqual(["w2", 2]);
         driver.end(copy);
@@ -174,9 +174,9 @@
         const { starts } = driver.run();
         driver.confirm(...starts);
         driver.clock.advance(1_000);
-        driver.look("w1", starts.map(start => running(start, 40, "forty")), [], false);
+        driver.poll("w1", starts.map(start => running(start, 40, "forty")), [], false);
         driver.clock.advance(600);
-        driver.look("w1", starts.map(start => running(start, 41, "forty-one")), [], false);
+        driver.poll("w1", starts.map(start => running(start, 41, "forty-one")), [], false);
         driver.cell.tick();
         const { stops } = driver.run();
         expect(stops.length).toEqual(5);
@@ -193,7 +193,7 @@
         const { starts } = driver.run();
         driver.confirm(...starts);
         driver.addWorkers(makeWorker("w2"));
-        driver.cell.changeWorkers([makeWorker("w1", { isDraining: true, leavesIn: 2_000 })], []);
+        driver.cell.updateWorkerEntries([makeWorker("w1", { isDraining: true, leavesIn: 2_000 })], []);
         driver.cell.tick();
         expect(driver.run().stops.map(stop => String(stop.task))).toEqual(["j/0/0/0"]);
     });
--- a/packages/cell/test/scheduler/preemption.test.ts
+++ b/packages/cell/test/scheduler/preemption.test.ts
@@ -28,7 +28,7 @@
     driver.cell.submit(jobOf("urgent", "wide", wideStep));
     driver.run();
     driver.clock.advance(200);
-    driver.look("w1", [running(held, 10)], [], false);
+    driver.poll("w1", [running(held, 10)], [], false);
     return { driver, held };
 };
 
--- a/packages/cell/test/scheduler/reservations.test.ts
+++ b/packages/cell/test/scheduler/reservations.test.ts
@@ -42,7 +42,7 @@
         // It takes ten times as long as its caller said: what is long has ended well before.
         [500, 1_500].forEach((at, index) => {
             driver.clock.advance(at - index * 500);
-            driver.look("w1", [running(holder, 2 + index * 10)], [], false);
+            driver.poll("w1", [running(holder, 2 + index * 10)], [], false);
         });
         driver.cell.submit(makeJob("long", [makeStep({ size: sizeOf(4_000), estimate: 3_000 })]));
         expect(startedJobs(driver)).toEqual(["long"]);
@@ -51,12 +51,12 @@
     it("takes progress from before this owner for no sign of speed", () => {
         const { driver, holder } = halfFull(10_000);
         driver.takeOver();
-        driver.cell.changeWorkers([makeWorker("w1")], []);
+        driver.cell.updateWorkerEntries([makeWorker("w1")], []);
         driver.run();
-        driver.look("w1", [running(holder, 50)]);
+        driver.poll("w1", [running(holder, 50)]);
         driver.run();
         driver.clock.advance(10);
-        driver.look("w1", [running(holder, 50)], [], false);
+        driver.poll("w1", [running(holder, 50)], [], false);
         // Half of its ten seconds are left: three seconds fit before the gang's turn.
         driver.cell.submit(makeJob("short", [makeStep({ size: sizeOf(4_000), estimate: 3_000 })]));
         expect(startedJobs(driver)).toEqual(["short"]);
--- a/packages/cell/test/scheduler/restarts.test.ts
+++ b/packages/cell/test/scheduler/restarts.test.ts
@@ -2,7 +2,7 @@
  * A worker that was started again under its id may be of another kind. What the advice service said of its former life was kept by
  * id, so a worker that was refused once was never asked about again, and one that was permitted was sent starts with tickets that it refused.
  */
-import { logEvents, workerLife } from "@pebbledale/core";
+import { logEvents, workerIncarnation } from "@pebbledale/core";
 import { expect } from "earl";
 import { describe, it } from "node:test";
 import type { Permit } from "../../src/index.js";
@@ -10,8 +10,8 @@
 
 const worker = idOf("w");
 const validity = 60_000;
-const formerLife = workerLife(1_000);
-const presentLife = workerLife(2_000);
+const formerLife = workerIncarnation(1_000);
+const presentLife = workerIncarnation(2_000);
 
 /** A cell of one worker with a step that its service has judged on. */
 const begin = (permits: readonly Permit[]): CellDriver => {
@@ -22,16 +22,16 @@
     const questions = [...driver.run().questions, ...driver.run().questions];
     expect(questions.flatMap(({ workers }) => workers)).toEqual([worker]);
     questions.forEach(({ step, workers }) =>
-        driver.cell.takeAdvice(step, workers, { kind: "advised", permits, validity })
+        driver.cell.applyAdvice(step, workers, { kind: "advised", permits, validity })
     );
     return driver;
 };
 
 const restart = (driver: CellDriver): void => {
-    driver.cell.takeRestart(worker, presentLife);
-    driver.cell.changeWorkers([makeWorker("w", { life: presentLife })], []);
+    driver.cell.applyRestart(worker, presentLife);
+    driver.cell.updateWorkerEntries([makeWorker("w", { life: presentLife })], []);
     driver.run();
-    driver.look("w");
+    driver.poll("w");
     driver.clock.advance(1_000);
 };
 
@@ -55,13 +55,13 @@
         driver.cell.submit(makeJob("j", [makeStep()]));
         driver.run();
         driver.confirm(...driver.run().starts);
-        driver.cell.takeSilence(worker, driver.clock.monotonic() + 1_000);
-        driver.cell.changeWorkers([], [worker]);
+        driver.cell.applySilence(worker, driver.clock.monotonic() + 1_000);
+        driver.cell.updateWorkerEntries([], [worker]);
         driver.clock.advance(2_000);
         driver.cell.tick();
-        driver.cell.changeWorkers([makeWorker("w", { life })], []);
+        driver.cell.updateWorkerEntries([makeWorker("w", { life })], []);
         driver.run();
-        driver.look("w");
+        driver.poll("w");
         return driver.logged.filter(({ event }) => event === logEvents.silenceExplained)
             .map(({ fields }) => fields["isCrash"]);
     };
@@ -79,15 +79,15 @@
             driver.addWorkers(makeWorker("w", { life: formerLife }));
             driver.cell.submit(makeJob("j", [makeStep()]));
             expect([...driver.run().starts, ...driver.run().starts].length).toEqual(1);
-            driver.cell.takeRestart(worker, presentLife);
+            driver.cell.applyRestart(worker, presentLife);
             driver.run();
             const snapshot = JSON.parse(JSON.stringify(driver.cell.snapshot())) as ReturnType<
                 typeof driver.cell.snapshot
             >;
             driver.takeOver(fromSnapshot ? snapshot : undefined);
             expect(JSON.stringify(driver.cell.snapshot())).toEqual(JSON.stringify(snapshot));
-            driver.cell.changeWorkers([makeWorker("w", { life: presentLife })], []);
-            driver.look("w");
+            driver.cell.updateWorkerEntries([makeWorker("w", { life: presentLife })], []);
+            driver.poll("w");
             const lost = driver.logged.filter(({ event }) => event === logEvents.runLost);
             expect(lost.map(({ fields }) => fields["cause"])).toEqual(["crashed"]);
             expect(driver.run().starts.map(start => Number(start.run))).toEqual([2]);
@@ -100,11 +100,11 @@
         const driver = new CellDriver();
         driver.addWorkers(makeWorker("w"));
         driver.takeOver();
-        driver.cell.changeWorkers([makeWorker("w", { life: presentLife })], []);
-        driver.look("w");
-        driver.cell.takeRestart(worker, presentLife);
+        driver.cell.updateWorkerEntries([makeWorker("w", { life: presentLife })], []);
+        driver.poll("w");
+        driver.cell.applyRestart(worker, presentLife);
         driver.run();
-        driver.look("w");
+        driver.poll("w");
         driver.run();
         expect(driver.cell.workers.get(worker)?.isOpen(driver.clock.monotonic())).toEqual(true);
     });
--- a/packages/cell/test/scheduler/rooms.test.ts
+++ b/packages/cell/test/scheduler/rooms.test.ts
@@ -23,7 +23,7 @@
 describe("a worker whose room shrinks below what runs there", () => {
     it("takes nothing new until as much has ended, and what runs there is not stopped", () => {
         const { driver, starts } = full();
-        driver.cell.changeWorkers([withRoom("w1", 4)], []);
+        driver.cell.updateWorkerEntries([withRoom("w1", 4)], []);
         expect(driver.run().stops).toEqual([]);
         starts.slice(0, 4).forEach(start => driver.end(start));
         expect(driver.run().starts).toEqual([]);
@@ -35,7 +35,7 @@
         const { driver } = full();
         driver.addWorkers(withRoom("w2", 8));
         driver.run();
-        driver.cell.changeWorkers([withRoom("w1", 2)], []);
+        driver.cell.updateWorkerEntries([withRoom("w1", 2)], []);
         const { freeProcessor } = driver.cell.summary();
         expect(freeProcessor).toEqual(4_000);
     });
@@ -45,8 +45,8 @@
         driver.addWorkers(withRoom("w1", 8), withRoom("w2", 8));
         driver.cell.submit(makeJob("j", [makeStep({ taskCount: 8 })]));
         driver.decide();
-        driver.cell.changeWorkers([withRoom("w1", 4)], []);
-        const { starts } = driver.keep();
+        driver.cell.updateWorkerEntries([withRoom("w1", 4)], []);
+        const { starts } = driver.commit();
         expect(starts.filter(start => start.worker === idOf("w1")).length <= 4).toEqual(true);
         const later = driver.run().starts;
         expect(starts.length + later.length).toEqual(8);
@@ -54,11 +54,11 @@
 
     it("keeps its smaller room over a change of owner", () => {
         const { driver, starts } = full();
-        driver.cell.changeWorkers([withRoom("w1", 4)], []);
+        driver.cell.updateWorkerEntries([withRoom("w1", 4)], []);
         driver.run();
         driver.takeOver();
-        driver.cell.listWorkers([withRoom("w1", 4)]);
-        driver.look("w1", starts.map(start => running(start)));
+        driver.cell.replaceWorkerEntries([withRoom("w1", 4)]);
+        driver.poll("w1", starts.map(start => running(start)));
         starts.slice(0, 4).forEach(start => driver.end(start));
         expect(driver.run().starts).toEqual([]);
     });
@@ -67,7 +67,7 @@
         const driver = new CellDriver();
         driver.addWorkers(withRoom("w1", 8), withRoom("w2", 8));
         driver.cell.submit(makeJob("gang", [makeStep({ taskCount: 12, isGang: true, savesProgress: false })]));
-        driver.cell.changeWorkers([withRoom("w1", 4), withRoom("w2", 4)], []);
+        driver.cell.updateWorkerEntries([withRoom("w1", 4), withRoom("w2", 4)], []);
         driver.run();
         driver.cell.submit(makeJob("small", [makeStep({ taskCount: 8 })]));
         driver.clock.advance(10_000);
@@ -79,7 +79,7 @@
 describe("a worker whose room grows", () => {
     it("is given more in the next pass", () => {
         const { driver } = full();
-        driver.cell.changeWorkers([withRoom("w1", 12)], []);
+        driver.cell.updateWorkerEntries([withRoom("w1", 12)], []);
         expect(driver.run().starts.length).toEqual(4);
     });
 });
@@ -87,20 +87,20 @@
 describe("a worker whose entry can no longer be read", () => {
     it("takes nothing new until it can, and what runs there goes on", () => {
         const { driver, starts } = full();
-        driver.cell.changeWorkers([], [], [idOf("w1")]);
+        driver.cell.updateWorkerEntries([], [], [idOf("w1")]);
         driver.end(starts[0]);
-        driver.look("w1", starts.slice(1).map(start => running(start)), [], false);
+        driver.poll("w1", starts.slice(1).map(start => running(start)), [], false);
         expect([driver.run().starts, driver.run().stops]).toEqual([[], []]);
         driver.end(starts[1], RunEnd.Done);
-        driver.cell.changeWorkers([withRoom("w1", 8)], []);
+        driver.cell.updateWorkerEntries([withRoom("w1", 8)], []);
         expect(driver.run().starts.length).toEqual(2);
     });
 
     it("is not taken for gone by a list that names it so", () => {
         const { driver, starts } = full();
-        driver.cell.listWorkers([], [idOf("w1")]);
+        driver.cell.replaceWorkerEntries([], [idOf("w1")]);
         driver.clock.advance(20_000);
-        driver.look("w1", starts.map(start => running(start)), [], false);
+        driver.poll("w1", starts.map(start => running(start)), [], false);
         driver.cell.tick();
         expect(driver.cell.workers.has(idOf("w1"))).toEqual(true);
         expect(driver.cell.workers.get(idOf("w1"))!.unlistedSince).toEqual(undefined);
--- a/packages/cell/test/scheduler/take-over.test.ts
+++ b/packages/cell/test/scheduler/take-over.test.ts
@@ -19,10 +19,10 @@
     it("starts nothing again that a worker still runs", () => {
         const { driver, starts } = started();
         driver.takeOver();
-        driver.cell.changeWorkers([makeWorker("w1"), makeWorker("w2")], []);
+        driver.cell.updateWorkerEntries([makeWorker("w1"), makeWorker("w2")], []);
         expect(driver.run().starts).toEqual([]);
         for (const name of ["w1", "w2"]) {
-            driver.look(name, starts.filter(start => start.worker === idOf(name)).map(start => running(start)));
+            driver.poll(name, starts.filter(start => start.worker === idOf(name)).map(start => running(start)));
         }
         expect(driver.run().starts).toEqual([]);
     });
@@ -30,11 +30,11 @@
     it("starts again, with a higher number, what a worker's first look does not show", () => {
         const { driver, starts } = started();
         driver.takeOver();
-        driver.cell.changeWorkers([makeWorker("w1"), makeWorker("w2")], []);
+        driver.cell.updateWorkerEntries([makeWorker("w1"), makeWorker("w2")], []);
         const lost = starts[0];
         for (const name of ["w1", "w2"]) {
             const rest = starts.filter(start => start.worker === idOf(name) && start !== lost);
-            driver.look(name, rest.map(start => running(start)));
+            driver.poll(name, rest.map(start => running(start)));
         }
         const again = driver.run().starts;
         expect(again.map(start => start.task)).toEqual([lost.task]);
@@ -46,9 +46,9 @@
         const waiting = driver.cell.submit(makeJob("k", [makeStep({ taskCount: 2 })]))!;
         driver.run();
         driver.takeOver();
-        driver.cell.changeWorkers([makeWorker("w1")], []);
-        driver.look("w1", starts.filter(start => start.worker === idOf("w1")).map(start => running(start)));
-        driver.cell.takeSilence(idOf("w2"), driver.clock.monotonic() + 6_000);
+        driver.cell.updateWorkerEntries([makeWorker("w1")], []);
+        driver.poll("w1", starts.filter(start => start.worker === idOf("w1")).map(start => running(start)));
+        driver.cell.applySilence(idOf("w2"), driver.clock.monotonic() + 6_000);
         // The waiting job is not held up by the silent worker.
         starts.filter(start => start.worker === idOf("w1")).slice(0, 2).forEach(start => driver.end(start));
         const free = driver.run().starts;
@@ -75,12 +75,12 @@
     it("takes a done end in that the former owner did not record", () => {
         const { driver, job, starts } = started();
         driver.takeOver();
-        driver.cell.changeWorkers([makeWorker("w1"), makeWorker("w2")], []);
+        driver.cell.updateWorkerEntries([makeWorker("w1"), makeWorker("w2")], []);
         for (const name of ["w1", "w2"]) {
             const ends = starts
                 .filter(start => start.worker === idOf(name))
                 .map(start => driver.ended(name, start.task, start.run, RunEnd.Done));
-            driver.look(name, [], ends);
+            driver.poll(name, [], ends);
         }
         driver.run();
         expect(driver.cell.stateOf(job.id)).toEqual("completed" as never);
@@ -91,12 +91,12 @@
     it("knows of each job how often its tasks may fail, and where they may run", () => {
         const { driver, job, starts } = started();
         driver.takeOver(undefined, false);
-        driver.cell.changeWorkers([makeWorker("w1"), makeWorker("w2")], []);
+        driver.cell.updateWorkerEntries([makeWorker("w1"), makeWorker("w2")], []);
         for (const name of ["w1", "w2"]) {
             const ends = starts
                 .filter(start => start.worker === idOf(name))
                 .map(start => driver.ended(name, start.task, start.run, RunEnd.Failed));
-            driver.look(name, [], ends);
+            driver.poll(name, [], ends);
         }
         driver.run();
         expect(driver.cell.stateOf(job.id)).toEqual(CellJobState.Running);
@@ -114,8 +114,8 @@
         driver.decide();
         driver.clock.advance(5);
         // The record of the start is still being written when the worker's new link looks for the first time.
-        driver.look("w1");
-        const { starts } = driver.keep();
+        driver.poll("w1");
+        const { starts } = driver.commit();
         expect(starts.length).toEqual(1);
         expect(driver.run().starts).toEqual([]);
     });
@@ -126,7 +126,7 @@
         driver.cell.submit(makeJob("j", [makeStep()]));
         expect(driver.run().starts.length).toEqual(1);
         driver.clock.advance(5);
-        driver.look("w1");
+        driver.poll("w1");
         const again = driver.run().starts;
         expect(again.map<number>(start => start.run)).toEqual([2]);
     });
@@ -142,7 +142,7 @@
         driver.clock.advance(5);
         driver.cell.cancel(job.id);
         driver.run();
-        driver.look("w1");
+        driver.poll("w1");
         driver.run();
         return { driver, start };
     };
@@ -151,7 +151,7 @@
         const { driver, start } = cancelled();
         driver.clock.advance(5_000);
         for (let looks = 0; looks < 2; looks++) {
-            driver.look("w1", [running(start)], [], false);
+            driver.poll("w1", [running(start)], [], false);
             expect(driver.run().stops.map(stop => [stop.task, stop.run])).toEqual([[start.task, start.run]]);
         }
     });
@@ -159,8 +159,8 @@
     it("is stopped by the next owner's first look, when the VM that started it is gone", () => {
         const { driver, start } = cancelled();
         driver.takeOver();
-        driver.cell.changeWorkers([makeWorker("w1")], []);
-        driver.look("w1", [running(start)]);
+        driver.cell.updateWorkerEntries([makeWorker("w1")], []);
+        driver.poll("w1", [running(start)]);
         const { stops, starts } = driver.run();
         expect(stops.length > 0).toEqual(true);
         expect(stops.every(stop => stop.task === start.task && stop.run === start.run)).toEqual(true);
--- a/packages/cell/test/speeds/speed-book.test.ts
+++ b/packages/cell/test/speeds/speed-book.test.ts
@@ -1,4 +1,4 @@
-import { queueName, SeededRandom, workerId, workerLife } from "@pebbledale/core";
+import { queueName, SeededRandom, workerId, workerIncarnation } from "@pebbledale/core";
 import { expect } from "earl";
 import { describe, it } from "node:test";
 import { RunEnd, type StartCommand } from "../../src/index.js";
@@ -87,10 +87,10 @@
     it("is nothing for the next life of a worker, and for the next owner", () => {
         const driver = makeDriver();
         playJobs(driver, 20, firstFast);
-        driver.cell.takeRestart(workerId("w1"), workerLife(2));
+        driver.cell.applyRestart(workerId("w1"), workerIncarnation(2));
         expect(slownessOf(driver, "w1")).toEqual(1);
         driver.takeOver();
-        driver.cell.listWorkers(ids.map(id => makeWorker(id)));
+        driver.cell.replaceWorkerEntries(ids.map(id => makeWorker(id)));
         expect(ids.map(id => slownessOf(driver, id))).toEqual([1, 1, 1, 1]);
     });
 });
--- a/packages/cell/test/support/builders.ts
+++ b/packages/cell/test/support/builders.ts
@@ -92,7 +92,7 @@
 });
 
 /** An address for a worker, which no other of a test has. */
-const addressOf = (id: string): string => {
+const workerAddress = (id: string): string => {
     const number = [...id].reduce((sum, letter) => (sum * 31 + letter.charCodeAt(0)) % 16_777_213, 7);
     return `10.${number >> 16}.${(number >> 8) & 0xff}.${number & 0xff}:80`;
 };
@@ -100,7 +100,7 @@
 /** A worker of 8 cores and 32 GB. */
 export const makeWorker = (id: string, changes: Partial<WorkerEntry> = {}): WorkerEntry => ({
     worker: workerId(id),
-    address: addressOf(id),
+    address: workerAddress(id),
     service,
     dataHall: "hall-a",
     vm: vmId(`vm-of-${id}`),
--- a/packages/cell/test/support/cell-driver.ts
+++ b/packages/cell/test/support/cell-driver.ts
@@ -1,29 +1,29 @@
 /** Drives a cell's decisions in a test: time, a journal in memory, and what is drained. */
 import { type LogEvent, ManualClock, type RunNumber, type TaskAddress } from "@pebbledale/core";
 import {
-    type AdviceCommand,
+    type AdviceRequest,
     type CellConfiguration,
     type CellRecord,
     CellScheduler,
     type CellSnapshot,
     type EndedRun,
-    type Look,
     type PaceCommand,
+    type PollResult,
     RunEnd,
     type StartCommand,
     type StopCommand,
-    type Turn,
+    type TurnOutput,
     type WorkerEntry,
     type WorkerRun,
 } from "../../src/index.js";
 import { idOf, makeConfiguration, makeQueue } from "./builders.js";
 
 /** What a turn led to, sorted. */
-export interface Output {
+export interface DriverOutput {
     readonly starts: readonly StartCommand[];
     readonly stops: readonly StopCommand[];
     readonly paces: readonly PaceCommand[];
-    readonly questions: readonly AdviceCommand[];
+    readonly questions: readonly AdviceRequest[];
     /** Ends that a worker may forget, by its name. */
     readonly acknowledged: Readonly<Record<string, number>>;
 }
@@ -34,7 +34,7 @@
     readonly records: CellRecord[] = [];
     readonly logged: { readonly event: LogEvent; readonly fields: Readonly<Record<string, unknown>>; }[] = [];
     /** Turns whose records are not kept yet. */
-    #unkept: Turn[] = [];
+    #uncommitted: TurnOutput[] = [];
     #numbers = new Map<string, number>();
 
     constructor(
@@ -46,35 +46,35 @@
 
     /** Lists workers and lets each answer its first look. */
     addWorkers(...entries: WorkerEntry[]): void {
-        this.cell.changeWorkers(entries, []);
+        this.cell.updateWorkerEntries(entries, []);
         this.run();
-        entries.forEach(entry => this.look(entry.worker));
+        entries.forEach(entry => this.poll(entry.worker));
     }
 
     /** A look at a worker that shows `running` and `ended`; `isFirst` of a link settles what was sent before. */
-    look(worker: string, running: readonly WorkerRun[] = [], ended: readonly EndedRun[] = [], isFirst = true): void {
+    poll(worker: string, running: readonly WorkerRun[] = [], ended: readonly EndedRun[] = [], isFirst = true): void {
         const now = this.clock.monotonic();
-        const look: Look = { clock: now, running, ended };
-        this.cell.takeLook(idOf(worker), look, now, isFirst ? now : -Infinity);
+        const report: PollResult = { clock: now, running, ended };
+        this.cell.applyPoll(idOf(worker), report, now, isFirst ? now : -Infinity);
     }
 
     /** One turn: places, keeps the records, and tells what is to be sent. */
-    run(): Output {
+    run(): DriverOutput {
         this.decide();
-        return this.keep();
+        return this.commit();
     }
 
     /** Places, and leaves the records unkept. */
     decide(): void {
         this.cell.place();
-        this.#unkept.push(this.cell.drain());
+        this.#uncommitted.push(this.cell.drain());
     }
 
     /** Keeps all records and tells what is to be sent. */
-    keep(): Output {
-        const turns = this.#unkept;
-        this.#unkept = [];
-        const output = turns.map(turn => this.#keepTurn(turn));
+    commit(): DriverOutput {
+        const turns = this.#uncommitted;
+        this.#uncommitted = [];
+        const output = turns.map(turn => this.#commitTurn(turn));
         return {
             starts: output.flatMap(part => part.starts),
             stops: output.flatMap(part => part.stops),
@@ -86,12 +86,12 @@
 
     /** The worker of a start confirms it. */
     confirm(...starts: StartCommand[]): void {
-        starts.forEach(({ worker, task, run }) => this.cell.startTaken(worker, task, run));
+        starts.forEach(({ worker, task, run }) => this.cell.startAccepted(worker, task, run));
     }
 
     /** A worker lists the end of a run. */
     end({ worker, task, run }: StartCommand, end: RunEnd = RunEnd.Done, checkpoint = ""): void {
-        this.cell.takeEnds(worker, [this.ended(worker, task, run, end, checkpoint)]);
+        this.cell.applyEnds(worker, [this.ended(worker, task, run, end, checkpoint)]);
     }
 
     /** An end as a worker lists it, with the worker's next number. */
@@ -102,13 +102,13 @@
     }
 
     /** Another life of a worker counts its ends from 1. */
-    countAnew(worker: string): void {
+    resetEndNumbers(worker: string): void {
         this.#numbers.delete(worker);
     }
 
     /** Another owner takes over with what is kept, and with the configuration or without one. */
     takeOver(snapshot?: CellSnapshot, isConfigured = true): void {
-        this.#unkept = [];
+        this.#uncommitted = [];
         const records = snapshot === undefined ? [...this.records] : [];
         this.cell = this.#makeCell(snapshot, records, isConfigured);
     }
@@ -128,13 +128,13 @@
         return cell;
     }
 
-    #keepTurn(turn: Turn): Output {
+    #commitTurn(turn: TurnOutput): DriverOutput {
         this.records.push(...turn.records);
-        this.cell.kept(turn);
+        this.cell.turnCommitted(turn);
         const starts = turn.commands.filter(command => command.kind === "start");
         return {
             starts: starts.filter(start => {
-                const isSent = this.cell.sendStart(start.worker, start.task, start.run);
+                const isSent = this.cell.prepareStart(start.worker, start.task, start.run);
                 if (!isSent) {
                     this.cell.dropStart(start.worker, start.task, start.run);
                 }
--- a/packages/cell/test/support/fake-advice.ts
+++ b/packages/cell/test/support/fake-advice.ts
@@ -1,12 +1,12 @@
 /** The advice service in the tests' time: answers after a while, or never, and knows which tickets hold. */
 import type { Milliseconds, SeededRandom, WorkerId } from "@pebbledale/core";
-import { type AdviceCommand, callDuration, type CellScheduler, type StartCommand } from "../../src/index.js";
+import { type AdviceRequest, callDuration, type CellScheduler, type StartCommand } from "../../src/index.js";
 
 /** Policy of the queue that is advised on. */
 export const fakePolicy = { decision: 150, eachWorker: 10, validity: 600 };
 
 interface Question {
-    readonly command: AdviceCommand;
+    readonly command: AdviceRequest;
     /** When the answer comes. */
     readonly at: Milliseconds;
 }
@@ -23,14 +23,14 @@
     constructor(private readonly random: SeededRandom, private readonly loss: number) {}
 
     /** Takes questions in. */
-    ask(commands: readonly AdviceCommand[], now: Milliseconds): void {
+    ask(commands: readonly AdviceRequest[], now: Milliseconds): void {
         commands.forEach(command =>
             this.#questions.push({ command, at: now + callDuration(command.policy, command.workers.length) })
         );
     }
 
     /** The owner that asked is gone. */
-    forget(): void {
+    dropQuestions(): void {
         this.#questions = [];
     }
 
@@ -44,7 +44,7 @@
                 continue;
             }
             if (this.random.next() < this.loss) {
-                cell.takeAdvice(step, workers, undefined);
+                cell.applyAdvice(step, workers, undefined);
                 continue;
             }
             const permits = workers.filter(worker => this.#isGood(step, worker)).map(worker => ({
@@ -52,12 +52,12 @@
                 ticket: "ticket",
             }));
             permits.forEach(({ worker }) => this.#tickets.set(`${step} ${worker}`, now + fakePolicy.validity));
-            cell.takeAdvice(step, workers, { kind: "advised", permits, validity: fakePolicy.validity });
+            cell.applyAdvice(step, workers, { kind: "advised", permits, validity: fakePolicy.validity });
         }
     }
 
     /** Whether the ticket of a start holds. */
-    holds({ task, worker, ticket }: StartCommand, now: Milliseconds): boolean {
+    isTicketValid({ task, worker, ticket }: StartCommand, now: Milliseconds): boolean {
         const step = task.slice(0, task.lastIndexOf("/"));
         return ticket !== undefined && (this.#tickets.get(`${step} ${worker}`) ?? -Infinity) >= now;
     }
--- a/packages/cell/test/support/fake-worker.ts
+++ b/packages/cell/test/support/fake-worker.ts
@@ -2,8 +2,8 @@
 import type { FencingToken, Milliseconds, RunNumber, TaskAddress, WorkerId } from "@pebbledale/core";
 import {
     type EndedRun,
-    type Look,
     OrderRefusal,
+    type PollResult,
     RunEnd,
     type StartCommand,
     type TaskSize,
@@ -78,7 +78,12 @@
     }
 
     /** Answers a look. */
-    look(token: FencingToken, forgetThrough: number, leaseUntil: Milliseconds, now: Milliseconds): Look | undefined {
+    poll(
+        token: FencingToken,
+        forgetThrough: number,
+        leaseUntil: Milliseconds,
+        now: Milliseconds,
+    ): PollResult | undefined {
         if (token < this.token) {
             return undefined;
         }
@@ -86,7 +91,7 @@
         this.leaseUntil = Math.max(this.leaseUntil, leaseUntil);
         const kept = this.ended.filter(end => end.number > forgetThrough);
         this.ended.splice(0, this.ended.length, ...kept);
-        return { clock: now, running: this.runs.map(run => seen(run, now)), ended: [...kept] };
+        return { clock: now, running: this.runs.map(run => reportedRun(run, now)), ended: [...kept] };
     }
 
     /** Lets time pass: runs end, and all of them when the lease is over. */
@@ -116,7 +121,7 @@
     }
 }
 
-const seen = (run: Run, now: Milliseconds): WorkerRun => ({
+const reportedRun = (run: Run, now: Milliseconds): WorkerRun => ({
     task: run.task,
     run: run.run,
     checkpoint: "",
--- a/packages/cell/test/support/fleet.ts
+++ b/packages/cell/test/support/fleet.ts
@@ -1,19 +1,19 @@
 /** Workers of uneven speed under steady load of tasks whose estimates are off, in the tests' time. */
 import { logEvents, type Milliseconds, SeededRandom, type WorkerId } from "@pebbledale/core";
-import { placeOf, type StartCommand } from "../../src/index.js";
+import { parseTaskAddress, type StartCommand } from "../../src/index.js";
 import { idOf, makeJob, makeStep, makeWorker } from "./builders.js";
 import { CellDriver, running } from "./cell-driver.js";
 
 const stepTime: Milliseconds = 50;
-const lookInterval: Milliseconds = 600;
+const pollInterval: Milliseconds = 600;
 /** Workers have eight cores, tasks take one: so much of them is in use. */
-const mostUsed = 0.85;
+const maxUsedShare = 0.85;
 const cores = 8;
 /** Tasks of one step differ in their work by this share. */
 const unevenness = 0.3;
 
 /** What a fleet is made from. */
-export interface FleetTerms {
+export interface FleetOptions {
     readonly seed: number;
     /** By worker in turn. */
     readonly speeds: readonly number[];
@@ -36,19 +36,19 @@
 export class Fleet {
     readonly driver = new CellDriver();
     /** When workers were judged slow, by worker; of each the first time. */
-    readonly judgedAt = new Map<WorkerId, Milliseconds>();
+    readonly judgedSlowAt = new Map<WorkerId, Milliseconds>();
     readonly #speeds = new Map<WorkerId, number>();
     readonly #runs = new Map<WorkerId, FleetRun[]>();
-    readonly #works = new Map<string, Milliseconds>();
+    readonly #taskWork = new Map<string, Milliseconds>();
     readonly #random: SeededRandom;
     #jobs = 0;
     #logged = 0;
 
-    constructor(private readonly terms: FleetTerms) {
-        this.#random = new SeededRandom(terms.seed);
-        for (let index = 0; index < terms.workers; index++) {
+    constructor(private readonly options: FleetOptions) {
+        this.#random = new SeededRandom(options.seed);
+        for (let index = 0; index < options.workers; index++) {
             const entry = makeWorker(`w${index}`);
-            this.#speeds.set(entry.worker, terms.speeds[index % terms.speeds.length]);
+            this.#speeds.set(entry.worker, options.speeds[index % options.speeds.length]);
             this.#runs.set(entry.worker, []);
             this.driver.addWorkers(entry);
         }
@@ -60,18 +60,18 @@
     }
 
     /** Workers with at least so many tasks that have been at work for a time. */
-    withTasks(count: number, time: Milliseconds): readonly WorkerId[] {
+    workersWithTasks(count: number, time: Milliseconds): readonly WorkerId[] {
         const since = this.driver.clock.monotonic() - time;
         const isLongAtWork = ({ begunAt }: FleetRun): boolean => begunAt <= since;
         return [...this.#runs].filter(([, runs]) => runs.filter(isLongAtWork).length >= count).map(([id]) => id);
     }
 
     /** All workers of the one job that has the most, of those with at most so many. */
-    ofOneJob(most: number): readonly WorkerId[] {
+    workersOfWidestJob(most: number): readonly WorkerId[] {
         const workers = new Map<string, Set<WorkerId>>();
         for (const [id, runs] of this.#runs) {
             for (const { start } of runs) {
-                const { job } = placeOf(start.task)!;
+                const { job } = parseTaskAddress(start.task)!;
                 workers.set(job, (workers.get(job) ?? new Set()).add(id));
             }
         }
@@ -84,9 +84,9 @@
         const { clock, cell } = this.driver;
         for (let passed = 0; passed < duration; passed += stepTime) {
             clock.advance(stepTime);
-            this.#fill();
+            this.#submitJobs();
             this.#work();
-            this.#look();
+            this.#pollDue();
             if (clock.monotonic() % (2 * stepTime) === 0) {
                 cell.tick();
             }
@@ -110,21 +110,21 @@
     }
 
     /** Hands jobs in while there is room. */
-    #fill(): void {
+    #submitJobs(): void {
         const inUse = [...this.#runs.values()].reduce((sum, { length }) => sum + length, 0);
-        if (inUse > this.terms.workers * cores * mostUsed) {
+        if (inUse > this.options.workers * cores * maxUsedShare) {
             return;
         }
-        const { width, work, estimateError } = this.terms;
+        const { width, work, estimateError } = this.options;
         const id = `job${this.#jobs++}`;
         const mean = this.#between(work);
         const estimate = Math.round(mean * Math.exp(this.#between([-estimateError, estimateError])));
-        this.#works.set(id, mean);
+        this.#taskWork.set(id, mean);
         this.driver.cell.submit(makeJob(id, [makeStep({ taskCount: Math.round(this.#between(width)), estimate })]));
     }
 
     #begin(start: StartCommand): void {
-        const mean = this.#works.get(placeOf(start.task)!.job)!;
+        const mean = this.#taskWork.get(parseTaskAddress(start.task)!.job)!;
         const work = mean * this.#between([1 - unevenness, 1 + unevenness]);
         this.#runs.get(start.worker)!.push({ start, work, begunAt: this.driver.clock.monotonic(), done: 0 });
     }
@@ -139,13 +139,13 @@
     }
 
     /** Workers are looked at in turn. */
-    #look(): void {
+    #pollDue(): void {
         const now = this.driver.clock.monotonic();
         [...this.#runs.keys()].forEach((id, index) => {
-            if ((now / stepTime + index) % (lookInterval / stepTime) === 0) {
+            if ((now / stepTime + index) % (pollInterval / stepTime) === 0) {
                 const runs = this.#runs.get(id)!;
                 const shown = runs.map(({ start, done, work }) => running(start, Math.floor(done / work * 100)));
-                this.driver.look(id, shown, [], false);
+                this.driver.poll(id, shown, [], false);
             }
         });
     }
@@ -154,8 +154,8 @@
         const { logged, clock } = this.driver;
         for (const { event, fields } of logged.slice(this.#logged)) {
             const id = idOf(String(fields["worker"]));
-            if (event === logEvents.workerSlow && !this.judgedAt.has(id)) {
-                this.judgedAt.set(id, clock.monotonic());
+            if (event === logEvents.workerSlow && !this.judgedSlowAt.has(id)) {
+                this.judgedSlowAt.set(id, clock.monotonic());
             }
         }
         this.#logged = logged.length;
--- a/packages/cell/test/support/load/draw.ts
+++ b/packages/cell/test/support/load/draw.ts
@@ -2,7 +2,7 @@
 import { type Milliseconds, organisationName, queueName, SeededRandom } from "@pebbledale/core";
 import type { JobDefinition, StepDefinition } from "../../../src/index.js";
 import { makeJob, makeStep } from "../builders.js";
-import type { Burst, LoadPattern, QueueLoad, Spread, Swing } from "./pattern.js";
+import type { Burst, Distribution, LoadPattern, QueueLoad, Swing } from "./pattern.js";
 
 /** A job with what only the pattern knows of it. */
 export interface LoadJob {
@@ -10,17 +10,17 @@
     readonly load: QueueLoad;
     readonly definition: JobDefinition;
     /** By step and task, what the task takes on a worker of full speed. */
-    readonly works: readonly (readonly Milliseconds[])[];
+    readonly taskWork: readonly (readonly Milliseconds[])[];
     /** By step, the task that fails once, if one does. */
-    readonly failing: readonly (number | undefined)[];
+    readonly failingTasks: readonly (number | undefined)[];
     /** Whether its organisation has not handed in more jobs in its second than its weight. */
-    readonly isOwed: boolean;
+    readonly isEntitled: boolean;
     /** Core-seconds of all its tasks. */
-    readonly size: number;
+    readonly coreSeconds: number;
     /** The longest chain of work. */
-    readonly chain: Milliseconds;
+    readonly criticalPath: Milliseconds;
     /** When its caller cancels it, after it was handed in; undefined when its tasks end by themselves. */
-    readonly stay: Milliseconds | undefined;
+    readonly lifetime: Milliseconds | undefined;
 }
 
 const millisecondsPerSecond = 1_000;
@@ -28,7 +28,7 @@
 const slice: Milliseconds = 10;
 
 /** Draws sizes from one generator. */
-export class Drawer {
+export class Sampler {
     constructor(private readonly random: SeededRandom) {}
 
     /** True with this chance. */
@@ -52,14 +52,14 @@
     }
 
     /** A size of a spread. */
-    size({ mean, spread, most }: Spread): number {
+    size({ mean, spread, max: most }: Distribution): number {
         const variance = Math.log(1 + spread * spread);
         const drawn = Math.exp(Math.log(mean) - variance / 2 + Math.sqrt(variance) * this.#normal());
         return Math.min(most, drawn);
     }
 
     /** A whole number of a spread, from 1. */
-    count(spread: Spread): number {
+    count(spread: Distribution): number {
         return Math.max(1, Math.round(this.size(spread)));
     }
 
@@ -71,34 +71,34 @@
 }
 
 /** All jobs of a pattern, in the order of their arrival. */
-export const drawJobs = (pattern: LoadPattern): LoadJob[] => {
+export const generateJobs = (pattern: LoadPattern): LoadJob[] => {
     const jobs: LoadJob[] = [];
     for (const load of pattern.queues) {
-        const drawer = new Drawer(new SeededRandom(pattern.seed + 7_919 * (1 + pattern.queues.indexOf(load))));
-        for (let at = 0; at < pattern.lasts; at += slice) {
+        const drawer = new Sampler(new SeededRandom(pattern.seed + 7_919 * (1 + pattern.queues.indexOf(load))));
+        for (let at = 0; at < pattern.duration; at += slice) {
             const factor = factorAt(pattern.bursts, load, at) * swingAt(pattern.swing, at);
             const expected = load.perSecond * factor * slice / millisecondsPerSecond;
             let left = expected;
             while (left > 0 && drawer.happens(Math.min(1, left))) {
-                jobs.push(drawJob(drawer, load, at, `${load.name}${jobs.length}`));
+                jobs.push(generateJob(drawer, load, at, `${load.name}${jobs.length}`));
                 left -= 1;
             }
         }
     }
-    const dealt = dealToOrganisations(pattern, jobs.sort((left, right) => left.at - right.at));
-    return pattern.isWithoutSurplus === true ? dealt.filter(({ isOwed }) => isOwed) : dealt;
+    const dealt = assignOrganisations(pattern, jobs.sort((left, right) => left.at - right.at));
+    return pattern.excludesSurplus === true ? dealt.filter(({ isEntitled: isOwed }) => isOwed) : dealt;
 };
 
 /** Gives each job to an organisation by the weights; those beyond the usual ones of a burst to the one that sends it. */
-const dealToOrganisations = (
+const assignOrganisations = (
     { organisations = [], bursts, seed }: LoadPattern,
     jobs: readonly LoadJob[],
 ): LoadJob[] => {
-    const drawer = new Drawer(new SeededRandom(seed + 104_729));
+    const drawer = new Sampler(new SeededRandom(seed + 104_729));
     const counts = new Map<string, number>();
     const weights = organisations.reduce((sum, { weight }) => sum + weight, 0);
     return jobs.map(job => {
-        const burst = bursts.find(({ queue, organisation, at, lasts }) =>
+        const burst = bursts.find(({ queue, organisation, at, duration: lasts }) =>
             organisation !== undefined && queue === job.load.name && job.at >= at && job.at < at + lasts
         );
         const isOfBurst = burst !== undefined && drawer.happens(1 - 1 / burst.factor);
@@ -112,23 +112,23 @@
         const count = (counts.get(second) ?? 0) + 1;
         counts.set(second, count);
         const isOwed = count <= organisations.find(other => other.name === name)!.weight;
-        return { ...job, isOwed, definition: { ...job.definition, organisation: organisationName(name) } };
+        return { ...job, isEntitled: isOwed, definition: { ...job.definition, organisation: organisationName(name) } };
     });
 };
 
 const factorAt = (bursts: readonly Burst[], { name }: QueueLoad, at: Milliseconds): number =>
     bursts
-        .filter(burst => burst.queue === name && at >= burst.at && at < burst.at + burst.lasts)
+        .filter(burst => burst.queue === name && at >= burst.at && at < burst.at + burst.duration)
         .reduce((factor, burst) => factor * burst.factor, 1);
 
 const swingAt = (swing: Swing | undefined, at: Milliseconds): number =>
     swing === undefined ? 1 : 1 + swing.share * Math.sin(2 * Math.PI * at / swing.period);
 
-const drawJob = (drawer: Drawer, load: QueueLoad, at: Milliseconds, id: string): LoadJob => {
+const generateJob = (drawer: Sampler, load: QueueLoad, at: Milliseconds, id: string): LoadJob => {
     const accelerators = load.accelerators?.[drawer.below(load.accelerators.length)] ?? 0;
     const drawn = Array.from(
         { length: drawer.count(load.steps) },
-        (_, index) => drawStep(drawer, load, index, accelerators),
+        (_, index) => generateStep(drawer, load, index, accelerators),
     );
     const steps = drawn.map(({ step }) => step);
     const works = drawn.map(step => step.works);
@@ -138,18 +138,18 @@
     return {
         at,
         load,
-        isOwed: true,
+        isEntitled: true,
         definition: makeJob(id, steps, { queue: queueName(load.name) }),
-        works,
-        failing: drawn.map(({ failing }) => failing),
-        size: sizes.reduce((sum, size) => sum + size, 0),
-        chain: works.reduce((sum, tasks) => sum + Math.max(...tasks), 0),
-        stay: load.stay && drawer.size(load.stay),
+        taskWork: works,
+        failingTasks: drawn.map(({ failing }) => failing),
+        coreSeconds: sizes.reduce((sum, size) => sum + size, 0),
+        criticalPath: works.reduce((sum, tasks) => sum + Math.max(...tasks), 0),
+        lifetime: load.lifetime && drawer.size(load.lifetime),
     };
 };
 
-const drawStep = (
-    drawer: Drawer,
+const generateStep = (
+    drawer: Sampler,
     load: QueueLoad,
     index: number,
     accelerators: number,
@@ -172,7 +172,7 @@
         after: index === 0 ? [] : [index - 1],
         isGang: taskCount > 1 && drawer.happens(load.gangShare),
         savesProgress: drawer.happens(load.savesShare),
-        isLasting: load.stay !== undefined,
+        isLasting: load.lifetime !== undefined,
     });
     return { step, works, failing: drawer.happens(load.failingShare) ? drawer.below(taskCount) : undefined };
 };
--- a/packages/cell/test/support/load/load-advice.ts
+++ b/packages/cell/test/support/load/load-advice.ts
@@ -3,7 +3,7 @@
 import type { Permit } from "../../../src/index.js";
 
 /** See the module's comment. */
-export class LoadAdvice {
+export class SimulatedAdvice {
     constructor(private readonly seed: number) {}
 
     /** Whether a worker may run a step. */
--- a/packages/cell/test/support/load/load-worker.ts
+++ b/packages/cell/test/support/load/load-worker.ts
@@ -1,9 +1,9 @@
 /** A worker on which tasks take the time that their pattern says. */
 import type { Milliseconds, RunNumber, TaskAddress } from "@pebbledale/core";
-import type { EndedRun, Look, RunEnd, StepDefinition, WorkerEntry } from "../../../src/index.js";
+import type { EndedRun, PollResult, RunEnd, StepDefinition, WorkerEntry } from "../../../src/index.js";
 
 /** Progress of tasks that save it is saved after each stretch of work of this length (the users' `CheckpointS`). */
-const savedEvery: Milliseconds = 2_000;
+const checkpointInterval: Milliseconds = 2_000;
 
 /** One run as the replay knows it. */
 export interface LoadRun {
@@ -15,7 +15,7 @@
     readonly restored: number;
     readonly arrivedAt: Milliseconds;
     /** When it is at work; undefined while its gang is not whole. */
-    began: Milliseconds | undefined;
+    startedAt: Milliseconds | undefined;
     /** When it would be done. */
     endsAt: Milliseconds;
 }
@@ -23,7 +23,7 @@
 /** See the module's comment. */
 export class LoadWorker {
     readonly runs = new Map<string, LoadRun>();
-    isThere = true;
+    isUp = true;
     #ended: EndedRun[] = [];
     #count = 0;
 
@@ -31,17 +31,17 @@
 
     /** Takes a run in. */
     add(run: LoadRun): void {
-        this.runs.set(nameOf(run.task, run.run), run);
+        this.runs.set(runKey(run.task, run.run), run);
     }
 
     /** A run that is here. */
     runOf(task: TaskAddress, run: RunNumber): LoadRun | undefined {
-        return this.runs.get(nameOf(task, run));
+        return this.runs.get(runKey(task, run));
     }
 
     /** Ends a run that is here; false when it is not. */
     end(run: LoadRun, end: RunEnd, checkpoint: string): boolean {
-        const isHere = this.runs.delete(nameOf(run.task, run.run));
+        const isHere = this.runs.delete(runKey(run.task, run.run));
         if (isHere) {
             this.#ended.push({ number: ++this.#count, task: run.task, run: run.run, end, checkpoint });
         }
@@ -49,14 +49,14 @@
     }
 
     /** What a look shows. Ends are shown once: no message is lost here. */
-    look(now: Milliseconds): Look {
+    poll(now: Milliseconds): PollResult {
         const ended = this.#ended;
         this.#ended = [];
         const running = [...this.runs.values()].map(run => ({
             task: run.task,
             run: run.run,
-            checkpoint: savedOf(run, now),
-            percent: Math.floor(100 * shareDone(run, now)),
+            checkpoint: savedCheckpoint(run, now),
+            percent: Math.floor(100 * shareCompleted(run, now)),
             measure: 0,
         }));
         return { clock: now, running, ended };
@@ -64,18 +64,18 @@
 }
 
 /** How much of its task a run has done, from 0 to 1. */
-export const shareDone = ({ began, endsAt, restored }: LoadRun, now: Milliseconds): number => {
+export const shareCompleted = ({ startedAt: began, endsAt, restored }: LoadRun, now: Milliseconds): number => {
     const done = began === undefined ? 0 : Math.min(1, Math.max(0, (now - began) / Math.max(1, endsAt - began)));
     return restored + (1 - restored) * done;
 };
 
 /** The progress that a run saved by itself, as its checkpoint. */
-const savedOf = (run: LoadRun, now: Milliseconds): string => {
-    if (!run.step.savesProgress || run.began === undefined) {
+const savedCheckpoint = (run: LoadRun, now: Milliseconds): string => {
+    if (!run.step.savesProgress || run.startedAt === undefined) {
         return "";
     }
-    const stretches = Math.floor((now - run.began) / savedEvery);
-    return stretches === 0 ? "" : String(shareDone(run, run.began + stretches * savedEvery));
+    const stretches = Math.floor((now - run.startedAt) / checkpointInterval);
+    return stretches === 0 ? "" : String(shareCompleted(run, run.startedAt + stretches * checkpointInterval));
 };
 
-const nameOf = (task: TaskAddress, run: RunNumber): string => `${task}#${run}`;
+const runKey = (task: TaskAddress, run: RunNumber): string => `${task}#${run}`;
--- a/packages/cell/test/support/load/main.ts
+++ b/packages/cell/test/support/load/main.ts
@@ -1,7 +1,7 @@
 /** Plays load patterns by hand and prints what callers had: `npm run replay -- PATTERN SEED...`. */
 import { SystemClock } from "@pebbledale/core";
 import { floodedKioskLoad, fullKioskLoad, hotKioskLoad, wavesLoad } from "./kiosk-patterns.js";
-import type { Outcome, Served } from "./outcome.js";
+import type { Outcome, ServiceLevel } from "./outcome.js";
 import type { LoadPattern } from "./pattern.js";
 import {
     backlogLoad,
@@ -39,12 +39,12 @@
 
 const percent = (share: number): string => `${(100 * share).toFixed(1)}%`;
 
-const servedLine = (name: string, { asked, onTime, late, share, median }: Served): string =>
+const servedLine = (name: string, { submitted: asked, onTime, late, share, median }: ServiceLevel): string =>
     `  ${name.padEnd(24)} ${
         percent(share).padStart(7)
     } of its worth; ${onTime} on time, ${late} late of ${asked}; median ${Math.round(median)} ms`;
 
-const passLine = (passes: readonly number[]): string => {
+const cycleLine = (passes: readonly number[]): string => {
     const sorted = [...passes].sort((left, right) => right - left);
     const mean = passes.reduce((sum, pass) => sum + pass, 0) / Math.max(1, passes.length);
     return `  ${passes.length} passes: mean ${mean.toFixed(2)} ms, longest ${(sorted[0] ?? 0).toFixed(0)} ms`;
@@ -65,7 +65,7 @@
     if (outcome.lastingShare !== undefined) {
         console.log(`  tasks that last were at work ${percent(outcome.lastingShare)} of their time`);
     }
-    for (const [name, { all, fifthBeneath, largestTenth }] of Object.entries(outcome.queues)) {
+    for (const [name, { all, nextFifth: fifthBeneath, largestTenth }] of Object.entries(outcome.queues)) {
         console.log(servedLine(name, all));
         console.log(servedLine(`${name}, largest tenth`, largestTenth));
         console.log(servedLine(`${name}, fifth beneath`, fifthBeneath));
@@ -75,11 +75,11 @@
             `  the worst-served tenth of the organisations: ${percent(outcome.worstOrganisations)} of its worth`,
         );
     }
-    console.log(passLine(outcome.passes));
+    console.log(cycleLine(outcome.cycleTimes));
     if (outcome.mostCrashes > 0) {
         console.log(`  workers crashed under one task: ${outcome.mostCrashes} at most`);
     }
-    outcome.broken.forEach(line => console.log(`  broken: ${line}`));
+    outcome.violations.forEach(line => console.log(`  broken: ${line}`));
 };
 
 const [name = "", ...seeds] = process.argv.slice(2);
--- a/packages/cell/test/support/load/outcome.ts
+++ b/packages/cell/test/support/load/outcome.ts
@@ -8,13 +8,13 @@
 const lateWorth = 0.2;
 /** A job is worth this much of its queue's mean, and the rest by its work, at most four times the mean (the users' rules). */
 const fixedWorth = 0.3;
-const mostWorth = 4;
+const maxWorth = 4;
 /** Jobs are looked at by when they were handed in, in windows of this length. */
 const windowLength: Milliseconds = 2_000;
 
 /** What callers of some jobs had. */
-export interface Served {
-    readonly asked: number;
+export interface ServiceLevel {
+    readonly submitted: number;
     readonly onTime: number;
     readonly late: number;
     /** Worth earned as a share of worth asked. */
@@ -24,9 +24,9 @@
 
 /** What callers of one queue had, also of its largest tenth of jobs and the fifth beneath. */
 export interface QueueOutcome {
-    readonly all: Served;
-    readonly largestTenth: Served;
-    readonly fifthBeneath: Served;
+    readonly all: ServiceLevel;
+    readonly largestTenth: ServiceLevel;
+    readonly nextFifth: ServiceLevel;
 }
 
 /** See the module's comment. */
@@ -52,27 +52,27 @@
     readonly slowJudgements: number;
     readonly questions: number;
     /** What passes over what waits took; empty without a stopwatch. */
-    readonly passes: readonly Milliseconds[];
+    readonly cycleTimes: readonly Milliseconds[];
     /** Most workers that one task at fault crashed. */
     readonly mostCrashes: number;
     /** What must not happen. */
-    readonly broken: readonly string[];
+    readonly violations: readonly string[];
 }
 
 /** One job with when it ended; undefined when it did not. */
 export interface JobOutcome {
     readonly job: LoadJob;
-    readonly took: Milliseconds | undefined;
+    readonly duration: Milliseconds | undefined;
 }
 
 /** What callers of some jobs had. `mean`: mean size of their queue's jobs. */
-export const served = (jobs: readonly JobOutcome[], mean: number): Served => {
+export const serviceLevelOf = (jobs: readonly JobOutcome[], mean: number): ServiceLevel => {
     const grades = jobs.map(gradeOf);
     const worths = jobs.map(({ job }) => worthOf(job, mean));
     const sum = (values: readonly number[]): number => values.reduce((total, value) => total + value, 0);
-    const times = jobs.map(({ took }) => took ?? Infinity).sort((left, right) => left - right);
+    const times = jobs.map(({ duration: took }) => took ?? Infinity).sort((left, right) => left - right);
     return {
-        asked: jobs.length,
+        submitted: jobs.length,
         onTime: grades.filter(grade => grade === 1).length,
         late: grades.filter(grade => grade === lateWorth).length,
         share: sum(grades.map((grade, index) => grade * worths[index])) / Math.max(1e-9, sum(worths)),
@@ -82,13 +82,13 @@
 
 /** Outcomes of one queue. */
 export const queueOutcome = (jobs: readonly JobOutcome[]): QueueOutcome => {
-    const mean = jobs.reduce((sum, { job }) => sum + job.size, 0) / Math.max(1, jobs.length);
-    const bySize = [...jobs].sort((left, right) => right.job.size - left.job.size);
+    const mean = jobs.reduce((sum, { job }) => sum + job.coreSeconds, 0) / Math.max(1, jobs.length);
+    const bySize = [...jobs].sort((left, right) => right.job.coreSeconds - left.job.coreSeconds);
     const tenth = Math.ceil(jobs.length / 10);
     return {
-        all: served(jobs, mean),
-        largestTenth: served(bySize.slice(0, tenth), mean),
-        fifthBeneath: served(bySize.slice(tenth, 3 * tenth), mean),
+        all: serviceLevelOf(jobs, mean),
+        largestTenth: serviceLevelOf(bySize.slice(0, tenth), mean),
+        nextFifth: serviceLevelOf(bySize.slice(tenth, 3 * tenth), mean),
     };
 };
 
@@ -108,7 +108,7 @@
 export const organisationShares = (queues: ReadonlyMap<string, readonly JobOutcome[]>): Map<string, number> => {
     const byOrganisation = new Map<string, { readonly asked: number; readonly earned: number; }>();
     for (const jobs of queues.values()) {
-        const mean = jobs.reduce((sum, { job }) => sum + job.size, 0) / Math.max(1, jobs.length);
+        const mean = jobs.reduce((sum, { job }) => sum + job.coreSeconds, 0) / Math.max(1, jobs.length);
         for (const outcome of jobs) {
             const { organisation } = outcome.job.definition;
             if (organisation !== undefined) {
@@ -135,7 +135,7 @@
 export const worstWindows = (queues: ReadonlyMap<string, readonly JobOutcome[]>): number => {
     const windows = new Map<number, { asked: number; earned: number; }>();
     for (const jobs of queues.values()) {
-        const mean = jobs.reduce((sum, { job }) => sum + job.size, 0) / Math.max(1, jobs.length);
+        const mean = jobs.reduce((sum, { job }) => sum + job.coreSeconds, 0) / Math.max(1, jobs.length);
         for (const outcome of jobs) {
             const at = Math.floor(outcome.job.at / windowLength);
             const window = windows.get(at) ?? { asked: 0, earned: 0 };
@@ -147,13 +147,13 @@
     return worst.slice(0, 2).reduce((sum, share) => sum + share, 0) / Math.min(2, Math.max(1, worst.length));
 };
 
-const gradeOf = ({ job, took }: JobOutcome): number => {
-    const objective = job.load.extension * job.chain + job.load.latencyTarget;
+const gradeOf = ({ job, duration: took }: JobOutcome): number => {
+    const objective = job.load.extension * job.criticalPath + job.load.latencyTarget;
     if (took === undefined || took > lateFactor * objective) {
         return 0;
     }
     return took > objective ? lateWorth : 1;
 };
 
-const worthOf = ({ size, load }: LoadJob, mean: number): number =>
-    load.worth * Math.min(mostWorth, fixedWorth + (1 - fixedWorth) * size / mean);
+const worthOf = ({ coreSeconds: size, load }: LoadJob, mean: number): number =>
+    load.worth * Math.min(maxWorth, fixedWorth + (1 - fixedWorth) * size / mean);
--- a/packages/cell/test/support/load/pattern.ts
+++ b/packages/cell/test/support/load/pattern.ts
@@ -3,11 +3,11 @@
 import type { AdvicePolicy, TaskSize } from "../../../src/index.js";
 
 /** Sizes around a mean: lognormal, cut at `most`. */
-export interface Spread {
+export interface Distribution {
     readonly mean: number;
     /** Standard deviation as a share of the mean. */
     readonly spread: number;
-    readonly most: number;
+    readonly max: number;
 }
 
 /** Advice on the steps of a queue: each worker is permitted with this chance, for each step anew. */
@@ -22,18 +22,18 @@
     readonly perSecond: number;
     readonly extension: number;
     readonly latencyTarget: Milliseconds;
-    readonly steps: Spread;
-    readonly width: Spread;
-    readonly processorThousandths: Spread;
-    readonly memoryMebibytes: Spread;
+    readonly steps: Distribution;
+    readonly width: Distribution;
+    readonly processorThousandths: Distribution;
+    readonly memoryMebibytes: Distribution;
     /** Accelerators of a task, one of these for each job; left out where tasks want none. */
     readonly accelerators?: readonly number[];
     /** The service whose workers run it; left out for the pattern's first one. */
     readonly service?: string;
     /** Its tasks last until the caller cancels the job after this time; left out where they end by themselves. */
-    readonly stay?: Spread;
+    readonly lifetime?: Distribution;
     /** Work of one task on a worker of full speed. */
-    readonly work: Spread;
+    readonly work: Distribution;
     /** How far tasks of one step differ, as a share of their mean. */
     readonly unevenness: number;
     /** How far the callers' estimates are off: the natural logarithm of the factor is within plus or minus this. */
@@ -79,7 +79,7 @@
     /** Whose the jobs beyond the usual ones are; left out where they are everyone's. */
     readonly organisation?: string;
     readonly at: Milliseconds;
-    readonly lasts: Milliseconds;
+    readonly duration: Milliseconds;
     readonly factor: number;
 }
 
@@ -99,14 +99,14 @@
 /** Records are kept this much later for a while: the store is slow. */
 export interface SlowStore {
     readonly at: Milliseconds;
-    readonly lasts: Milliseconds;
+    readonly duration: Milliseconds;
     readonly delay: Milliseconds;
 }
 
 /** Nothing is taken or decided for a while: the cell changes its owner. Jobs that come meanwhile are taken after it. */
-export interface Pause {
+export interface OwnerPause {
     readonly at: Milliseconds;
-    readonly lasts: Milliseconds;
+    readonly duration: Milliseconds;
 }
 
 /** A whole pattern. */
@@ -125,20 +125,20 @@
     /** Left out where demand is even. */
     readonly swing?: Swing;
     /** VMs that ask the advice service, one call at a time each. */
-    readonly askers: number;
+    readonly advisingVms: number;
     /** Jobs come for so long. */
-    readonly lasts: Milliseconds;
+    readonly duration: Milliseconds;
     /** What was accepted is given so long to end after that. */
-    readonly drains: Milliseconds;
+    readonly drainTime: Milliseconds;
     readonly queues: readonly QueueLoad[];
     readonly bursts: readonly Burst[];
     /** Left out where nobody is told apart. */
     readonly organisations?: readonly LoadOrganisation[];
     /** Whether jobs beyond what their organisations are owed are left out, so that the others can be compared with and without them. */
-    readonly isWithoutSurplus?: boolean;
+    readonly excludesSurplus?: boolean;
     readonly departures: readonly Departure[];
     /** Left out where only tasks crash workers, or nothing does. */
     readonly crashes?: readonly CrashWave[];
     readonly slowStores: readonly SlowStore[];
-    readonly pauses: readonly Pause[];
+    readonly pauses: readonly OwnerPause[];
 }
--- a/packages/cell/test/support/load/replay.ts
+++ b/packages/cell/test/support/load/replay.ts
@@ -17,16 +17,16 @@
     type TaskAddress,
     type WorkerId,
     workerId,
-    workerLife,
+    workerIncarnation,
 } from "@pebbledale/core";
 import {
-    type AdviceCommand,
     AdviceDispatcher,
+    type AdviceRequest,
     CellJobState,
     CellScheduler,
     type Job,
     OrderRefusal,
-    placeOf,
+    parseTaskAddress,
     type QueueConfiguration,
     RunEnd,
     RunPhase,
@@ -35,12 +35,12 @@
     type StopCommand,
     type TaskSize,
     tasksOf,
-    type Turn,
+    type TurnOutput,
 } from "../../../src/index.js";
 import { makeConfiguration, makeOrganisation, makeQueue, makeWorker, service } from "../builders.js";
-import { Drawer, drawJobs, type LoadJob } from "./draw.js";
-import { LoadAdvice } from "./load-advice.js";
-import { type LoadRun, LoadWorker, shareDone } from "./load-worker.js";
+import { generateJobs, type LoadJob, Sampler } from "./draw.js";
+import { SimulatedAdvice } from "./load-advice.js";
+import { type LoadRun, LoadWorker, shareCompleted } from "./load-worker.js";
 import {
     type JobOutcome,
     organisationShares,
@@ -58,8 +58,8 @@
 const endDelay: Milliseconds = 10;
 const stopDelay: Milliseconds = 300;
 /** Least time between two passes over what waits. */
-const passInterval: Milliseconds = 20;
-const lookInterval: Milliseconds = 600;
+const cycleInterval: Milliseconds = 20;
+const pollInterval: Milliseconds = 600;
 const tickInterval: Milliseconds = 100;
 const restoreTime: Milliseconds = 600;
 /** A task at fault crashes its worker after this time; the next life comes after that one, and leases run longer. */
@@ -85,22 +85,22 @@
     readonly #endedAt = new Map<string, Milliseconds>();
     readonly #gangs = new Map<string, Gang>();
     readonly #failed = new Set<TaskAddress>();
-    readonly #advice: LoadAdvice;
+    readonly #advice: SimulatedAdvice;
     readonly #dispatcher: AdviceDispatcher;
-    readonly #drawer: Drawer;
+    readonly #drawer: Sampler;
     readonly #due = new Map<Milliseconds, (() => void)[]>();
-    readonly #lookPlanned = new Set<LoadWorker>();
-    readonly #broken: string[] = [];
+    readonly #pollPlanned = new Set<LoadWorker>();
+    readonly #violations: string[] = [];
     #restarts = 0;
     readonly #crashesBy = new Map<TaskAddress, number>();
     readonly #stops: Record<string, number> = {};
-    readonly #passes: Milliseconds[] = [];
+    readonly #cycleTimes: Milliseconds[] = [];
     #slowJudgements = 0;
     #questions = 0;
     /** Jobs that end by themselves. */
     readonly #endingJobs: number;
     #nextJob = 0;
-    #nextPass: Milliseconds = 0;
+    #nextCycle: Milliseconds = 0;
     #worked = 0;
     #wasted = 0;
     /** By service. */
@@ -111,11 +111,11 @@
 
     /** `stopwatch`: measures what passes take. */
     constructor(private readonly pattern: LoadPattern, private readonly stopwatch?: Clock) {
-        this.#jobs = drawJobs(pattern);
+        this.#jobs = generateJobs(pattern);
         this.#jobs.forEach(job => this.#byId.set(job.definition.job, job));
-        this.#endingJobs = this.#jobs.filter(({ stay }) => stay === undefined).length;
-        this.#drawer = new Drawer(new SeededRandom(pattern.seed));
-        this.#advice = new LoadAdvice(pattern.seed);
+        this.#endingJobs = this.#jobs.filter(({ lifetime: stay }) => stay === undefined).length;
+        this.#drawer = new Sampler(new SeededRandom(pattern.seed));
+        this.#advice = new SimulatedAdvice(pattern.seed);
         this.#cell = new CellScheduler({
             clock: this.#clock,
             log: { log: (event, fields) => this.#note(event, fields) },
@@ -127,14 +127,14 @@
         this.#cell.configure(makeConfiguration(1, queues, organisations));
         this.#dispatcher = new AdviceDispatcher(() => this.#clock.monotonic(), this.#cell);
         this.#addWorkers();
-        this.#addAskers();
+        this.#addAdvisingVms();
         pattern.departures.forEach(departure => this.#at(departure.at, () => this.#depart(departure)));
         pattern.crashes?.forEach(wave => this.#at(wave.at, () => this.#crashShare(wave)));
     }
 
     /** Plays the whole pattern. */
     run(): Outcome {
-        const end = this.pattern.lasts + this.pattern.drains;
+        const end = this.pattern.duration + this.pattern.drainTime;
         while (this.#clock.monotonic() < end && !this.#isDone()) {
             this.#step();
         }
@@ -147,7 +147,7 @@
         const due = this.#due.get(now) ?? [];
         this.#due.delete(now);
         due.forEach(action => action());
-        if (this.pattern.pauses.some(({ at, lasts }) => now >= at && now < at + lasts)) {
+        if (this.pattern.pauses.some(({ at, duration: lasts }) => now >= at && now < at + lasts)) {
             return;
         }
         this.#arrive(now);
@@ -155,26 +155,26 @@
             this.#cell.tick();
             this.#sample();
         }
-        if (this.#cell.wantsPass && now >= this.#nextPass) {
-            this.#pass();
-            this.#nextPass = now + passInterval;
+        if (this.#cell.needsCycle && now >= this.#nextCycle) {
+            this.#cycle();
+            this.#nextCycle = now + cycleInterval;
         }
         if (this.#cell.hasOutput) {
             this.#carryOut(this.#cell.drain(), now);
         }
     }
 
-    #pass(): void {
+    #cycle(): void {
         const begunAt = this.stopwatch?.monotonic() ?? 0;
         this.#cell.place();
         if (this.stopwatch !== undefined) {
-            this.#passes.push(this.stopwatch.monotonic() - begunAt);
+            this.#cycleTimes.push(this.stopwatch.monotonic() - begunAt);
         }
     }
 
     #arrive(now: Milliseconds): void {
         while (this.#nextJob < this.#jobs.length && this.#jobs[this.#nextJob].at <= now) {
-            const { definition, stay } = this.#jobs[this.#nextJob++];
+            const { definition, lifetime: stay } = this.#jobs[this.#nextJob++];
             this.#cell.submit(definition);
             if (stay !== undefined) {
                 this.#after(stay, () => this.#cell.cancel(jobId(definition.job)));
@@ -198,7 +198,7 @@
         this.#at(this.#clock.monotonic() + delay, action);
     }
 
-    #carryOut(turn: Turn, now: Milliseconds): void {
+    #carryOut(turn: TurnOutput, now: Milliseconds): void {
         this.#questions += turn.questions.length;
         this.#dispatcher.ask(...turn.questions);
         for (const command of turn.commands) {
@@ -206,21 +206,21 @@
                 this.#after(messageDelay + stopDelay, () => this.#stop(command));
             }
         }
-        this.#after(this.#recordDelay(now), () => this.#keep(turn));
+        this.#after(this.#recordDelay(now), () => this.#commit(turn));
     }
 
     #recordDelay(now: Milliseconds): Milliseconds {
-        const slow = this.pattern.slowStores.find(({ at, lasts }) => now >= at && now < at + lasts);
+        const slow = this.pattern.slowStores.find(({ at, duration: lasts }) => now >= at && now < at + lasts);
         return recordDelay + (slow?.delay ?? 0);
     }
 
-    #keep(turn: Turn): void {
-        this.#cell.kept(turn);
+    #commit(turn: TurnOutput): void {
+        this.#cell.turnCommitted(turn);
         for (const command of turn.commands) {
             if (command.kind !== "start") {
                 continue;
             }
-            if (this.#cell.sendStart(command.worker, command.task, command.run)) {
+            if (this.#cell.prepareStart(command.worker, command.task, command.run)) {
                 this.#after(messageDelay, () => this.#start(command));
             }
             else {
@@ -231,9 +231,9 @@
             const state = this.#cell.stateOf(id);
             const isAtFault = this.#byId.get(id)?.load.crashesWorkers === true;
             const wanted = isAtFault ? CellJobState.Failed : CellJobState.Completed;
-            const isLasting = this.#byId.get(id)?.stay !== undefined;
+            const isLasting = this.#byId.get(id)?.lifetime !== undefined;
             if (state !== wanted && !isLasting && (state === CellJobState.Failed || state === CellJobState.Completed)) {
-                this.#broken.push(`${id} is shown as ${state}`);
+                this.#violations.push(`${id} is shown as ${state}`);
             }
             if (state === wanted && !this.#endedAt.has(id)) {
                 this.#endedAt.set(id, this.#clock.monotonic());
@@ -245,7 +245,7 @@
         const { worker: id, task, run, ticket } = command;
         const worker = this.#workers.get(id);
         const now = this.#clock.monotonic();
-        if (worker?.isThere !== true) {
+        if (worker?.isUp !== true) {
             return;
         }
         if (ticket !== undefined && Number(ticket) < now) {
@@ -261,13 +261,13 @@
             step,
             restored,
             arrivedAt: now,
-            began: undefined,
+            startedAt: undefined,
             endsAt: Infinity,
         };
         worker.add(entry);
         this.#checkRoom(worker);
         this.#checkLimit(entry);
-        this.#after(messageDelay, () => this.#cell.startTaken(id, task, run));
+        this.#after(messageDelay, () => this.#cell.startAccepted(id, task, run));
         if (step.isGang) {
             this.#join(entry);
         }
@@ -281,13 +281,13 @@
     }
 
     #isAtFault(task: TaskAddress): boolean {
-        const { job, step, index } = placeOf(task)!;
+        const { job, step, index } = parseTaskAddress(task)!;
         return this.#byId.get(job)!.load.crashesWorkers === true && step === 0 && index === 0;
     }
 
     #crashShare({ share }: CrashWave): void {
         for (const worker of [...this.#workers.values()]) {
-            if (worker.isThere && this.#drawer.happens(share)) {
+            if (worker.isUp && this.#drawer.happens(share)) {
                 this.#crash(worker);
             }
         }
@@ -295,10 +295,10 @@
 
     /** A worker ends without a word; another life comes at its address after a while, each second one under its id. */
     #crash(worker: LoadWorker): void {
-        if (!worker.isThere) {
+        if (!worker.isUp) {
             return;
         }
-        worker.isThere = false;
+        worker.isUp = false;
         const lost = [...worker.runs.values()];
         worker.runs.clear();
         lost.forEach(entry => this.#breakGang(entry));
@@ -306,7 +306,7 @@
         const lapsesAt = this.#clock.monotonic() + crashedLease;
         this.#after(
             messageDelay,
-            () => this.#cell.takeSilence(id, lapsesAt, { cause: "refused", heardAgo: messageDelay }),
+            () => this.#cell.applySilence(id, lapsesAt, { cause: "refused", heardAgo: messageDelay }),
         );
         this.#after(restartDelay, () => this.#restart(worker));
     }
@@ -314,22 +314,22 @@
     #restart({ entry, slowness }: LoadWorker): void {
         const isUnderItsId = this.#restarts++ % 2 === 0;
         const id = isUnderItsId ? entry.worker : workerId(`${entry.worker}+`);
-        const life = workerLife(this.#restarts);
+        const life = workerIncarnation(this.#restarts);
         const next = makeWorker(id, { ...entry, worker: id, life });
         const worker = new LoadWorker(next, slowness);
         this.#workers.delete(entry.worker);
         this.#workers.set(id, worker);
         if (isUnderItsId) {
-            this.#cell.takeRestart(id, life);
+            this.#cell.applyRestart(id, life);
         }
         else {
-            this.#cell.takeOtherLife(entry.worker);
+            this.#cell.applyReplacement(entry.worker);
         }
-        this.#cell.changeWorkers([next], []);
+        this.#cell.updateWorkerEntries([next], []);
         this.#after(recordDelay * 2, () => {
             // The first look under the link to this life.
-            this.#look(worker, this.#clock.monotonic());
-            this.#lookAgain(worker);
+            this.#poll(worker, this.#clock.monotonic());
+            this.#pollAgain(worker);
         });
     }
 
@@ -352,7 +352,7 @@
         const isLasting = entries[0].step.isLasting;
         const endsAt = isLasting ? Infinity : now + Math.max(...entries.map(entry => this.#durationOf(entry)));
         for (const entry of entries) {
-            entry.began = now;
+            entry.startedAt = now;
             entry.endsAt = endsAt;
         }
         if (isLasting) {
@@ -370,15 +370,15 @@
     }
 
     #durationOf({ task, restored, worker }: LoadRun): Milliseconds {
-        const { job, step, index } = placeOf(task)!;
-        const work = this.#byId.get(job)!.works[step][index];
+        const { job, step, index } = parseTaskAddress(task)!;
+        const work = this.#byId.get(job)!.taskWork[step][index];
         return work * worker.slowness * (1 - restored) + (restored > 0 ? restoreTime : 0);
     }
 
     /** Whether a run is the one of its step that fails: the first of the task that the pattern names. */
     #failsNow({ task }: LoadRun): boolean {
-        const { job, step, index } = placeOf(task)!;
-        if (this.#byId.get(job)!.failing[step] !== index || this.#failed.has(task)) {
+        const { job, step, index } = parseTaskAddress(task)!;
+        if (this.#byId.get(job)!.failingTasks[step] !== index || this.#failed.has(task)) {
             return false;
         }
         this.#failed.add(task);
@@ -405,35 +405,35 @@
     #end(entry: LoadRun, end: RunEnd): void {
         const now = this.#clock.monotonic();
         const isKept = end === RunEnd.Stopped && entry.step.savesProgress;
-        const checkpoint = isKept ? String(shareDone(entry, now)) : "";
+        const checkpoint = isKept ? String(shareCompleted(entry, now)) : "";
         if (!entry.worker.end(entry, end, checkpoint)) {
             return;
         }
         const work = entry.step.size.processorThousandths * (now - entry.arrivedAt);
         this.#worked += work;
         this.#wasted += end === RunEnd.Done || isKept || entry.step.isLasting ? 0 : work;
-        this.#planLook(entry.worker);
+        this.#planPoll(entry.worker);
     }
 
-    #planLook(worker: LoadWorker): void {
-        if (!this.#lookPlanned.has(worker)) {
-            this.#lookPlanned.add(worker);
-            this.#after(endDelay, () => this.#look(worker));
+    #planPoll(worker: LoadWorker): void {
+        if (!this.#pollPlanned.has(worker)) {
+            this.#pollPlanned.add(worker);
+            this.#after(endDelay, () => this.#poll(worker));
         }
     }
 
-    #look(worker: LoadWorker, settledBefore = -Infinity): void {
-        this.#lookPlanned.delete(worker);
+    #poll(worker: LoadWorker, settledBefore = -Infinity): void {
+        this.#pollPlanned.delete(worker);
         const now = this.#clock.monotonic();
-        if (worker.isThere) {
-            this.#cell.takeLook(worker.entry.worker, worker.look(now), now - messageDelay, settledBefore);
+        if (worker.isUp) {
+            this.#cell.applyPoll(worker.entry.worker, worker.poll(now), now - messageDelay, settledBefore);
         }
     }
 
-    #lookAgain(worker: LoadWorker): void {
-        this.#look(worker);
-        if (worker.isThere) {
-            this.#after(lookInterval, () => this.#lookAgain(worker));
+    #pollAgain(worker: LoadWorker): void {
+        this.#poll(worker);
+        if (worker.isUp) {
+            this.#after(pollInterval, () => this.#pollAgain(worker));
         }
     }
 
@@ -441,9 +441,9 @@
         const { otherServices = [], sizes } = this.pattern;
         this.#addService({ ...this.pattern, name: service }, sizes);
         otherServices.forEach(other => this.#addService(other));
-        this.#cell.changeWorkers([...this.#workers.values()].map(worker => worker.entry), []);
-        this.#cell.kept(this.#cell.drain());
-        this.#workers.forEach(worker => this.#look(worker, this.#clock.monotonic()));
+        this.#cell.updateWorkerEntries([...this.#workers.values()].map(worker => worker.entry), []);
+        this.#cell.turnCommitted(this.#cell.drain());
+        this.#workers.forEach(worker => this.#poll(worker, this.#clock.monotonic()));
     }
 
     #addService(load: LoadService, sizes: readonly number[] = [1]): void {
@@ -455,39 +455,39 @@
             const size = sizes[Math.floor(index / slowness.length) % sizes.length];
             const entry = makeWorker(`w${first + index}`, {
                 service: serviceName(name),
-                capacity: timesSize(capacity, size),
+                capacity: scaleSize(capacity, size),
                 rack,
                 labels: ["a", rack],
             });
             const worker = new LoadWorker(entry, slowness[index % slowness.length]);
             this.#workers.set(entry.worker, worker);
-            this.#after(lookInterval * index / workers, () => this.#lookAgain(worker));
+            this.#after(pollInterval * index / workers, () => this.#pollAgain(worker));
         }
     }
 
     #depart({ share, notice }: Departure): void {
         for (const worker of this.#workers.values()) {
-            if (worker.isThere && this.#drawer.happens(share)) {
-                this.#cell.changeWorkers([{ ...worker.entry, isDraining: true, leavesIn: notice }], []);
+            if (worker.isUp && this.#drawer.happens(share)) {
+                this.#cell.updateWorkerEntries([{ ...worker.entry, isDraining: true, leavesIn: notice }], []);
                 this.#after(notice, () => this.#leave(worker));
             }
         }
     }
 
     #leave(worker: LoadWorker): void {
-        worker.isThere = false;
+        worker.isUp = false;
         const { worker: id } = worker.entry;
         for (const entry of [...worker.runs.values()]) {
             this.#end(entry, RunEnd.Lapsed);
             this.#breakGang(entry);
         }
-        this.#cell.changeWorkers([], [id]);
-        this.#cell.takeSilence(id, this.#clock.monotonic() + lease);
+        this.#cell.updateWorkerEntries([], [id]);
+        this.#cell.applySilence(id, this.#clock.monotonic() + lease);
     }
 
     /** The service answers one call at a time for each VM that asks. */
-    #addAskers(): void {
-        for (let index = 0; index < this.pattern.askers; index++) {
+    #addAdvisingVms(): void {
+        for (let index = 0; index < this.pattern.advisingVms; index++) {
             let busyUntil = 0;
             this.#dispatcher.join(`vm${index}`, (question, command, duration) => {
                 busyUntil = Math.max(busyUntil, this.#clock.monotonic() + messageDelay) + duration;
@@ -496,13 +496,13 @@
         }
     }
 
-    #answer(question: number, { step, workers }: AdviceCommand): void {
+    #answer(question: number, { step, workers }: AdviceRequest): void {
         const { validity, permittedShare } = this.#byId.get(step.split("/")[0])!.load.advice!;
         const until = this.#clock.monotonic() + validity;
         const permits = this.#advice.permitsOf(step, workers, permittedShare, until);
         this.#after(messageDelay, () => {
-            this.#dispatcher.answered(question);
-            this.#cell.takeAdvice(step, workers, { kind: "advised", permits, validity });
+            this.#dispatcher.complete(question);
+            this.#cell.applyAdvice(step, workers, { kind: "advised", permits, validity });
         });
     }
 
@@ -520,7 +520,7 @@
             }
         }
         if (used > limit.cores * 1_000) {
-            this.#broken.push(`${organisation} has ${used} at work`);
+            this.#violations.push(`${organisation} has ${used} at work`);
         }
     }
 
@@ -536,12 +536,12 @@
             accelerators += step.size.accelerators;
         }
         if (used > entry.capacity.processorThousandths || accelerators > entry.capacity.accelerators) {
-            this.#broken.push(`${entry.worker} is given ${used} and ${accelerators} accelerators`);
+            this.#violations.push(`${entry.worker} is given ${used} and ${accelerators} accelerators`);
         }
     }
 
     #stepOf(task: TaskAddress): StepDefinition {
-        const { job, step } = placeOf(task)!;
+        const { job, step } = parseTaskAddress(task)!;
         return this.#byId.get(job)!.definition.steps[step];
     }
 
@@ -555,7 +555,7 @@
 
     /** Free processors count as idle up to what waiting tasks ask for. */
     #sample(): void {
-        if (this.#clock.monotonic() > this.pattern.lasts) {
+        if (this.#clock.monotonic() > this.pattern.duration) {
             return;
         }
         const { processor, services } = this.#cell.summary();
@@ -569,7 +569,7 @@
 
     /** Tasks that last serve their callers by being at work. */
     #sampleLasting(): void {
-        for (const { definition, stay } of this.#jobs.slice(0, this.#nextJob)) {
+        for (const { definition, lifetime: stay } of this.#jobs.slice(0, this.#nextJob)) {
             const job = this.#cell.jobs.get(jobId(definition.job));
             if (stay === undefined || job?.isOver !== false || this.#isNew(job)) {
                 continue;
@@ -577,21 +577,21 @@
             const tasks = tasksOf(job);
             this.#lastingTasks += tasks.length;
             this.#lastingAtWork += tasks.filter(({ runs }) =>
-                runs.some(({ phase }) => phase === RunPhase.AtWork)
+                runs.some(({ phase }) => phase === RunPhase.Running)
             ).length;
         }
     }
 
-    #isNew({ acceptedSteady, terms }: Job): boolean {
+    #isNew({ acceptedAtMonotonic: acceptedSteady, terms }: Job): boolean {
         return this.#clock.monotonic() < acceptedSteady + terms.latencyTarget;
     }
 
     #outcome(): Outcome {
         const outcomes = new Map<string, JobOutcome[]>();
-        for (const job of this.#jobs.filter(({ isOwed, stay }) => isOwed && stay === undefined)) {
+        for (const job of this.#jobs.filter(({ isEntitled: isOwed, lifetime: stay }) => isOwed && stay === undefined)) {
             const endedAt = this.#endedAt.get(jobId(job.definition.job));
             const jobs = outcomes.get(job.load.name) ?? [];
-            jobs.push({ job, took: endedAt === undefined ? undefined : endedAt - job.at });
+            jobs.push({ job, duration: endedAt === undefined ? undefined : endedAt - job.at });
             outcomes.set(job.load.name, jobs);
         }
         const organisations = organisationShares(outcomes);
@@ -610,9 +610,9 @@
             stops: this.#stops,
             slowJudgements: this.#slowJudgements,
             questions: this.#questions,
-            passes: this.#passes,
+            cycleTimes: this.#cycleTimes,
             mostCrashes: Math.max(0, ...this.#crashesBy.values()),
-            broken: this.#broken,
+            violations: this.#violations,
         };
     }
 }
@@ -620,7 +620,7 @@
 const gangOf = ({ task, run }: { readonly task: TaskAddress; readonly run: RunNumber; }): string =>
     `${task.slice(0, task.lastIndexOf("/"))}#${run}`;
 
-const timesSize = (size: TaskSize, factor: number): TaskSize => ({
+const scaleSize = (size: TaskSize, factor: number): TaskSize => ({
     processorThousandths: size.processorThousandths * factor,
     memoryMebibytes: size.memoryMebibytes * factor,
     accelerators: size.accelerators,
--- a/packages/cell/test/support/world.ts
+++ b/packages/cell/test/support/world.ts
@@ -10,16 +10,16 @@
     organisationName,
     SeededRandom,
     type TaskAddress,
-    type WorkerLife,
-    workerLife,
+    type WorkerIncarnation,
+    workerIncarnation,
 } from "@pebbledale/core";
 import {
     type CellConfiguration,
     type EndedRun,
-    isEndState,
+    isTerminalState,
     type JobDefinition,
     OrderRefusal,
-    placeOf,
+    parseTaskAddress,
     RunEnd,
     type StartCommand,
     type StepDefinition,
@@ -86,7 +86,7 @@
     isSilent: boolean;
     reportedThrough: number;
     /** The present life, once the worker was started again. */
-    life: WorkerLife | undefined;
+    incarnation: WorkerIncarnation | undefined;
     /** Whether it was started again and the owner has not heard of it. */
     isRestarted: boolean;
 }
@@ -100,26 +100,26 @@
 }
 
 /** See the module's comment. */
-export class World {
+export class SimulatedCell {
     readonly clock = new ManualClock();
     readonly driver: CellDriver;
     /** What was broken, in words. */
-    readonly broken: string[] = [];
+    readonly violations: string[] = [];
     readonly #random: SeededRandom;
     readonly #advice: FakeAdvice | undefined;
     readonly #links = new Map<string, Link>();
     readonly #jobs = new Map<string, JobDefinition>();
     readonly #done = new Set<TaskAddress>();
-    readonly #noted = new Set<string>();
+    readonly #countedEnds = new Set<string>();
     readonly #failures = new Map<TaskAddress, number>();
     readonly #cancelled = new Set<string>();
     readonly #limits = new Map<string, Limit>();
     #version = 1;
-    #late: LateStart[] = [];
+    #lateStarts: LateStart[] = [];
     #epoch = 1;
     #nextWorker = 1;
     #nextJob = 1;
-    #lives = 0;
+    #restarts = 0;
 
     constructor(seed: number, private readonly faults: Faults, workers: number) {
         this.#random = new SeededRandom(seed);
@@ -144,7 +144,7 @@
     get isFinished(): boolean {
         return [...this.#jobs.keys()].every(id => {
             const state = this.driver.cell.stateOf(jobId(id));
-            return state !== undefined && isEndState(state);
+            return state !== undefined && isTerminalState(state);
         });
     }
 
@@ -170,13 +170,13 @@
         this.#links.forEach(link => link.worker.tick(now));
         this.#deliverLate(now);
         if (hasFaults) {
-            this.#strike(now);
+            this.#injectFaults(now);
         }
         else {
             this.#restoreRooms(now);
             this.#limits.forEach((_, name) => this.#changeLimit(name, usualLimit));
         }
-        this.#links.forEach(link => this.#look(link, now));
+        this.#links.forEach(link => this.#poll(link, now));
         this.#advice?.answer(this.driver.cell, now);
         this.driver.cell.tick();
         const { starts, stops, acknowledged, questions } = this.driver.run();
@@ -213,11 +213,11 @@
             isAssigned: true,
             isSilent: false,
             reportedThrough: 0,
-            life: undefined,
+            incarnation: undefined,
             isRestarted: false,
         };
         this.#links.set(entry.worker, link);
-        this.driver.cell.changeWorkers([entry], []);
+        this.driver.cell.updateWorkerEntries([entry], []);
         return link;
     }
 
@@ -225,7 +225,7 @@
         return this.#epoch * 1_000_000;
     }
 
-    #strike(now: Milliseconds): void {
+    #injectFaults(now: Milliseconds): void {
         if (this.#happens(this.faults.takeOver)) {
             this.#takeOver();
         }
@@ -287,19 +287,19 @@
             .filter(run => this.#organisationOf(run.task) === name)
             .reduce((sum, { size }) => sum + size.processorThousandths, 0);
         if (used > most * 1_000) {
-            this.broken.push(`${name} has ${used} of ${most * 1_000} at work`);
+            this.violations.push(`${name} has ${used} of ${most * 1_000} at work`);
         }
     }
 
     #organisationOf(task: TaskAddress): string | undefined {
-        return this.#jobs.get(placeOf(task)!.job)?.organisation;
+        return this.#jobs.get(parseTaskAddress(task)!.job)?.organisation;
     }
 
     #resize(link: Link, now: Milliseconds): void {
         link.former.push({ room: link.room, until: now + shrinkTime });
         const processorThousandths = 2_000 + this.#below(10_000);
         link.room = { ...link.room, processorThousandths };
-        this.driver.cell.changeWorkers([this.#entryOf(link)], []);
+        this.driver.cell.updateWorkerEntries([this.#entryOf(link)], []);
     }
 
     /** Rooms that have shrunk grow again once the faults are over: else a gang may be too wide for ever. */
@@ -309,13 +309,13 @@
             if (link.room.processorThousandths < capacity.processorThousandths) {
                 link.former.push({ room: link.room, until: now + shrinkTime });
                 link.room = capacity;
-                this.driver.cell.changeWorkers([this.#entryOf(link)], []);
+                this.driver.cell.updateWorkerEntries([this.#entryOf(link)], []);
             }
         }
     }
 
     #entryOf(link: Link): WorkerEntry {
-        const life = link.life === undefined ? {} : { life: link.life };
+        const life = link.incarnation === undefined ? {} : { life: link.incarnation };
         return makeWorker(link.worker.id, { capacity: link.room, ...life });
     }
 
@@ -328,7 +328,7 @@
 
     #takeOver(): void {
         this.#epoch++;
-        this.#advice?.forget();
+        this.#advice?.dropQuestions();
         this.driver.takeOver();
         this.driver.cell.configure(this.#configuration());
         for (const link of this.#links.values()) {
@@ -339,26 +339,26 @@
             link.isSilent = false;
         }
         const entries = [...this.#links.values()].map(link => this.#entryOf(link));
-        this.driver.cell.listWorkers(entries);
+        this.driver.cell.replaceWorkerEntries(entries);
         // A job whose record was not kept is not known to its caller either: it is handed in again.
         this.#jobs.forEach(definition => this.driver.cell.submit(definition));
     }
 
     #crash(link: Link): void {
         link.worker.crash();
-        if (this.#lives++ % 2 === 0) {
+        if (this.#restarts++ % 2 === 0) {
             this.#restart(link);
             return;
         }
         this.#links.delete(link.worker.id);
-        this.driver.cell.takeOtherLife(link.worker.id);
+        this.driver.cell.applyReplacement(link.worker.id);
         this.#addWorker();
     }
 
     /** The worker is back at once under its id; its entry comes with its next look, or some time after. */
     #restart(link: Link): void {
         link.worker = new FakeWorker(link.worker.id, link.worker.capacity);
-        link.life = workerLife(this.#lives);
+        link.incarnation = workerIncarnation(this.#restarts);
         link.isRestarted = true;
     }
 
@@ -368,34 +368,34 @@
         link.isAssigned = true;
         link.forgetThrough = 0;
         link.reportedThrough = 0;
-        link.token = this.#tokenBase() + this.#lives * tokensPerLife;
-        this.driver.cell.takeRestart(link.worker.id, link.life!);
-        this.driver.cell.changeWorkers([this.#entryOf(link)], []);
+        link.token = this.#tokenBase() + this.#restarts * tokensPerLife;
+        this.driver.cell.applyRestart(link.worker.id, link.incarnation!);
+        this.driver.cell.updateWorkerEntries([this.#entryOf(link)], []);
     }
 
-    #look(link: Link, now: Milliseconds): void {
+    #poll(link: Link, now: Milliseconds): void {
         if (now < link.cutUntil) {
             if (!link.isSilent) {
                 link.isSilent = true;
-                this.driver.cell.takeSilence(link.worker.id, Math.max(now, link.worker.leaseUntil));
+                this.driver.cell.applySilence(link.worker.id, Math.max(now, link.worker.leaseUntil));
             }
             return;
         }
         if (link.isRestarted) {
             this.#noteRestart(link);
         }
-        const look = link.worker.look(fencingToken(link.token), link.forgetThrough, now + lease, now);
+        const look = link.worker.poll(fencingToken(link.token), link.forgetThrough, now + lease, now);
         if (look === undefined) {
-            this.broken.push(`${link.worker.id} refuses the owner's token`);
+            this.violations.push(`${link.worker.id} refuses the owner's token`);
             return;
         }
         const fresh = look.ended.filter(end => end.number > link.reportedThrough);
-        fresh.forEach(end => this.#noteEnd(end));
+        fresh.forEach(end => this.#countEnd(end));
         link.reportedThrough = Math.max(link.reportedThrough, ...fresh.map(end => end.number));
         const settledBefore = link.isAssigned ? now : -Infinity;
         link.isAssigned = false;
         link.isSilent = false;
-        this.driver.cell.takeLook(link.worker.id, { ...look, ended: fresh }, now, settledBefore);
+        this.driver.cell.applyPoll(link.worker.id, { ...look, ended: fresh }, now, settledBefore);
     }
 
     #start(command: StartCommand, now: Milliseconds, hasFaults: boolean): void {
@@ -413,7 +413,7 @@
             this.#deliver(link, worker, token, command, false);
         }
         else {
-            this.#late.push({ at: now + this.#below(3 * lease), link, worker, token, command });
+            this.#lateStarts.push({ at: now + this.#below(3 * lease), link, worker, token, command });
         }
         this.#settle(link, command, now);
     }
@@ -426,13 +426,13 @@
             link.isAssigned = true;
             return;
         }
-        this.#look(link, now);
+        this.#poll(link, now);
         this.driver.cell.startRefused(worker, task, run, undefined);
     }
 
     #deliverLate(now: Milliseconds): void {
-        const due = this.#late.filter(start => start.at <= now);
-        this.#late = this.#late.filter(start => start.at > now);
+        const due = this.#lateStarts.filter(start => start.at <= now);
+        this.#lateStarts = this.#lateStarts.filter(start => start.at > now);
         due.forEach(({ link, worker, token, command }) => this.#deliver(link, worker, token, command, false));
     }
 
@@ -440,7 +440,7 @@
         if (!worker.isUp) {
             return;
         }
-        if (this.#advice?.holds(command, this.clock.monotonic()) === false) {
+        if (this.#advice?.isTicketValid(command, this.clock.monotonic()) === false) {
             this.#refuseTicket(link, command, isAnswered);
             return;
         }
@@ -448,11 +448,11 @@
         const before = worker.runs.length;
         const refusal = worker.start(command, fencingToken(token), this.#taskOf(definition), this.clock.monotonic());
         if (worker.runs.length > before) {
-            this.#check(worker, command, definition);
+            this.#checkStart(worker, command, definition);
             this.#checkLimit(command.task);
         }
         if (isAnswered && refusal === undefined) {
-            this.driver.cell.startTaken(command.worker, command.task, command.run);
+            this.driver.cell.startAccepted(command.worker, command.task, command.run);
         }
         else if (isAnswered) {
             this.driver.cell.startRefused(link.worker.id, command.task, command.run, refusal);
@@ -481,17 +481,17 @@
     }
 
     #stepOf(task: TaskAddress): StepDefinition {
-        const place = placeOf(task)!;
+        const place = parseTaskAddress(task)!;
         return this.#jobs.get(place.job)!.steps[place.step];
     }
 
     /** An end that another owner sees again counts once. */
-    #noteEnd({ task, run, end }: EndedRun): void {
+    #countEnd({ task, run, end }: EndedRun): void {
         const name = `${task}#${run}`;
-        if (this.#noted.has(name)) {
+        if (this.#countedEnds.has(name)) {
             return;
         }
-        this.#noted.add(name);
+        this.#countedEnds.add(name);
         if (end === RunEnd.Done) {
             this.#done.add(task);
         }
@@ -501,47 +501,47 @@
     }
 
     /** What must hold whenever a worker begins a run. */
-    #check(worker: FakeWorker, { task, payload }: StartCommand, step: StepDefinition): void {
-        const place = placeOf(task)!;
+    #checkStart(worker: FakeWorker, { task, payload }: StartCommand, step: StepDefinition): void {
+        const place = parseTaskAddress(task)!;
         for (const { worker: other } of this.#links.values()) {
             const copies = other.runs.filter(run => run.task === task).length - (other === worker ? 1 : 0);
             if (copies > 0) {
-                this.broken.push(`${task} runs twice, at ${other.id} and ${worker.id}`);
+                this.violations.push(`${task} runs twice, at ${other.id} and ${worker.id}`);
             }
         }
         const used = worker.runs.reduce((sum, run) => sum + run.size.processorThousandths, 0);
         const link = this.#links.get(worker.id);
         if (link !== undefined && used > this.#roomOf(link)) {
-            this.broken.push(`${worker.id} is given ${used}`);
+            this.violations.push(`${worker.id} is given ${used}`);
         }
-        if (this.#isNoted(task)) {
-            this.broken.push(`${task} starts after it was done`);
+        if (this.#isDone(task)) {
+            this.violations.push(`${task} starts after it was done`);
         }
         for (const before of step.after) {
             const tasks = this.#jobs.get(place.job)!.steps[before].taskCount;
             const isOpen = Array.from({ length: tasks }, (_, index) => index)
-                .some(index => !this.#isNotedOrGang(place.job, before, index));
+                .some(index => !this.#isDoneOrGangDone(place.job, before, index));
             if (isOpen) {
-                this.broken.push(`${task} starts before step ${before} is done`);
+                this.violations.push(`${task} starts before step ${before} is done`);
             }
         }
         if ((this.#failures.get(task) ?? 0) >= mostFailures) {
-            this.broken.push(`${task} starts after ${mostFailures} failed runs`);
+            this.violations.push(`${task} starts after ${mostFailures} failed runs`);
         }
         const sameStep = worker.runs.filter(run => run.task.startsWith(`${place.job}/0/${place.step}/`)).length;
         if (step.mostPerWorker !== undefined && sameStep > step.mostPerWorker) {
-            this.broken.push(`${worker.id} has ${sameStep} tasks of ${place.job}/0/${place.step}`);
+            this.violations.push(`${worker.id} has ${sameStep} tasks of ${place.job}/0/${place.step}`);
         }
         if (payload !== this.#jobs.get(place.job)!.payload) {
-            this.broken.push(`${task} starts with another payload`);
+            this.violations.push(`${task} starts with another payload`);
         }
     }
 
-    #isNoted(task: TaskAddress): boolean {
+    #isDone(task: TaskAddress): boolean {
         return this.#done.has(task);
     }
 
-    #isNotedOrGang(job: string, step: number, index: number): boolean {
+    #isDoneOrGangDone(job: string, step: number, index: number): boolean {
         const { isGang, taskCount } = this.#jobs.get(job)!.steps[step];
         const indexes = isGang ? Array.from({ length: taskCount }, (_, other) => other) : [index];
         return indexes.some(other => this.#done.has(`${job}/0/${step}/${other}` as TaskAddress));
--- a/packages/cell/test/upkeep/wave-planner.test.ts
+++ b/packages/cell/test/upkeep/wave-planner.test.ts
@@ -11,7 +11,7 @@
     readonly workers = new Map<WorkerId, PlannedWorker>();
     readonly planner = new WavePlanner({
         now: () => this.clock.monotonic(),
-        workerOf: worker => this.workers.get(worker) ?? { runs: 0, holdsNeeded: false },
+        workerOf: worker => this.workers.get(worker) ?? { runs: 0, isNeeded: false },
         upkeepTime,
     });
     readonly #entries = new Map<string, VmEntry>();
@@ -26,7 +26,7 @@
     }
 
     plan(): { begin: string[]; closed: string[]; state: WaveState | undefined; } {
-        this.planner.takeList([...this.#entries.values()]);
+        this.planner.applyList([...this.#entries.values()]);
         const plan = this.planner.plan();
         return {
             begin: plan.begin.map(({ vm }) => String(vm)),
@@ -90,7 +90,7 @@
 
     it("lets work end first, while there is time", () => {
         const vms = new Vms("a", "b");
-        vms.workers.set(workerId("a-worker-1"), { runs: 3, holdsNeeded: false });
+        vms.workers.set(workerId("a-worker-1"), { runs: 3, isNeeded: false });
         vms.planner.add(waveOf(1, "a", "b"));
         const first = vms.plan();
         expect(first.closed).toEqual(["a-worker-1"]);
@@ -101,7 +101,7 @@
 
     it("never takes down what would take too many lasting tasks away", () => {
         const vms = new Vms("a");
-        vms.workers.set(workerId("a-worker-1"), { runs: 1, holdsNeeded: true });
+        vms.workers.set(workerId("a-worker-1"), { runs: 1, isNeeded: true });
         vms.planner.add(waveOf(1, "a"));
         vms.plan();
         vms.clock.advance(60_000);
--- a/packages/cell/test/watching/slow-workers.test.ts
+++ b/packages/cell/test/watching/slow-workers.test.ts
@@ -1,7 +1,7 @@
 import type { Milliseconds, WorkerId } from "@pebbledale/core";
 import { expect } from "earl";
 import { describe, it } from "node:test";
-import { Fleet, type FleetTerms } from "../support/index.js";
+import { Fleet, type FleetOptions } from "../support/index.js";
 
 const seeds = [1, 2, 3, 4, 5, 6];
 /** A slow worker is found within this time. */
@@ -11,7 +11,7 @@
 /** Tasks that began no earlier were never seen at full speed. */
 const knownFor: Milliseconds = 1_000;
 /** Estimates are off by up to two and a half times, sound workers by up to two and a half times in speed. */
-const usual: FleetTerms = {
+const usual: FleetOptions = {
     seed: 1,
     speeds: [0.55, 1.2, 1, 1.3, 1.2],
     workers: 40,
@@ -19,13 +19,13 @@
     width: [3, 24],
     work: [1_500, 6_000],
 };
-const narrow: FleetTerms = { ...usual, width: [1, 6], work: [300, 1_200] };
+const narrow: FleetOptions = { ...usual, width: [1, 6], work: [300, 1_200] };
 
 /** Those of some workers that were judged slow in time, as a share. */
 const foundShare = (fleet: Fleet, slow: readonly WorkerId[], since: Milliseconds): number =>
-    slow.filter(id => (fleet.judgedAt.get(id) ?? Infinity) <= since + foundWithin).length / slow.length;
+    slow.filter(id => (fleet.judgedSlowAt.get(id) ?? Infinity) <= since + foundWithin).length / slow.length;
 
-const foundOf = (terms: FleetTerms, factor: number, pick: (fleet: Fleet) => readonly WorkerId[]): readonly number[] =>
+const foundOf = (terms: FleetOptions, factor: number, pick: (fleet: Fleet) => readonly WorkerId[]): readonly number[] =>
     seeds.map(seed => {
         const fleet = new Fleet({ ...terms, seed });
         fleet.run(6_000);
@@ -36,11 +36,11 @@
         return foundShare(fleet, slow, since);
     });
 
-const judgedOf = (terms: FleetTerms): readonly number[] =>
+const judgedOf = (terms: FleetOptions): readonly number[] =>
     seeds.map(seed => {
         const fleet = new Fleet({ ...terms, seed });
         fleet.run(20_000);
-        return fleet.judgedAt.size;
+        return fleet.judgedSlowAt.size;
     });
 
 const none = seeds.map(() => 0);
@@ -64,7 +64,7 @@
     const terms = { ...usual, estimateError: 2.3 };
 
     const oneIn = (count: number) => (fleet: Fleet): readonly WorkerId[] =>
-        fleet.withTasks(fewestTasks, knownFor).filter((_, index) => index % count === 0);
+        fleet.workersWithTasks(fewestTasks, knownFor).filter((_, index) => index % count === 0);
 
     it("are found in time at a quarter of their speed", () => {
         expect(foundOf(terms, 4, oneIn(terms.workers))).toEqual(all);
@@ -81,7 +81,7 @@
 
     it("are found in time when they have all tasks of a job", () => {
         const hasEnough = (fleet: Fleet) =>
-            fleet.ofOneJob(12).filter(id => fleet.withTasks(fewestTasks, knownFor).includes(id));
+            fleet.workersOfWidestJob(12).filter(id => fleet.workersWithTasks(fewestTasks, knownFor).includes(id));
         expect(foundOf(terms, 4, hasEnough)).toEqual(all);
     });
 });
--- a/packages/core/src/ids/index.ts
+++ b/packages/core/src/ids/index.ts
@@ -13,7 +13,7 @@
  * Distinguishes successive processes of a worker under the same id: the start time in Unix milliseconds. As clocks may step
  * back, values can only be compared for equality, not for order.
  */
-export type WorkerLife = Branded<number, "WorkerLife">;
+export type WorkerIncarnation = Branded<number, "WorkerLife">;
 /** Id of an accepted job. */
 export type JobId = Branded<string, "JobId">;
 /** Id of a task: the job's id, a slash and the task's index. */
@@ -50,7 +50,7 @@
 /** Brands a string as a worker id. */
 export const workerId = (text: string): WorkerId => text as WorkerId;
 /** Brands a start time in Unix milliseconds as a worker's incarnation. */
-export const workerLife = (value: number): WorkerLife => value as WorkerLife;
+export const workerIncarnation = (value: number): WorkerIncarnation => value as WorkerIncarnation;
 /** Brands a string as a job id. */
 export const jobId = (text: string): JobId => text as JobId;
 /** Brands a string as a process id. */
--- a/packages/core/src/jobs/schema.ts
+++ b/packages/core/src/jobs/schema.ts
@@ -15,21 +15,21 @@
     Patient = "patient",
 }
 
-const most = { tasks: 10_000, key: 200, processors: 100_000, memoryMebibytes: 100_000_000, count: 100_000 };
-const longestRun = 7 * 24 * 3_600_000;
+const limits = { tasks: 10_000, key: 200, processors: 100_000, memoryMebibytes: 100_000_000, count: 100_000 };
+const maxRunDuration = 7 * 24 * 3_600_000;
 
 const sizeSchema = z.strictObject({
-    processors: z.number().positive().max(most.processors),
-    memoryMebibytes: z.number().int().positive().max(most.memoryMebibytes),
-    accelerators: z.number().int().min(0).max(most.count).default(0),
-    slots: z.number().int().min(1).max(most.count).default(1),
-    connections: z.number().int().min(0).max(most.count).default(0),
+    processors: z.number().positive().max(limits.processors),
+    memoryMebibytes: z.number().int().positive().max(limits.memoryMebibytes),
+    accelerators: z.number().int().min(0).max(limits.count).default(0),
+    slots: z.number().int().min(1).max(limits.count).default(1),
+    connections: z.number().int().min(0).max(limits.count).default(0),
 });
 
 const nameSchema = z.string().regex(
     /^[A-Za-z0-9][A-Za-z0-9._-]*$/,
     "must be letters, digits, dots, underscores and hyphens",
-).max(most.key);
+).max(limits.key);
 
 /** Schema of a job submission. Unknown fields are rejected. Durations are in milliseconds. */
 export const jobSubmissionSchema = z.strictObject({
@@ -39,9 +39,9 @@
     service: nameSchema.optional(),
     priority: z.enum(Priority).default(Priority.Normal),
     unrepeatable: z.boolean().default(false),
-    deadlineMilliseconds: z.number().int().positive().max(longestRun).optional(),
-    expectedRunMilliseconds: z.number().int().positive().max(longestRun).optional(),
-    tasks: z.number().int().min(1).max(most.tasks).default(1),
+    deadlineMilliseconds: z.number().int().positive().max(maxRunDuration).optional(),
+    expectedRunMilliseconds: z.number().int().positive().max(maxRunDuration).optional(),
+    tasks: z.number().int().min(1).max(limits.tasks).default(1),
     size: sizeSchema,
     payload: z.json().default({}),
 }).superRefine((value, context) => {
--- a/packages/core/src/jobs/types.ts
+++ b/packages/core/src/jobs/types.ts
@@ -15,7 +15,7 @@
 }
 
 /** Whether any task of a job has run, as far as is certain. */
-export enum RanAnswer {
+export enum ExecutionStatus {
     NotRun = "not-run",
     Ran = "ran",
     MayHaveRun = "may-have-run",
@@ -44,7 +44,7 @@
     readonly job: JobId;
     readonly key: string;
     readonly state: JobState;
-    readonly ran: RanAnswer;
+    readonly ran: ExecutionStatus;
     readonly reason: string;
     readonly attempts: number;
     readonly workers: readonly WorkerId[];
--- a/packages/core/src/journal/chain.ts
+++ b/packages/core/src/journal/chain.ts
@@ -3,7 +3,7 @@
 import { absentVersion, type KeyValue, type KeyVersion, type PlatformStore } from "../platform/index.js";
 import type { Random } from "../random/index.js";
 import type { Clock, Milliseconds } from "../time/index.js";
-import { parseSegment, ringKey, sectionPrefixes, slotOf } from "./segments.js";
+import { parseSegment, ringKey, sectionPrefixes, ringSlotOf } from "./segments.js";
 import { epochOfSnapshot } from "./snapshots.js";
 import type { Segment, SnapshotPointer } from "./types.js";
 
@@ -20,7 +20,7 @@
 /** The claim segment that sealed a journal, and when it was sent. */
 export interface Seal {
     readonly claim: Segment;
-    readonly contact: Milliseconds;
+    readonly sentAt: Milliseconds;
 }
 
 /**
@@ -29,20 +29,20 @@
  * An owner sends several segments at once and reports one as committed only when all before it are. Segments after a gap were
  * never reported as committed and are ignored, and so are segments that a former owner wrote after a later owner's claim.
  */
-export class Chain {
+export class SegmentChain {
     /** Versions of the ring's keys by slot. */
     readonly versions = new Map<number, KeyVersion>();
     /** The newest snapshot that any segment refers to. */
     readonly pointer: SnapshotPointer | undefined;
     /** The valid segments after the snapshot, in order. */
     readonly segments: Segment[] = [];
-    readonly #read = new Map<number, Segment>();
+    readonly #segmentsBySequence = new Map<number, Segment>();
     #highestEpoch = 0;
 
     constructor(private readonly dependencies: ChainDependencies, entries: readonly KeyValue[]) {
         let pointer: SnapshotPointer | undefined;
         for (const entry of entries) {
-            const segment = this.#takeIn(slotOf(entry.key), entry);
+            const segment = this.#addSegment(ringSlotOf(entry.key), entry);
             if ((segment.snapshot?.through ?? 0) > (pointer?.through ?? 0)) {
                 pointer = segment.snapshot;
             }
@@ -51,10 +51,10 @@
     }
 
     /** Appends the consecutive segments read so far; false when the journal must be read again. */
-    async follow(): Promise<boolean> {
-        const last = Math.max(0, ...this.#read.keys());
+    async extend(): Promise<boolean> {
+        const last = Math.max(0, ...this.#segmentsBySequence.keys());
         while (this.#nextSequence <= last) {
-            const segment = this.#read.get(this.#nextSequence) ?? await this.#readPassedBy(this.#nextSequence);
+            const segment = this.#segmentsBySequence.get(this.#nextSequence) ?? await this.#readMissed(this.#nextSequence);
             if (segment === "overwritten") {
                 return false;
             }
@@ -77,14 +77,14 @@
         while (true) {
             const claim = this.#makeClaim();
             const slot = claim.sequence % ringSize;
-            const contact = clock.monotonic();
+            const sentAt = clock.monotonic();
             const expected = this.versions.get(slot) ?? absentVersion;
             const outcome = await store.compareAndSwap(ringKey(shard, slot), expected, JSON.stringify(claim));
             if (outcome.kind === "swapped") {
                 this.versions.set(slot, outcome.version);
-                return { claim, contact };
+                return { claim, sentAt: sentAt };
             }
-            if (outcome.current === undefined || !await this.#takeConflict(claim, slot, outcome.current)) {
+            if (outcome.current === undefined || !await this.#applyConflict(claim, slot, outcome.current)) {
                 return undefined;
             }
         }
@@ -103,10 +103,10 @@
     }
 
     /** Adds the segment found in place of the claim; false when the journal must be read again. */
-    async #takeConflict(claim: Segment, slot: number, current: KeyValue): Promise<boolean> {
-        const segment = this.#takeIn(slot, current);
+    async #applyConflict(claim: Segment, slot: number, current: KeyValue): Promise<boolean> {
+        const segment = this.#addSegment(slot, current);
         const isNext = segment.sequence === claim.sequence && segment.snapshot?.name === this.pointer?.name;
-        return isNext && this.follow();
+        return isNext && this.extend();
     }
 
     get #nextSequence(): number {
@@ -117,10 +117,10 @@
         return this.segments.at(-1)?.epoch ?? (this.pointer === undefined ? 0 : epochOfSnapshot(this.pointer));
     }
 
-    #takeIn(slot: number, entry: KeyValue): Segment {
+    #addSegment(slot: number, entry: KeyValue): Segment {
         const segment = parseSegment(entry);
         this.versions.set(slot, entry.version);
-        this.#read.set(segment.sequence, segment);
+        this.#segmentsBySequence.set(segment.sequence, segment);
         this.#highestEpoch = Math.max(this.#highestEpoch, segment.epoch);
         return segment;
     }
@@ -129,7 +129,7 @@
      * Reads a segment that a paged listing may have missed: the owner may write one key on a page that was already read, and the
      * next key on a later page.
      */
-    async #readPassedBy(sequence: number): Promise<Segment | "overwritten" | undefined> {
+    async #readMissed(sequence: number): Promise<Segment | "overwritten" | undefined> {
         const { store, shard, ringSize } = this.dependencies;
         const slot = sequence % ringSize;
         const entry = await store.get(ringKey(shard, slot));
@@ -137,7 +137,7 @@
         if (entry === undefined || segment === undefined || segment.sequence < sequence) {
             return undefined;
         }
-        return segment.sequence > sequence ? "overwritten" : this.#takeIn(slot, entry);
+        return segment.sequence > sequence ? "overwritten" : this.#addSegment(slot, entry);
     }
 }
 
@@ -145,9 +145,9 @@
  * Reads a journal's segments with parallel listings, as reading page after page takes long on a slow store. Returns undefined
  * when the journal must be read again.
  */
-export const readChain = async (dependencies: ChainDependencies): Promise<Chain | undefined> => {
+export const readSegmentChain = async (dependencies: ChainDependencies): Promise<SegmentChain | undefined> => {
     const { store, shard, ringSize } = dependencies;
     const sections = await Promise.all(sectionPrefixes(shard, ringSize).map(prefix => store.list(prefix)));
-    const chain = new Chain(dependencies, sections.flat());
-    return await chain.follow() ? chain : undefined;
+    const chain = new SegmentChain(dependencies, sections.flat());
+    return await chain.extend() ? chain : undefined;
 };
--- a/packages/core/src/journal/journal.ts
+++ b/packages/core/src/journal/journal.ts
@@ -4,27 +4,27 @@
 import type { Random } from "../random/index.js";
 import type { Clock, Milliseconds } from "../time/index.js";
 import { JournalDamagedError, JournalFencedError } from "./errors.js";
-import { RepeatedSwaps } from "./repeated-swap.js";
+import { HedgedWriter } from "./repeated-swap.js";
 import { parseSegment, ringKey } from "./segments.js";
 import { removeSnapshot, snapshotKey, snapshotName, splitText } from "./snapshots.js";
 import type { JournalOptions, Segment, SnapshotPointer } from "./types.js";
 
 /** A snapshot is taken regardless of its cost once this share of the ring is in use. */
-const fullShare = 0.6;
+const snapshotFillRatio = 0.6;
 /** No more segments are sent once this share of the ring is in use, until a snapshot has freed keys. */
-const shortShare = 0.9;
+const blockingFillRatio = 0.9;
 
 /** An append that is not committed yet. */
-interface Waiting {
+interface PendingAppend {
     readonly records: readonly unknown[];
     readonly bytes: number;
     readonly resolve: () => void;
     readonly reject: (cause: unknown) => void;
 }
 
-interface SentSegment {
-    readonly group: readonly Waiting[];
-    isKept: boolean;
+interface InFlightSegment {
+    readonly group: readonly PendingAppend[];
+    isCommitted: boolean;
 }
 
 /** A snapshot to be removed once a segment that refers to its replacement is committed. */
@@ -53,7 +53,7 @@
     readonly sequence: number;
     readonly snapshot: SnapshotPointer | undefined;
     /** When the claim was sent, on the monotonic clock. */
-    readonly contact: Milliseconds;
+    readonly claimSentAt: Milliseconds;
 }
 
 /**
@@ -66,44 +66,44 @@
  * Several segments may be in flight; a record is committed once its segment and all segments before it are stored.
  */
 export class Journal {
-    readonly #swaps: RepeatedSwaps;
+    readonly #writer: HedgedWriter;
     readonly #versions: Map<number, KeyVersion>;
     /** Segments in flight, by sequence. */
-    readonly #sent = new Map<number, SentSegment>();
+    readonly #inFlight = new Map<number, InFlightSegment>();
     /** Sequence of the last segment sent. */
     #sequence: number;
     /** All segments up to this sequence are committed. */
-    #keptThrough: number;
+    #committedThrough: number;
     #snapshot: SnapshotPointer | undefined;
     #obsolete: ObsoleteSnapshot | undefined;
-    #waiting: Waiting[] = [];
+    #pending: PendingAppend[] = [];
     #isRunning = false;
     #fenced: JournalFencedError | undefined;
     #lastContact: Milliseconds;
-    #takeSnapshot: (() => unknown) | undefined;
+    #snapshotSource: (() => unknown) | undefined;
     #snapshotBytes = 0;
-    #bytesSince = 0;
+    #bytesSinceSnapshot = 0;
     /** Called whenever segments are committed, and on failure. */
     #progressListeners: (() => void)[] = [];
     /** Resolves once the snapshot in progress is written; undefined when there is none. */
-    #snapshotOnItsWay: Promise<void> | undefined;
+    #snapshotWrite: Promise<void> | undefined;
 
     constructor(
         private readonly dependencies: JournalDependencies,
         readonly epoch: Epoch,
-        { versions, sequence, snapshot, contact }: OpenedJournal,
+        { versions, sequence, snapshot, claimSentAt: contact }: OpenedJournal,
     ) {
-        this.#swaps = new RepeatedSwaps(dependencies);
+        this.#writer = new HedgedWriter(dependencies);
         this.#versions = versions;
         this.#sequence = sequence;
-        this.#keptThrough = sequence;
+        this.#committedThrough = sequence;
         this.#snapshot = snapshot;
         this.#lastContact = contact;
     }
 
     /** Number of write calls to the store. */
     get writes(): number {
-        return this.#swaps.calls;
+        return this.#writer.calls;
     }
 
     /** When the last write that confirmed ownership was sent, on the monotonic clock. */
@@ -113,22 +113,22 @@
 
     /** How long writes have been failing; 0 while the store answers. */
     stalledFor(): Milliseconds {
-        return this.#swaps.failingFor();
+        return this.#writer.failingFor();
     }
 
     /** Age of the oldest unanswered write; 0 when there is none. */
     waitingFor(): Milliseconds {
-        return this.#swaps.waitingFor();
+        return this.#writer.waitingFor();
     }
 
     /** Time without any answer while writes are in flight; 0 when there are none. */
     silentFor(): Milliseconds {
-        return this.#swaps.silentFor();
+        return this.#writer.silentFor();
     }
 
     /** Sets the function that returns the whole state as plain data. Snapshots are taken only once it is set. */
     setSnapshotSource(source: () => unknown): void {
-        this.#takeSnapshot = source;
+        this.#snapshotSource = source;
     }
 
     /**
@@ -140,7 +140,7 @@
             return Promise.reject(this.#fenced);
         }
         return new Promise((resolve, reject) => {
-            this.#waiting.push({ records, bytes: Buffer.byteLength(JSON.stringify(records)), resolve, reject });
+            this.#pending.push({ records, bytes: Buffer.byteLength(JSON.stringify(records)), resolve, reject });
             if (!this.#isRunning) {
                 this.#isRunning = true;
                 void this.#run();
@@ -151,13 +151,13 @@
     async #run(): Promise<void> {
         const { clock, options, signal } = this.dependencies;
         try {
-            while (this.#waiting.length > 0) {
+            while (this.#pending.length > 0) {
                 await this.#snapshotIfDue();
-                await this.#untilSent(options.mostOnTheirWay - 1);
-                if (this.#waiting.length === 0) {
+                await this.#untilInFlight(options.maxInFlight - 1);
+                if (this.#pending.length === 0) {
                     break;
                 }
-                this.#send(this.#takeGroup(this.#waiting.length));
+                this.#send(this.#dequeueGroup(this.#pending.length));
                 await clock.sleep(options.commitInterval, signal);
             }
         }
@@ -170,8 +170,8 @@
     }
 
     /** Waits until at most this many segments are in flight. */
-    #untilSent(most: number): Promise<void> {
-        return this.#until(() => this.#sent.size <= most);
+    #untilInFlight(most: number): Promise<void> {
+        return this.#until(() => this.#inFlight.size <= most);
     }
 
     /** Waits for a condition that can only become true when a segment is committed. */
@@ -184,43 +184,43 @@
         }
     }
 
-    #noteProgress(): void {
+    #notifyProgress(): void {
         const listeners = this.#progressListeners;
         this.#progressListeners = [];
         listeners.forEach(listener => listener());
     }
 
     /** Removes the first pending appends, at most `most` of them and as many as fit into one value. */
-    #takeGroup(most: number): Waiting[] {
+    #dequeueGroup(most: number): PendingAppend[] {
         let bytes = 0;
         let count = 0;
         while (count < most) {
-            bytes += this.#waiting[count].bytes;
-            if (count > 0 && bytes > this.dependencies.options.largestBytes) {
+            bytes += this.#pending[count].bytes;
+            if (count > 0 && bytes > this.dependencies.options.maxValueBytes) {
                 break;
             }
             count++;
         }
-        this.#bytesSince += bytes;
-        return this.#waiting.splice(0, count);
+        this.#bytesSinceSnapshot += bytes;
+        return this.#pending.splice(0, count);
     }
 
-    #send(group: readonly Waiting[]): void {
+    #send(group: readonly PendingAppend[]): void {
         const { shard, options } = this.dependencies;
         const sequence = this.#sequence + 1;
-        const sent = { group, isKept: false };
-        this.#sent.set(sequence, sent);
+        const sent = { group, isCommitted: false };
+        this.#inFlight.set(sequence, sent);
         if (sequence - (this.#snapshot?.through ?? 0) >= options.ringSize) {
             throw new JournalDamagedError(`journal ring of shard ${shard} is full: no snapshot has freed a key`);
         }
         this.#sequence = sequence;
         this.#write(this.#makeSegment(sequence, group)).then(
-            () => this.#noteKept(sent),
+            () => this.#markCommitted(sent),
             cause => this.#fail(cause),
         );
     }
 
-    #makeSegment(sequence: number, group: readonly Waiting[]): Segment {
+    #makeSegment(sequence: number, group: readonly PendingAppend[]): Segment {
         const { random, writer } = this.dependencies;
         const records = group.flatMap(entry => entry.records);
         return { sequence, epoch: this.epoch, writer, nonce: random.name(), snapshot: this.#snapshot, records };
@@ -233,7 +233,7 @@
         const value = JSON.stringify(segment);
         while (true) {
             const expected = this.#versions.get(slot) ?? absentVersion;
-            const { outcome, sent } = await this.#swaps.untilAnswered(ringKey(shard, slot), expected, value);
+            const { outcome, sentAt: sent } = await this.#writer.write(ringKey(shard, slot), expected, value);
             if (outcome.kind === "swapped") {
                 this.#versions.set(slot, outcome.version);
                 this.#lastContact = Math.max(this.#lastContact, sent);
@@ -242,7 +242,7 @@
             const { current } = outcome;
             const found = current === undefined ? undefined : parseSegment(current);
             if (current === undefined || found === undefined || found.epoch > this.epoch) {
-                throw takenByAnother(segment);
+                throw createFencedError(segment);
             }
             this.#versions.set(slot, current.version);
             if (found.nonce === segment.nonce) {
@@ -250,37 +250,37 @@
                 return;
             }
             if (found.epoch === this.epoch) {
-                throw takenByAnother(segment);
+                throw createFencedError(segment);
             }
             // A late segment of a former owner after this owner's claim: it is ignored by readers and overwritten here.
         }
     }
 
     /** Marks a segment as stored and resolves the appends of all segments that are now committed. */
-    #noteKept(sent: SentSegment): void {
-        sent.isKept = true;
+    #markCommitted(sent: InFlightSegment): void {
+        sent.isCommitted = true;
         for (;;) {
-            const next = this.#sent.get(this.#keptThrough + 1);
-            if (next?.isKept !== true) {
+            const next = this.#inFlight.get(this.#committedThrough + 1);
+            if (next?.isCommitted !== true) {
                 break;
             }
-            this.#keptThrough++;
-            this.#sent.delete(this.#keptThrough);
+            this.#committedThrough++;
+            this.#inFlight.delete(this.#committedThrough);
             next.group.forEach(entry => entry.resolve());
         }
         this.#removeObsolete();
-        this.#noteProgress();
+        this.#notifyProgress();
     }
 
     #fail(cause: unknown): void {
         this.#fenced ??= cause instanceof JournalFencedError
             ? cause
             : new JournalFencedError(`journal stopped: ${String(cause)}`);
-        const refused = [...[...this.#sent.values()].flatMap(sent => sent.group), ...this.#waiting];
-        this.#sent.clear();
-        this.#waiting = [];
+        const refused = [...[...this.#inFlight.values()].flatMap(sent => sent.group), ...this.#pending];
+        this.#inFlight.clear();
+        this.#pending = [];
         refused.forEach(entry => entry.reject(this.#fenced));
-        this.#noteProgress();
+        this.#notifyProgress();
     }
 
     /**
@@ -288,14 +288,14 @@
      * when the ring would run out of keys.
      */
     async #snapshotIfDue(): Promise<void> {
-        if (this.#takeSnapshot === undefined || !this.#isSnapshotDue()) {
+        if (this.#snapshotSource === undefined || !this.#isSnapshotDue()) {
             return;
         }
-        if (this.#snapshotOnItsWay === undefined) {
-            this.#beginSnapshot(JSON.stringify(this.#takeSnapshot()));
+        if (this.#snapshotWrite === undefined) {
+            this.#beginSnapshot(JSON.stringify(this.#snapshotSource()));
         }
-        else if (this.#isRingShort()) {
-            await this.#snapshotOnItsWay;
+        else if (this.#isRingNearlyFull()) {
+            await this.#snapshotWrite;
         }
     }
 
@@ -304,16 +304,16 @@
      * of them.
      */
     #beginSnapshot(text: string): void {
-        let included = this.#waiting.length;
+        let included = this.#pending.length;
         while (included > 0) {
-            const group = this.#takeGroup(included);
+            const group = this.#dequeueGroup(included);
             included -= group.length;
             this.#send(group);
         }
-        this.#bytesSince = 0;
-        this.#snapshotOnItsWay = this.#writeSnapshot(text, this.#sequence)
+        this.#bytesSinceSnapshot = 0;
+        this.#snapshotWrite = this.#writeSnapshot(text, this.#sequence)
             .catch(cause => this.#fail(cause))
-            .finally(() => this.#snapshotOnItsWay = undefined);
+            .finally(() => this.#snapshotWrite = undefined);
     }
 
     /**
@@ -323,7 +323,7 @@
     async #writeSnapshot(text: string, through: number): Promise<void> {
         const name = snapshotName(this.epoch, through, this.dependencies.random.name());
         const parts = await this.#writeParts(name, text);
-        await this.#until(() => this.#keptThrough >= through);
+        await this.#until(() => this.#committedThrough >= through);
         if (this.#snapshot !== undefined) {
             this.#obsolete = { pointer: this.#snapshot, replacedBy: this.#sequence + 1 };
         }
@@ -334,10 +334,10 @@
     /** Writes the parts of a snapshot in parallel and returns their number. */
     async #writeParts(name: string, text: string): Promise<number> {
         const { shard, options } = this.dependencies;
-        const parts = splitText(text, options.largestBytes);
+        const parts = splitText(text, options.maxValueBytes);
         // The name is unique, so a conflict means that an earlier call of this write succeeded.
         await Promise.all(parts.map((part, index) =>
-            this.#swaps.untilAnswered(snapshotKey(shard, name, index), absentVersion, part)
+            this.#writer.write(snapshotKey(shard, name, index), absentVersion, part)
         ));
         return parts.length;
     }
@@ -347,25 +347,25 @@
      * double the bytes written, or before the ring runs out of keys.
      */
     #isSnapshotDue(): boolean {
-        const { snapshotEvery, ringSize, largestBytes } = this.dependencies.options;
+        const { snapshotEvery, ringSize, maxValueBytes: largestBytes } = this.dependencies.options;
         const since = this.#sequence - (this.#snapshot?.through ?? 0);
         if (since < snapshotEvery) {
             return false;
         }
-        const waitingBytes = this.#waiting.reduce((sum, entry) => sum + entry.bytes, 0);
+        const waitingBytes = this.#pending.reduce((sum, entry) => sum + entry.bytes, 0);
         const expected = since + Math.ceil(2 * waitingBytes / largestBytes);
-        return this.#bytesSince >= this.#snapshotBytes || expected >= ringSize * fullShare;
+        return this.#bytesSinceSnapshot >= this.#snapshotBytes || expected >= ringSize * snapshotFillRatio;
     }
 
     /** Whether the ring is nearly full, so that a snapshot must free keys first. */
-    #isRingShort(): boolean {
-        const { ringSize, mostOnTheirWay } = this.dependencies.options;
-        return this.#sequence - (this.#snapshot?.through ?? 0) >= ringSize * shortShare - mostOnTheirWay;
+    #isRingNearlyFull(): boolean {
+        const { ringSize, maxInFlight: mostOnTheirWay } = this.dependencies.options;
+        return this.#sequence - (this.#snapshot?.through ?? 0) >= ringSize * blockingFillRatio - mostOnTheirWay;
     }
 
     #removeObsolete(): void {
         const { store, shard } = this.dependencies;
-        if (this.#obsolete !== undefined && this.#keptThrough >= this.#obsolete.replacedBy) {
+        if (this.#obsolete !== undefined && this.#committedThrough >= this.#obsolete.replacedBy) {
             const { pointer } = this.#obsolete;
             this.#obsolete = undefined;
             // Not awaited, and failures are ignored: a leftover part only takes up storage.
@@ -374,5 +374,5 @@
     }
 }
 
-const takenByAnother = ({ sequence }: Segment): JournalFencedError =>
+const createFencedError = ({ sequence }: Segment): JournalFencedError =>
     new JournalFencedError(`another owner has written segment ${sequence} of the journal`);
--- a/packages/core/src/journal/open.ts
+++ b/packages/core/src/journal/open.ts
@@ -1,5 +1,5 @@
 /** Opening of a shard's journal by a new owner. */
-import { readChain } from "./chain.js";
+import { readSegmentChain } from "./chain.js";
 import { JournalDamagedError } from "./errors.js";
 import { Journal, type JournalDependencies } from "./journal.js";
 import { readSnapshot } from "./snapshots.js";
@@ -13,18 +13,18 @@
  */
 export const openJournal = async (
     dependencies: JournalDependencies,
-    maySeal: Promise<void> = Promise.resolve(),
+    sealPermission: Promise<void> = Promise.resolve(),
 ): Promise<{ journal: Journal; contents: JournalContents; }> => {
     const { store, shard, signal, options: { ringSize } } = dependencies;
     while (true) {
         signal.throwIfAborted();
-        const chain = await readChain({ ...dependencies, ringSize });
+        const chain = await readSegmentChain({ ...dependencies, ringSize });
         if (chain === undefined) {
             continue;
         }
         const { pointer, segments, versions } = chain;
         const snapshot = pointer === undefined ? undefined : await readSnapshot(store, shard, pointer);
-        await maySeal;
+        await sealPermission;
         signal.throwIfAborted();
         const seal = await chain.seal();
         if (seal === undefined) {
@@ -33,12 +33,12 @@
         if (pointer !== undefined && snapshot === undefined) {
             throw new JournalDamagedError(`snapshot ${pointer.name} of shard ${shard} is incomplete`);
         }
-        const { claim, contact } = seal;
+        const { claim, sentAt: sentAt } = seal;
         const journal = new Journal(dependencies, claim.epoch, {
             versions,
             sequence: claim.sequence,
             snapshot: pointer,
-            contact,
+            claimSentAt: sentAt,
         });
         const records = segments.flatMap(segment => segment.records);
         return { journal, contents: { epoch: claim.epoch, snapshot, records } };
