--- a/packages/core/src/journal/repeated-swap.ts
+++ b/packages/core/src/journal/repeated-swap.ts
@@ -1,38 +1,38 @@
 /** Compare-and-swap writes that are hedged and retried until they are answered. */
 import { type KeyVersion, type PlatformStore, PlatformUnavailableError, type SwapOutcome } from "../platform/index.js";
-import { AnswerTimes, type Clock, type Milliseconds } from "../time/index.js";
+import { ResponseTimeEstimator, type Clock, type Milliseconds } from "../time/index.js";
 import type { JournalOptions } from "./types.js";
 
 /** The answer to a write, and when the answered call was sent. */
-export interface AnsweredSwap {
+export interface WriteAnswer {
     readonly outcome: SwapOutcome;
-    readonly sent: Milliseconds;
+    readonly sentAt: Milliseconds;
 }
 
 /** Dependencies of {@link HedgedWriter}. */
-export interface RepeatedSwapOptions {
+export interface HedgedWriterDependencies {
     readonly store: PlatformStore;
     readonly clock: Clock;
     readonly options: Pick<JournalOptions, "repeatAfter" | "retryDelay">;
     readonly signal: AbortSignal;
 }
 
-interface OpenSwap {
+interface PendingWrite {
     readonly key: string;
     readonly expected: KeyVersion;
     readonly value: string;
-    readonly since: Milliseconds;
-    lastSent: Milliseconds;
+    readonly firstSentAt: Milliseconds;
+    lastSentAt: Milliseconds;
     /** When the first call that failed was sent. */
     failedSince: Milliseconds | undefined;
 }
 
-type CallEnd =
-    | { readonly kind: "answered"; readonly answer: AnsweredSwap; }
+type CallOutcome =
+    | { readonly kind: "answered"; readonly answer: WriteAnswer; }
     | { readonly kind: "failed"; readonly cause: unknown; };
 
 /** Upper bound of the delay before a hedged call, in milliseconds. */
-const longestRepeatAfter: Milliseconds = 800;
+const maxHedgeDelay: Milliseconds = 800;
 
 /**
  * Repeats each write until it is answered.
@@ -42,23 +42,23 @@
  * others follow once a call sent later than theirs was answered. This limits duplicate calls on a slow store, and does not
  * overload a store that rejects calls.
  */
-export class RepeatedSwaps {
+export class HedgedWriter {
     /** Unanswered writes, oldest first. */
-    readonly #open = new Set<OpenSwap>();
-    readonly #answerTimes: AnswerTimes | undefined;
+    readonly #pending = new Set<PendingWrite>();
+    readonly #responseTimes: ResponseTimeEstimator | undefined;
     /** Latest send time of all answered calls. */
-    #answeredSent: Milliseconds = -Infinity;
+    #latestAnsweredSentAt: Milliseconds = -Infinity;
     /** When the latest answer arrived. */
-    #answeredAt: Milliseconds = -Infinity;
+    #lastAnswerAt: Milliseconds = -Infinity;
     /** Called on each answer; wakes writes that wait for another one to be answered. */
-    readonly #onAnswer = new Set<() => void>();
+    readonly #answerListeners = new Set<() => void>();
     #calls = 0;
 
-    constructor(private readonly needs: RepeatedSwapOptions) {
-        const { repeatAfter } = needs.options;
-        this.#answerTimes = repeatAfter === undefined
+    constructor(private readonly dependencies: HedgedWriterDependencies) {
+        const { repeatAfter } = dependencies.options;
+        this.#responseTimes = repeatAfter === undefined
             ? undefined
-            : new AnswerTimes({ shortest: repeatAfter, longest: Math.max(repeatAfter, longestRepeatAfter) });
+            : new ResponseTimeEstimator({ min: repeatAfter, max: Math.max(repeatAfter, maxHedgeDelay) });
     }
 
     get calls(): number {
@@ -67,54 +67,54 @@
 
     /** Age of the oldest unanswered write; 0 when there is none. */
     waitingFor(): Milliseconds {
-        return this.#longest(({ since }) => since);
+        return this.#longestSince(({ firstSentAt: since }) => since);
     }
 
     /** Time without any answer while writes are pending; 0 when there are none. */
     silentFor(): Milliseconds {
-        return Math.min(this.waitingFor(), this.needs.clock.monotonic() - this.#answeredAt);
+        return Math.min(this.waitingFor(), this.dependencies.clock.monotonic() - this.#lastAnswerAt);
     }
 
     /** Longest time for which calls of a pending write have been failing; 0 when none has failed. */
     failingFor(): Milliseconds {
-        return this.#longest(({ failedSince }) => failedSince);
+        return this.#longestSince(({ failedSince }) => failedSince);
     }
 
     /** Sends a write until it is answered. Rejects when the signal aborts, or with an error that is not retryable. */
-    async untilAnswered(key: string, expected: KeyVersion, value: string): Promise<AnsweredSwap> {
-        const now = this.needs.clock.monotonic();
-        const swap: OpenSwap = { key, expected, value, since: now, lastSent: now, failedSince: undefined };
-        this.#open.add(swap);
+    async write(key: string, expected: KeyVersion, value: string): Promise<WriteAnswer> {
+        const now = this.dependencies.clock.monotonic();
+        const swap: PendingWrite = { key, expected, value, firstSentAt: now, lastSentAt: now, failedSince: undefined };
+        this.#pending.add(swap);
         try {
-            return await this.#repeat(swap);
+            return await this.#sendUntilAnswered(swap);
         }
         finally {
-            this.#open.delete(swap);
+            this.#pending.delete(swap);
         }
     }
 
-    async #repeat(swap: OpenSwap): Promise<AnsweredSwap> {
-        const { signal } = this.needs;
-        const pending = new Map<number, Promise<readonly [number, CallEnd]>>();
+    async #sendUntilAnswered(swap: PendingWrite): Promise<WriteAnswer> {
+        const { signal } = this.dependencies;
+        const pending = new Map<number, Promise<readonly [number, CallOutcome]>>();
         for (let call = 0;; call++) {
             signal.throwIfAborted();
             pending.set(call, this.#call(swap).then(end => [call, end] as const));
-            const answer = await this.#untilNextIsDue(swap, pending);
+            const answer = await this.#waitForAnswer(swap, pending);
             if (answer !== undefined) {
                 return answer;
             }
             if (pending.size === 0) {
-                await this.#untilRetried(swap);
+                await this.#waitForRetry(swap);
             }
         }
     }
 
     /** Waits for an answer; undefined when all calls have failed or another one is due. */
-    async #untilNextIsDue(
-        swap: OpenSwap,
-        pending: Map<number, Promise<readonly [number, CallEnd]>>,
-    ): Promise<AnsweredSwap | undefined> {
-        const due = this.#answerTimes === undefined ? [] : [this.#untilRepeated(swap, this.#answerTimes)];
+    async #waitForAnswer(
+        swap: PendingWrite,
+        pending: Map<number, Promise<readonly [number, CallOutcome]>>,
+    ): Promise<WriteAnswer | undefined> {
+        const due = this.#responseTimes === undefined ? [] : [this.#waitForHedge(swap, this.#responseTimes)];
         while (pending.size > 0) {
             const ended = await Promise.race([...pending.values(), ...due]);
             if (ended === undefined) {
@@ -133,43 +133,43 @@
     }
 
     /** Resolves when a hedged call of an unanswered write is due, or the write has ended. */
-    async #untilRepeated(swap: OpenSwap, times: AnswerTimes): Promise<undefined> {
-        const { clock, signal } = this.needs;
+    async #waitForHedge(swap: PendingWrite, times: ResponseTimeEstimator): Promise<undefined> {
+        const { clock, signal } = this.dependencies;
         do {
-            await clock.sleep(times.limit, signal);
+            await clock.sleep(times.timeout, signal);
         }
-        while (this.#open.has(swap) && !signal.aborted && !this.#mayRepeat(swap));
+        while (this.#pending.has(swap) && !signal.aborted && !this.#mayResend(swap));
     }
 
     /** Resolves when a write whose calls have all failed may be retried, after the retry delay at the earliest. */
-    async #untilRetried(swap: OpenSwap): Promise<void> {
-        const { clock, options, signal } = this.needs;
+    async #waitForRetry(swap: PendingWrite): Promise<void> {
+        const { clock, options, signal } = this.dependencies;
         await clock.sleep(options.retryDelay, signal);
-        while (!signal.aborted && !this.#mayRepeat(swap)) {
+        while (!signal.aborted && !this.#mayResend(swap)) {
             let wake = () => undefined as void;
             const answered = new Promise<void>(resolve => wake = resolve);
-            this.#onAnswer.add(wake);
+            this.#answerListeners.add(wake);
             await Promise.race([clock.sleep(options.retryDelay, signal), answered]);
-            this.#onAnswer.delete(wake);
+            this.#answerListeners.delete(wake);
         }
     }
 
-    #mayRepeat(swap: OpenSwap): boolean {
-        const [oldest] = this.#open;
-        return swap === oldest || this.#answeredSent > swap.lastSent;
+    #mayResend(swap: PendingWrite): boolean {
+        const [oldest] = this.#pending;
+        return swap === oldest || this.#latestAnsweredSentAt > swap.lastSentAt;
     }
 
-    async #call(swap: OpenSwap): Promise<CallEnd> {
-        const sent = this.needs.clock.monotonic();
+    async #call(swap: PendingWrite): Promise<CallOutcome> {
+        const sent = this.dependencies.clock.monotonic();
         this.#calls++;
-        swap.lastSent = sent;
+        swap.lastSentAt = sent;
         try {
-            const outcome = await this.needs.store.compareAndSwap(swap.key, swap.expected, swap.value);
-            this.#answerTimes?.note(this.needs.clock.monotonic() - sent);
-            this.#answeredSent = Math.max(this.#answeredSent, sent);
-            this.#answeredAt = this.needs.clock.monotonic();
-            this.#onAnswer.forEach(wake => wake());
-            return { kind: "answered", answer: { outcome, sent } };
+            const outcome = await this.dependencies.store.compareAndSwap(swap.key, swap.expected, swap.value);
+            this.#responseTimes?.recordResponse(this.dependencies.clock.monotonic() - sent);
+            this.#latestAnsweredSentAt = Math.max(this.#latestAnsweredSentAt, sent);
+            this.#lastAnswerAt = this.dependencies.clock.monotonic();
+            this.#answerListeners.forEach(wake => wake());
+            return { kind: "answered", answer: { outcome, sentAt: sent } };
         }
         catch (cause) {
             swap.failedSince ??= sent;
@@ -177,10 +177,10 @@
         }
     }
 
-    #longest(sinceOf: (swap: OpenSwap) => Milliseconds | undefined): Milliseconds {
-        const now = this.needs.clock.monotonic();
+    #longestSince(sinceOf: (swap: PendingWrite) => Milliseconds | undefined): Milliseconds {
+        const now = this.dependencies.clock.monotonic();
         let longest = 0;
-        for (const swap of this.#open) {
+        for (const swap of this.#pending) {
             longest = Math.max(longest, now - (sinceOf(swap) ?? now));
         }
         return longest;
--- a/packages/core/src/journal/segments.ts
+++ b/packages/core/src/journal/segments.ts
@@ -25,7 +25,7 @@
     `${journalPrefix(shard)}${String(slot).padStart(slotDigits, "0")}`;
 
 /** Extracts the slot number from a key of the ring. */
-export const slotOf = (key: string): number => Number(key.slice(-slotDigits));
+export const ringSlotOf = (key: string): number => Number(key.slice(-slotDigits));
 
 /** Decodes a stored segment without validation. */
 export const parseSegment = (entry: KeyValue): Segment => JSON.parse(entry.value) as Segment;
--- a/packages/core/src/journal/snapshots.ts
+++ b/packages/core/src/journal/snapshots.ts
@@ -10,7 +10,7 @@
 const snapshotPrefix = (shard: ShardId): string => `shards/${shard}/snapshots/`;
 
 /** Creates the name of a snapshot. `nonce` makes it unique among those of the same owner. */
-export const snapshotName = (epoch: Epoch, through: number, draw: string): string => `${epoch}-${through}-${draw}`;
+export const snapshotName = (epoch: Epoch, through: number, nonce: string): string => `${epoch}-${through}-${nonce}`;
 
 /** Returns the epoch of the owner that took a snapshot. */
 export const epochOfSnapshot = ({ name }: SnapshotPointer): number => Number(name.slice(0, name.indexOf("-")));
@@ -20,12 +20,12 @@
     `${snapshotPrefix(shard)}${name}/${part}`;
 
 /** Splits a text into parts of at most `maxBytes` bytes each, never within a character. */
-export const splitText = (text: string, largestBytes: number): string[] => {
+export const splitText = (text: string, maxBytes: number): string[] => {
     const bytes = Buffer.from(text);
     const parts: string[] = [];
     let start = 0;
     do {
-        let end = Math.min(start + largestBytes, bytes.length);
+        let end = Math.min(start + maxBytes, bytes.length);
         while (end < bytes.length && (bytes[end] & continuationMask) === continuationByte) {
             end--;
         }
--- a/packages/core/src/journal/types.ts
+++ b/packages/core/src/journal/types.ts
@@ -34,9 +34,9 @@
     /** Shortest delay before an unanswered write is sent again in parallel; undefined to send again only after a failure. */
     readonly repeatAfter: Milliseconds | undefined;
     /** Maximum number of segments in flight. With several, a slow store delays a record by one round trip instead of two. */
-    readonly mostOnTheirWay: number;
+    readonly maxInFlight: number;
     /** Maximum size of a segment or snapshot part in bytes. */
-    readonly largestBytes: number;
+    readonly maxValueBytes: number;
 }
 
 /** Contents of a journal when it was opened. */
--- a/packages/core/src/placement/fleet-index.ts
+++ b/packages/core/src/placement/fleet-index.ts
@@ -5,8 +5,8 @@
 /** Levels of free processors and of free memory. A row of cells fits into one 32-bit mask. */
 const levelCount = 32;
 /** A search stops after this many feasible workers. */
-const enoughFitting = 8;
-const initialRoom = 64;
+const maxFeasible = 8;
+const initialCapacity = 64;
 const processorDimension = 0;
 const memoryDimension = 1;
 const slotDimension = 3;
@@ -21,18 +21,18 @@
  * depends on the number of cells rather than on the number of workers.
  */
 export class FleetIndex {
-    #capacity = new Float64Array(initialRoom * dimensionCount);
-    #free = new Float64Array(initialRoom * dimensionCount);
-    #next = new Int32Array(initialRoom).fill(noWorker);
-    #previous = new Int32Array(initialRoom).fill(noWorker);
-    #cellOf = new Int32Array(initialRoom).fill(noWorker);
+    #capacity = new Float64Array(initialCapacity * dimensionCount);
+    #free = new Float64Array(initialCapacity * dimensionCount);
+    #next = new Int32Array(initialCapacity).fill(noWorker);
+    #previous = new Int32Array(initialCapacity).fill(noWorker);
+    #cellOf = new Int32Array(initialCapacity).fill(noWorker);
     readonly #heads = new Int32Array(levelCount * levelCount).fill(noWorker);
     readonly #rowMasks = new Uint32Array(levelCount);
     #largestProcessors = 1;
     #largestMemory = 1;
     #count = 0;
-    #roomVersion = 0;
-    readonly #open: boolean[] = [];
+    #capacityVersion = 0;
+    readonly #schedulable: boolean[] = [];
     readonly #needed = new Float64Array(dimensionCount);
 
     /** Number of workers added so far; workers are never removed. */
@@ -41,18 +41,18 @@
     }
 
     /** Incremented whenever capacity is freed. While it is unchanged, a task that did not fit still does not fit. */
-    get roomVersion(): number {
-        return this.#roomVersion;
+    get capacityVersion(): number {
+        return this.#capacityVersion;
     }
 
     /** Adds an empty worker, schedulable at once. */
     add(capacity: Resources): WorkerSlot {
         const worker = this.#count++;
-        this.#makeRoom(worker);
+        this.#ensureCapacity(worker);
         const amounts = toArray(capacity);
         this.#capacity.set(amounts, worker * dimensionCount);
         this.#free.set(amounts, worker * dimensionCount);
-        this.#open[worker] = true;
+        this.#schedulable[worker] = true;
         if (capacity.processorThousandths > this.#largestProcessors || capacity.memoryMebibytes > this.#largestMemory) {
             this.#largestProcessors = Math.max(this.#largestProcessors, capacity.processorThousandths);
             this.#largestMemory = Math.max(this.#largestMemory, capacity.memoryMebibytes);
@@ -65,17 +65,17 @@
     }
 
     /** Sets whether a worker accepts placements. Its usage stays counted. */
-    setOpen(worker: WorkerSlot, open: boolean): void {
-        if (this.#open[worker] === open) {
+    setSchedulable(worker: WorkerSlot, schedulable: boolean): void {
+        if (this.#schedulable[worker] === schedulable) {
             return;
         }
-        this.#open[worker] = open;
-        this.#roomVersion += open ? 1 : 0;
+        this.#schedulable[worker] = schedulable;
+        this.#capacityVersion += schedulable ? 1 : 0;
         this.#relink(worker);
     }
 
-    isOpen(worker: WorkerSlot): boolean {
-        return this.#open[worker];
+    isSchedulable(worker: WorkerSlot): boolean {
+        return this.#schedulable[worker];
     }
 
     /** Reserves resources on a worker. The caller must have checked that they fit. */
@@ -85,7 +85,7 @@
 
     /** Releases reserved resources of a worker. */
     release(worker: WorkerSlot, size: Resources): void {
-        this.#roomVersion++;
+        this.#capacityVersion++;
         this.#change(worker, size, 1);
     }
 
@@ -111,20 +111,20 @@
         const pack = request.preference === Preference.Pack;
         const allowed = (0xffff_ffff << firstColumn) >>> 0;
         let considered = 0;
-        let fitted = 0;
+        let feasible = 0;
         let best = noWorker;
         let bestScore = Infinity;
-        for (let step = 0; step < levelCount - firstRow && fitted < enoughFitting; step++) {
+        for (let step = 0; step < levelCount - firstRow && feasible < maxFeasible; step++) {
             const row = pack ? firstRow + step : levelCount - 1 - step;
             let mask = (this.#rowMasks[row] & allowed) >>> 0;
-            while (mask !== 0 && fitted < enoughFitting) {
+            while (mask !== 0 && feasible < maxFeasible) {
                 const column = pack ? 31 - Math.clz32(mask & -mask) : 31 - Math.clz32(mask);
                 mask = (mask & ~(1 << column)) >>> 0;
                 let worker = this.#heads[row * levelCount + column];
-                while (worker !== noWorker && fitted < enoughFitting) {
+                while (worker !== noWorker && feasible < maxFeasible) {
                     considered++;
                     if (this.#hasRoom(worker, request.headroom) && request.isExcluded?.(worker) !== true) {
-                        fitted++;
+                        feasible++;
                         const score = pack ? this.#leftover(worker) : -this.#leftover(worker);
                         if (score < bestScore) {
                             best = worker;
@@ -135,7 +135,7 @@
                 }
             }
         }
-        return { worker: best, considered, fitted };
+        return { worker: best, considered, feasible: feasible };
     }
 
     #setNeeded(size: Resources): void {
@@ -201,7 +201,7 @@
 
     #cell(worker: WorkerSlot): number {
         const base = worker * dimensionCount;
-        if (!this.#open[worker] || this.#free[base + slotDimension] <= 0) {
+        if (!this.#schedulable[worker] || this.#free[base + slotDimension] <= 0) {
             return noWorker;
         }
         const row = this.#level(this.#free[base + processorDimension], this.#largestProcessors);
@@ -266,7 +266,7 @@
         }
     }
 
-    #makeRoom(worker: WorkerSlot): void {
+    #ensureCapacity(worker: WorkerSlot): void {
         if (worker < this.#next.length) {
             return;
         }
--- a/packages/core/src/placement/types.ts
+++ b/packages/core/src/placement/types.ts
@@ -28,7 +28,7 @@
     /** Number of workers whose capacity was checked. */
     readonly considered: number;
     /** Number of feasible workers found before the search stopped. */
-    readonly fitted: number;
+    readonly feasible: number;
 }
 
 /** Sentinel slot for "no worker". */
--- a/packages/core/src/platform/index.ts
+++ b/packages/core/src/platform/index.ts
@@ -10,7 +10,7 @@
 /** Expected version for a write that must create the key. */
 export const absentVersion = 0 as KeyVersion;
 /** Maximum size of a value in the platform's store, in bytes. */
-export const largestValueBytes = 1_000_000;
+export const maxValueBytes = 1_000_000;
 
 /** A key with its value and version. */
 export interface KeyValue {
--- a/packages/core/src/settings/definitions.ts
+++ b/packages/core/src/settings/definitions.ts
@@ -10,7 +10,7 @@
 }
 
 const millisecondsPattern = /^\d+(\.\d+)?(ms|s|m|h|d)$/;
-const wholePattern = /^\d+$/;
+const integerPattern = /^\d+$/;
 const sharePattern = /^\d+(\.\d+)?%$/;
 const addressPattern = /^(\d{1,3})\.(\d{1,3})\.(\d{1,3})\.(\d{1,3}):(\d{1,5})$/;
 
@@ -18,8 +18,8 @@
 export class DurationKind implements ValueKind<number> {
     readonly description: string;
 
-    constructor(private readonly least: string, private readonly most: string) {
-        this.description = `duration from ${least} to ${most}, as in 250ms, 10s, 15m, 1h`;
+    constructor(private readonly min: string, private readonly max: string) {
+        this.description = `duration from ${min} to ${max}, as in 250ms, 10s, 15m, 1h`;
     }
 
     read(text: string): Result<number, string> {
@@ -27,8 +27,8 @@
             return err(`"${text}" is no ${this.description}`);
         }
         const value = ms(text as StringValue);
-        const isWithin = value >= ms(this.least as StringValue) && value <= ms(this.most as StringValue);
-        return isWithin ? ok(value) : err(`${text} is outside ${this.least} to ${this.most}`);
+        const isWithin = value >= ms(this.min as StringValue) && value <= ms(this.max as StringValue);
+        return isWithin ? ok(value) : err(`${text} is outside ${this.min} to ${this.max}`);
     }
 }
 
@@ -36,13 +36,13 @@
 export class CountKind implements ValueKind<number> {
     readonly description: string;
 
-    constructor(private readonly least: number, private readonly most: number, unit = "") {
-        this.description = `whole number from ${least} to ${most}${unit === "" ? "" : `, in ${unit}`}`;
+    constructor(private readonly min: number, private readonly max: number, unit = "") {
+        this.description = `whole number from ${min} to ${max}${unit === "" ? "" : `, in ${unit}`}`;
     }
 
     read(text: string): Result<number, string> {
-        const value = wholePattern.test(text) ? Number(text) : NaN;
-        return value >= this.least && value <= this.most ? ok(value) : err(`"${text}" is no ${this.description}`);
+        const value = integerPattern.test(text) ? Number(text) : NaN;
+        return value >= this.min && value <= this.max ? ok(value) : err(`"${text}" is no ${this.description}`);
     }
 }
 
@@ -50,13 +50,13 @@
 export class ShareKind implements ValueKind<number> {
     readonly description: string;
 
-    constructor(private readonly least: number, private readonly most: number) {
-        this.description = `share from ${least}% to ${most}%, as in 15%`;
+    constructor(private readonly min: number, private readonly max: number) {
+        this.description = `share from ${min}% to ${max}%, as in 15%`;
     }
 
     read(text: string): Result<number, string> {
         const value = sharePattern.test(text) ? Number(text.slice(0, -1)) : NaN;
-        return value >= this.least && value <= this.most ? ok(value / 100) : err(`"${text}" is no ${this.description}`);
+        return value >= this.min && value <= this.max ? ok(value / 100) : err(`"${text}" is no ${this.description}`);
     }
 }
 
--- a/packages/core/src/settings/stored.ts
+++ b/packages/core/src/settings/stored.ts
@@ -3,7 +3,7 @@
 import {
     absentVersion,
     type KeyValue,
-    largestValueBytes,
+    maxValueBytes,
     type PlatformStore,
     PlatformUnavailableError,
 } from "../platform/index.js";
@@ -59,10 +59,10 @@
 };
 
 /** Reads up to `limit` revisions, newest first. */
-export const readHistory = async (store: PlatformStore, most: number): Promise<StoredSettings[]> => {
+export const readHistory = async (store: PlatformStore, limit: number): Promise<StoredSettings[]> => {
     const revisions: StoredSettings[] = [];
     let entry = await readSettings(store);
-    while (entry !== undefined && revisions.length < most) {
+    while (entry !== undefined && revisions.length < limit) {
         revisions.push(entry);
         entry = parseStored(await store.get(historyKeyOf(settingsRevision(entry.revision - 1))));
     }
@@ -89,9 +89,9 @@
  */
 export const acceptSettings = async (request: AcceptRequest): Promise<AcceptOutcome> => {
     const bytes = Buffer.byteLength(request.text);
-    if (bytes > largestValueBytes / 2 - reservedBytes) {
+    if (bytes > maxValueBytes / 2 - reservedBytes) {
         // JSON escaping may double the length of the text, so half of the platform's limit always fits.
-        return { kind: "too-large", bytes, most: largestValueBytes / 2 - reservedBytes };
+        return { kind: "too-large", bytes, most: maxValueBytes / 2 - reservedBytes };
     }
     const giveUpAt = request.clock.monotonic() + request.settleWithin;
     while (true) {
--- a/packages/core/src/shard/admission.ts
+++ b/packages/core/src/shard/admission.ts
@@ -16,7 +16,7 @@
 import type { CapacityShape } from "./worker-table.js";
 
 /** State of the shard that admission depends on. */
-export interface AdmissionView {
+export interface AdmissionContext {
     /** Workers grouped by capacity; undefined until the list of VMs has been read. */
     readonly shapes: readonly CapacityShape[] | undefined;
     /** Number of pending units. */
@@ -27,17 +27,21 @@
 }
 
 interface UsableShape extends CapacityShape {
-    readonly room: Resources;
+    readonly available: Resources;
 }
 
 /** Suggested retry delay until the list of VMs has been read. */
-const listRetryAfter: Milliseconds = 1_000;
+const workerListRetryAfter: Milliseconds = 1_000;
 
 /** Returns the reason to refuse a submission; undefined when it may be accepted. */
-export const refusalOf = (submission: JobSubmission, view: AdmissionView): Refusal | undefined => {
+export const checkAdmission = (submission: JobSubmission, view: AdmissionContext): Refusal | undefined => {
     const { shapes } = view;
     if (shapes === undefined) {
-        return { error: "no-workers", reason: "the list of VMs has not been read yet", retryAfter: listRetryAfter };
+        return {
+            error: "no-workers",
+            reason: "the list of VMs has not been read yet",
+            retryAfter: workerListRetryAfter,
+        };
     }
     return sizeRefusal(submission, shapes, view.settings)
         ?? quotaRefusal(submission, view.settings)
@@ -45,7 +49,7 @@
         ?? deadlineRefusal(submission);
 };
 
-const countAtOnce = (submission: JobSubmission): number =>
+const countPlacedTogether = (submission: JobSubmission): number =>
     policyOf(submission.class).allOrNothing ? submission.tasks : 1;
 
 const sizeRefusal = (
@@ -55,12 +59,15 @@
 ): Refusal | undefined => {
     const size = sizeOf(submission);
     const headroom = policyOf(submission.class).headroom(placement);
-    const usable = shapes.map((shape): UsableShape => ({ ...shape, room: withoutHeadroom(shape.capacity, headroom) }));
-    const places = usable.reduce((sum, { room, count }) => sum + timesFitting(size, room) * count, 0);
+    const usable = shapes.map((shape): UsableShape => ({
+        ...shape,
+        available: withoutHeadroom(shape.capacity, headroom),
+    }));
+    const places = usable.reduce((sum, { available: room, count }) => sum + countFitting(size, room) * count, 0);
     if (places === 0) {
-        return { error: "fits-nowhere", reason: nearestMiss(size, usable) };
+        return { error: "fits-nowhere", reason: describeNearestMiss(size, usable) };
     }
-    const needed = countAtOnce(submission);
+    const needed = countPlacedTogether(submission);
     return places >= needed ? undefined : {
         error: "fits-nowhere",
         reason: `all ${needed} tasks must run at once and the shard holds at most ${places} of this size`,
@@ -70,7 +77,7 @@
 const quotaRefusal = (submission: JobSubmission, { quotas }: ShardSettings): Refusal | undefined => {
     const { team } = submission;
     const quota = quotas.get(team);
-    const needed = multiplyResources(sizeOf(submission), countAtOnce(submission));
+    const needed = multiplyResources(sizeOf(submission), countPlacedTogether(submission));
     const lacking = quota === undefined ? undefined : dimensions.find(name => needed[name] > (quota[name] ?? Infinity));
     return lacking === undefined ? undefined : {
         error: "quota-too-small",
@@ -78,7 +85,7 @@
     };
 };
 
-const queueRefusal = (submission: JobSubmission, view: AdmissionView): Refusal | undefined => {
+const queueRefusal = (submission: JobSubmission, view: AdmissionContext): Refusal | undefined => {
     const limit = view.settings.queueLimit * queueShares[submission.priority];
     const units = policyOf(submission.class).allOrNothing ? 1 : submission.tasks;
     const after = view.queueLength + units;
@@ -102,13 +109,13 @@
     processorThousandths: capacity.processorThousandths * (1 - headroom),
 });
 
-const timesFitting = (size: Resources, room: Resources): number =>
+const countFitting = (size: Resources, room: Resources): number =>
     Math.min(...dimensions.filter(name => size[name] > 0).map(name => Math.floor(room[name] / size[name])));
 
 /** Describes the worker that falls short in the fewest dimensions. */
-const nearestMiss = (size: Resources, shapes: readonly UsableShape[]): string => {
-    const byLack = Ord.contramap((shape: UsableShape) => lackingDimensions(size, shape.room).length)(Number.Ord);
-    const describe = ({ example, room }: UsableShape): string => {
+const describeNearestMiss = (size: Resources, shapes: readonly UsableShape[]): string => {
+    const byLack = Ord.contramap((shape: UsableShape) => lackingDimensions(size, shape.available).length)(Number.Ord);
+    const describe = ({ example, available: room }: UsableShape): string => {
         const lacking = lackingDimensions(size, room).map(name => `${name} ${size[name]} of ${room[name]}`);
         return `no worker holds it; the nearest is ${example}, which lacks ${lacking.join(", ")}`;
     };
--- a/packages/core/src/shard/constants.ts
+++ b/packages/core/src/shard/constants.ts
@@ -1,19 +1,19 @@
 /** Fixed limits of a shard, as opposed to its settings. */
 
 /** Entries in a job's history. The first entry is always kept; of the others the oldest are dropped. */
-export const longestHistory = 40;
+export const maxHistoryEntries = 40;
 /** Smoothing factor of the exponential moving average of task starts per second. */
-export const rateWeight = 0.3;
+export const startRateWeight = 0.3;
 /** Share of the queue limit up to which submissions of each priority are accepted. */
 export const queueShares = { urgent: 1, normal: 0.9, patient: 0.7 } as const;
 /** Upper bound of the retry delay suggested to callers, in milliseconds. */
-export const longestRetryAfter = 600_000;
+export const maxRetryAfter = 600_000;
 /**
  * How long a new owner only re-grants slots that gateways report as held, in milliseconds: twice their renewal interval.
  * A gateway that is partitioned for longer may still use its grant; instances reject requests beyond their slots.
  */
-export const gatewaysRegisterWithin = 1_000;
+export const gatewayRegistrationPeriod = 1_000;
 /** A placement cycle ends after this many units that could not be placed. */
-export const passDepth = 256;
+export const maxUnplacedUnits = 256;
 /** Longest interval between two placement cycles when no capacity was freed and nothing was queued, in milliseconds. */
-export const passInterval = 1_000;
+export const placementCycleInterval = 1_000;
--- a/packages/core/src/shard/job-book.ts
+++ b/packages/core/src/shard/job-book.ts
@@ -1,34 +1,34 @@
 /** State of all jobs of a shard. */
 import { indexOfTask, type JobId, jobOfTask, type TaskId, taskIdOf } from "../ids/index.js";
-import { isFinalState, JobState, RanAnswer } from "../jobs/index.js";
+import { ExecutionStatus, isFinalState, JobState } from "../jobs/index.js";
 import { EndKind } from "../worker/index.js";
-import { longestHistory } from "./constants.js";
-import type { Terms } from "./lease-terms.js";
+import { maxHistoryEntries } from "./constants.js";
+import type { LeaseTerms } from "./lease-terms.js";
 import type {
     EndedRecord,
     FinishedRecord,
     LostRecord,
     NotStartedRecord,
-    OnceEndedRecord,
     ShardRecord,
     StartingRecord,
     SubmittedRecord,
+    UnrepeatableEndedRecord,
 } from "./records.js";
-import { type JobEntry, type OnceEntry, type ShardSnapshot, type TaskEntry, TaskPhase } from "./types.js";
+import { type JobEntry, type ShardSnapshot, type TaskEntry, TaskPhase, type UnrepeatableRequest } from "./types.js";
 
 /**
  * Jobs by id and by their caller's key, and at-most-once live requests by key.
  *
  * The state changes only by applying records, so that replaying the journal restores it.
  */
-export class JobBook {
+export class JobRegistry {
     readonly jobs = new Map<JobId, JobEntry>();
-    readonly once = new Map<string, OnceEntry>();
+    readonly once = new Map<string, UnrepeatableRequest>();
     /** The lease terms that were journaled last. */
-    terms: Terms | undefined;
+    terms: LeaseTerms | undefined;
     readonly #jobsByKey = new Map<string, JobEntry>();
 
-    byKey(key: string): JobEntry | undefined {
+    findByKey(key: string): JobEntry | undefined {
         return this.#jobsByKey.get(key);
     }
 
@@ -43,7 +43,7 @@
         this.terms = snapshot.terms;
         for (const job of this.jobs.values()) {
             job.unkept = 0;
-            job.tasks.forEach(resetUnkept);
+            job.tasks.forEach(resetVolatileState);
         }
     }
 
@@ -83,11 +83,11 @@
                 });
                 return;
             case "once-ended":
-                return this.#applyOnceEnded(record);
+                return this.#applyUnrepeatableEnded(record);
         }
     }
 
-    #applyOnceEnded({ key, status }: OnceEndedRecord): void {
+    #applyUnrepeatableEnded({ key, status }: UnrepeatableEndedRecord): void {
         const entry = this.once.get(key);
         if (status === undefined) {
             this.once.delete(key);
@@ -120,7 +120,7 @@
             submission: record.submission,
             submittedAt: record.at,
             state: JobState.Queued,
-            ran: RanAnswer.NotRun,
+            ran: ExecutionStatus.NotRun,
             reason: "waits for room",
             tasks,
             history: [],
@@ -157,14 +157,14 @@
     }
 
     #applyNotStarted(record: NotStartedRecord): void {
-        this.#leaveWorker(record, task => {
+        this.#endAttempt(record, task => {
             task.phase = TaskPhase.Waiting;
         }, "not started");
     }
 
     #applyEnded(record: EndedRecord): void {
-        this.#leaveWorker({ ...record, reason: record.end }, (task, job) => {
-            job.ran = RanAnswer.Ran;
+        this.#endAttempt({ ...record, reason: record.end }, (task, job) => {
+            job.ran = ExecutionStatus.Ran;
             task.isLost = undefined;
             task.end = record.end;
             if (record.end === EndKind.Succeeded) {
@@ -184,9 +184,9 @@
     }
 
     #applyLost(record: LostRecord): void {
-        this.#leaveWorker(record, (task, job) => {
-            if (job.ran === RanAnswer.NotRun) {
-                job.ran = RanAnswer.MayHaveRun;
+        this.#endAttempt(record, (task, job) => {
+            if (job.ran === ExecutionStatus.NotRun) {
+                job.ran = ExecutionStatus.MayHaveRun;
             }
             task.phase = record.isFinal ? TaskPhase.Failed : TaskPhase.Waiting;
             task.isLost = true;
@@ -194,7 +194,7 @@
         }, "lost");
     }
 
-    #leaveWorker(
+    #endAttempt(
         record: NotStartedRecord | LostRecord | (EndedRecord & { reason: string; }),
         change: (task: TaskEntry, job: JobEntry) => void,
         decision: string,
@@ -254,13 +254,13 @@
 
 const addHistory = (job: JobEntry, at: string, decision: string, reason: string): void => {
     job.history.push({ at, decision, reason });
-    if (job.history.length > longestHistory) {
+    if (job.history.length > maxHistoryEntries) {
         job.history.splice(1, 1);
     }
 };
 
 /** Clears fields that only held for the former owner's clock and connections. */
-const resetUnkept = (task: TaskEntry): void => {
+const resetVolatileState = (task: TaskEntry): void => {
     task.confirmedAt = undefined;
     task.stopSent = undefined;
     task.serviceAddress = undefined;
--- a/packages/core/src/shard/job-lifecycle.ts
+++ b/packages/core/src/shard/job-lifecycle.ts
@@ -6,37 +6,37 @@
 import { type Resources, resourcesKey } from "../resources/index.js";
 import type { Milliseconds } from "../time/index.js";
 import { EndKind, StopMode } from "../worker/index.js";
-import { isEnding, verdictOf } from "./job-view.js";
+import { finalStateOf, isEnding } from "./job-view.js";
 import { type PendingUnit } from "./pending-queue.js";
 import { sizeOf } from "./size.js";
-import { StepBuilder } from "./step-builder.js";
+import { TransitionBuilder } from "./step-builder.js";
 import { type JobEntry, type TaskEntry, TaskPhase } from "./types.js";
 import { type WorkerEntry } from "./worker-table.js";
 
 import type { ShardContext } from "./shard-context.js";
 
-interface Due {
+interface Deadline {
     readonly at: number;
     readonly job: JobId;
 }
 
-interface Delayed {
+interface DelayedUnit {
     readonly at: Milliseconds;
     readonly unit: PendingUnit;
 }
 
 /** Queues, retries, stops and finishes jobs, and enforces deadlines and retention. */
 export class JobLifecycle {
-    readonly #deadlines = new TinyQueue<Due>([], (left, right) => left.at - right.at);
-    readonly #delayed = new TinyQueue<Delayed>([], (left, right) => left.at - right.at);
+    readonly #deadlines = new TinyQueue<Deadline>([], (left, right) => left.at - right.at);
+    readonly #delayed = new TinyQueue<DelayedUnit>([], (left, right) => left.at - right.at);
     readonly #finished: JobEntry[] = [];
-    #nextTicket = 1;
+    #nextSequence = 1;
 
     constructor(private readonly context: ShardContext) {}
 
     /** Sequence number of the next queued unit. Changes whenever a unit is queued. */
-    get nextTicket(): number {
-        return this.#nextTicket;
+    get nextSequence(): number {
+        return this.#nextSequence;
     }
 
     /** Resumes a job that was restored from the journal. */
@@ -47,15 +47,15 @@
         }
         this.watchDeadline(job);
         this.context.services.add(job);
-        const isWhole = job.submission.class !== WorkloadClass.Gang
+        const isReady = job.submission.class !== WorkloadClass.Gang
             || job.tasks.every(task => task.phase === TaskPhase.Waiting);
-        if (isWhole && !isEnding(job)) {
+        if (isReady && !isEnding(job)) {
             this.enqueue(job, job.tasks.filter(task => task.phase === TaskPhase.Waiting));
         }
     }
 
     /** Queues units whose retry delay is over. */
-    requeueDue(now: Milliseconds): void {
+    requeueDelayed(now: Milliseconds): void {
         while (this.#delayed.length > 0 && this.#delayed.peek()!.at <= now) {
             this.#requeue(this.#delayed.pop()!.unit);
         }
@@ -88,17 +88,17 @@
             tasks: group.map(task => task.task),
             size,
             priority,
-            signature: group.length === 1 ? common : `${common}|${group.length}`,
-            ticket: this.#nextTicket++,
+            equivalenceKey: group.length === 1 ? common : `${common}|${group.length}`,
+            sequence: this.#nextSequence++,
             since,
         }));
     }
 
     /** Queues a unit behind those already waiting, unless its job is ending. */
     #requeue(unit: PendingUnit): void {
-        const job = this.context.book.jobs.get(unit.job);
+        const job = this.context.registry.jobs.get(unit.job);
         if (job !== undefined && !isEnding(job)) {
-            this.context.queue.add({ ...unit, ticket: this.#nextTicket++ });
+            this.context.queue.add({ ...unit, sequence: this.#nextSequence++ });
         }
     }
 
@@ -113,21 +113,21 @@
         if (kind === EndKind.Stopped && !isEnding(job) && job.submission.class === WorkloadClass.Gang) {
             return false;
         }
-        return this.#isLastTry(job, task);
+        return this.#isLastAttempt(job, task);
     }
 
     /** Whether the current attempt is the task's last once it has run or was lost. */
-    #isLastTry({ submission }: JobEntry, task: TaskEntry): boolean {
+    #isLastAttempt({ submission }: JobEntry, task: TaskEntry): boolean {
         return submission.unrepeatable
             || task.spent + 1 > this.context.options.settings(submission.class).retryAttempts;
     }
 
     /** Records that an attempt did not run and cannot start any more. */
-    notStarted(task: TaskEntry, reason: string, builder: StepBuilder): void {
-        this.#leave(task, () => {
+    recordNotStarted(task: TaskEntry, reason: string, builder: TransitionBuilder): void {
+        this.#endAttempt(task, () => {
             builder.record({
                 kind: "not-started",
-                at: this.context.at(),
+                at: this.context.timestamp(),
                 task: task.task,
                 attempt: task.attempt,
                 reason,
@@ -136,13 +136,13 @@
     }
 
     /** Records that an attempt is no longer running and may have run. */
-    lose(task: TaskEntry, reason: string, builder: StepBuilder): void {
+    recordLost(task: TaskEntry, reason: string, builder: TransitionBuilder): void {
         const job = this.context.jobOf(jobOfTask(task.task));
-        const isFinal = job.submission.class !== WorkloadClass.Service && this.#isLastTry(job, task);
-        this.#leave(task, () => {
+        const isFinal = job.submission.class !== WorkloadClass.Service && this.#isLastAttempt(job, task);
+        this.#endAttempt(task, () => {
             builder.record({
                 kind: "lost",
-                at: this.context.at(),
+                at: this.context.timestamp(),
                 task: task.task,
                 attempt: task.attempt,
                 reason,
@@ -151,7 +151,7 @@
         }, builder);
     }
 
-    #leave(task: TaskEntry, record: () => void, builder: StepBuilder): void {
+    #endAttempt(task: TaskEntry, record: () => void, builder: TransitionBuilder): void {
         const { assignment } = task;
         if (assignment === undefined) {
             return;
@@ -159,29 +159,29 @@
         record();
         const entry = this.context.workers.get(assignment.worker);
         if (entry !== undefined) {
-            this.discharge(task, entry, assignment.grant);
+            this.releaseResources(task, entry, assignment.grant);
         }
-        this.afterTask(this.context.jobOf(jobOfTask(task.task)), task, builder);
+        this.onAttemptEnded(this.context.jobOf(jobOfTask(task.task)), task, builder);
     }
 
     /** Returns an attempt's resources to its worker and its team. */
-    discharge(task: TaskEntry, entry: WorkerEntry, grant: Resources): void {
+    releaseResources(task: TaskEntry, entry: WorkerEntry, grant: Resources): void {
         if (entry.tasks.has(task.task)) {
-            this.context.workers.discharge(entry, task, grant);
-            this.context.teams.giveBack(this.context.teamOf(task), grant);
+            this.context.workers.release(entry, task, grant);
+            this.context.teamUsage.release(this.context.teamOf(task), grant);
         }
     }
 
     /** Records all attempts at a worker as lost. */
-    loseTasks(entry: WorkerEntry, reason: string, builder: StepBuilder): void {
+    recordAllLost(entry: WorkerEntry, reason: string, builder: TransitionBuilder): void {
         for (const task of [...entry.tasks.values()]) {
-            this.lose(task, reason, builder);
+            this.recordLost(task, reason, builder);
         }
     }
 
     /** Continues a job after one of its attempts ended: finishes it, retries the task, or restarts the whole gang. */
-    afterTask(job: JobEntry, task: TaskEntry, builder: StepBuilder): void {
-        builder.changed(job.job);
+    onAttemptEnded(job: JobEntry, task: TaskEntry, builder: TransitionBuilder): void {
+        builder.jobChanged(job.job);
         if (isEnding(job) || job.tasks.every(other => other.phase === TaskPhase.Succeeded)) {
             this.endJob(job, builder);
             return;
@@ -212,32 +212,32 @@
     }
 
     /** Ends a job: removes its tasks from the queue, stops running ones, and finishes it once none is left. */
-    endJob(job: JobEntry, builder: StepBuilder): void {
+    endJob(job: JobEntry, builder: TransitionBuilder): void {
         job.tasks.forEach(task => this.context.queue.remove(task.task));
-        this.context.saver.done(job.job);
+        this.context.gangReservation.release(job.job);
         const assigned = job.tasks.filter(task => task.assignment !== undefined);
         if (assigned.length > 0) {
             assigned.filter(task => task.phase === TaskPhase.Running)
                 .forEach(task => this.stop(task, StopMode.Stop, builder));
             return;
         }
-        const { state, reason } = verdictOf(job);
+        const { state, reason } = finalStateOf(job);
         this.#finish(job, state, reason, builder);
     }
 
-    #finish(job: JobEntry, state: JobState, reason: string, builder: StepBuilder): void {
+    #finish(job: JobEntry, state: JobState, reason: string, builder: TransitionBuilder): void {
         if (isFinalState(job.state)) {
             return;
         }
-        builder.record({ kind: "finished", at: this.context.at(), job: job.job, state, ran: job.ran, reason });
-        builder.changed(job.job);
+        builder.record({ kind: "finished", at: this.context.timestamp(), job: job.job, state, ran: job.ran, reason });
+        builder.jobChanged(job.job);
         this.#finished.push(job);
         this.context.health.forgetJob(job.job);
         this.context.services.remove(job);
     }
 
     /** Asks the worker to stop a task's current attempt. Sent at most once per attempt. */
-    stop(task: TaskEntry, mode: StopMode, builder: StepBuilder): void {
+    stop(task: TaskEntry, mode: StopMode, builder: TransitionBuilder): void {
         const { assignment } = task;
         if (assignment === undefined || task.stopSent === true) {
             return;
@@ -252,7 +252,7 @@
     }
 
     /** Stops a task whose start was confirmed after its job ended or another member of its gang stopped. */
-    stopIfUnwanted(task: TaskEntry, builder: StepBuilder): void {
+    stopIfUnwanted(task: TaskEntry, builder: TransitionBuilder): void {
         const job = this.context.jobOf(jobOfTask(task.task));
         const isBrokenGang = job.submission.class === WorkloadClass.Gang
             && job.tasks.some(other => other.phase === TaskPhase.Waiting);
@@ -262,21 +262,21 @@
     }
 
     /** Expires jobs that are past their deadline and have no task assigned. */
-    passDeadlines(builder: StepBuilder): void {
+    expireOverdue(builder: TransitionBuilder): void {
         const now = this.context.options.clock.now().getTime();
         while (this.#deadlines.length > 0 && this.#deadlines.peek()!.at <= now) {
-            const job = this.context.book.jobs.get(this.#deadlines.pop()!.job);
+            const job = this.context.registry.jobs.get(this.#deadlines.pop()!.job);
             const isIdle = job !== undefined && !isFinalState(job.state) && job.tasks.every(task => !task.assignment);
             if (isIdle) {
                 job.tasks.forEach(task => this.context.queue.remove(task.task));
-                this.context.saver.done(job.job);
+                this.context.gangReservation.release(job.job);
                 this.#finish(job, JobState.Expired, "its deadline passed while it waited", builder);
             }
         }
     }
 
     /** Removes finished jobs whose retention period is over. */
-    forgetOld(builder: StepBuilder): void {
+    purgeExpired(builder: TransitionBuilder): void {
         const oldest = this.context.options.clock.now().getTime() - this.context.options.settings().retention;
         while (this.#finished.length > 0 && Date.parse(this.#finished[0].finishedAt ?? "") <= oldest) {
             builder.record({ kind: "forgotten", job: this.#finished.shift()!.job });
--- a/packages/core/src/shard/job-view.ts
+++ b/packages/core/src/shard/job-view.ts
@@ -1,9 +1,9 @@
 /** What callers see of a job, and the final state that follows from its tasks. */
-import { isFinalState, JobState, type JobView, RanAnswer, type TaskOutcome } from "../jobs/index.js";
+import { ExecutionStatus, isFinalState, JobState, type JobView, type TaskOutcome } from "../jobs/index.js";
 import { type JobEntry, type SubmitOutcome, type TaskEntry, TaskPhase } from "./types.js";
 
 /** Final state of a job with the reason. */
-export interface JobVerdict {
+export interface FinalState {
     readonly state: JobState;
     readonly reason: string;
 }
@@ -11,24 +11,24 @@
 /** Describes a job for its caller. A final state is reported only once it is committed. */
 export const describeJob = (job: JobEntry, waiting: Pick<JobView, "place" | "expectedWait">): JobView => {
     const isFinal = isFinalState(job.state);
-    const isTold = !isFinal || job.unkept === 0;
+    const isDurable = !isFinal || job.unkept === 0;
     return {
         job: job.job,
         key: job.key,
-        state: isTold ? job.state : JobState.Running,
-        ran: isTold ? toldRan(job) : RanAnswer.MayHaveRun,
-        reason: isTold ? job.reason : "its end is being recorded",
+        state: isDurable ? job.state : JobState.Running,
+        ran: isDurable ? reportedExecutionStatus(job) : ExecutionStatus.MayHaveRun,
+        reason: isDurable ? job.reason : "its end is being recorded",
         attempts: job.tasks.reduce((most, task) => Math.max(most, task.attempt), 0),
         workers: job.tasks.flatMap(task => task.assignment?.worker ?? []),
         ...waiting,
-        outcomes: isTold && isFinal ? job.tasks.map(outcomeOf) : [],
+        outcomes: isDurable && isFinal ? job.tasks.map(outcomeOf) : [],
     };
 };
 
 /** `NotRun` is reported only while no start request may be in flight. */
-const toldRan = (job: JobEntry): RanAnswer => {
-    const mayRun = job.ran === RanAnswer.NotRun && job.tasks.some(task => task.assignment !== undefined);
-    return mayRun ? RanAnswer.MayHaveRun : job.ran;
+const reportedExecutionStatus = (job: JobEntry): ExecutionStatus => {
+    const mayRun = job.ran === ExecutionStatus.NotRun && job.tasks.some(task => task.assignment !== undefined);
+    return mayRun ? ExecutionStatus.MayHaveRun : job.ran;
 };
 
 const outcomeOf = (task: TaskEntry): TaskOutcome => ({
@@ -43,7 +43,7 @@
     || job.tasks.some(task => task.phase === TaskPhase.Failed);
 
 /** Final state of a job that has no running tasks left. */
-export const verdictOf = (job: JobEntry): JobVerdict => {
+export const finalStateOf = (job: JobEntry): FinalState => {
     if (job.tasks.every(task => task.phase === TaskPhase.Succeeded)) {
         return { state: JobState.Succeeded, reason: "all tasks succeeded" };
     }
--- a/packages/core/src/shard/lease-terms.ts
+++ b/packages/core/src/shard/lease-terms.ts
@@ -2,15 +2,15 @@
 import type { Milliseconds } from "../time/index.js";
 
 /** Durations that determine when a task can no longer be running. */
-export interface Terms {
+export interface LeaseTerms {
     readonly horizon: Milliseconds;
     readonly leaseDuration: Milliseconds;
     readonly leaseMargin: Milliseconds;
 }
 
-const noTerms: Terms = { horizon: 0, leaseDuration: 0, leaseMargin: 0 };
+const noTerms: LeaseTerms = { horizon: 0, leaseDuration: 0, leaseMargin: 0 };
 
-const isSameTerms = (left: Terms, right: Terms): boolean =>
+const isSameTerms = (left: LeaseTerms, right: LeaseTerms): boolean =>
     left.horizon === right.horizon && left.leaseDuration === right.leaseDuration
     && left.leaseMargin === right.leaseMargin;
 
@@ -21,58 +21,58 @@
  * settings may have changed since. Leases are therefore granted only under committed terms, and a shorter duration is
  * recorded only once all longer leases have expired.
  */
-export class LeaseTerms {
-    #kept = noTerms;
+export class LeasePolicy {
+    #committed = noTerms;
     #former = noTerms;
-    #offered: Terms | undefined;
+    #proposed: LeaseTerms | undefined;
     #shorterSince: Milliseconds | undefined;
 
     /** Restores the terms of the former owner. */
-    recover(terms: Terms | undefined): void {
-        this.#kept = terms ?? noTerms;
-        this.#former = this.#kept;
+    recover(terms: LeaseTerms | undefined): void {
+        this.#committed = terms ?? noTerms;
+        this.#former = this.#committed;
     }
 
     /** The terms under which a former owner may have granted leases. */
-    ofFormerOwner(): Terms {
+    formerTerms(): LeaseTerms {
         return this.#former;
     }
 
     /** The terms for leases granted now: those of the settings, limited by the committed ones. */
-    inForce(wanted: Terms): Terms {
+    currentTerms(wanted: LeaseTerms): LeaseTerms {
         return {
-            horizon: Math.min(wanted.horizon, this.#kept.horizon),
-            leaseDuration: Math.min(wanted.leaseDuration, this.#kept.leaseDuration),
-            leaseMargin: Math.max(wanted.leaseMargin, this.#kept.leaseMargin),
+            horizon: Math.min(wanted.horizon, this.#committed.horizon),
+            leaseDuration: Math.min(wanted.leaseDuration, this.#committed.leaseDuration),
+            leaseMargin: Math.max(wanted.leaseMargin, this.#committed.leaseMargin),
         };
     }
 
     /** Terms to write to the journal now; undefined when they are committed or already proposed. */
-    due(wanted: Terms, now: Milliseconds): Terms | undefined {
+    termsToRecord(wanted: LeaseTerms, now: Milliseconds): LeaseTerms | undefined {
         const next = {
             horizon: wanted.horizon,
-            leaseDuration: this.#durationToKeep(wanted, now),
+            leaseDuration: this.#durationToRecord(wanted, now),
             leaseMargin: wanted.leaseMargin,
         };
-        if (isSameTerms(next, this.#kept) || (this.#offered !== undefined && isSameTerms(next, this.#offered))) {
+        if (isSameTerms(next, this.#committed) || (this.#proposed !== undefined && isSameTerms(next, this.#proposed))) {
             return undefined;
         }
-        this.#offered = next;
+        this.#proposed = next;
         return next;
     }
 
     /** Must be called once recorded terms are committed. */
-    kept(terms: Terms): void {
-        this.#kept = terms;
+    onCommitted(terms: LeaseTerms): void {
+        this.#committed = terms;
     }
 
-    #durationToKeep(wanted: Terms, now: Milliseconds): Milliseconds {
-        if (wanted.leaseDuration >= this.#kept.leaseDuration) {
+    #durationToRecord(wanted: LeaseTerms, now: Milliseconds): Milliseconds {
+        if (wanted.leaseDuration >= this.#committed.leaseDuration) {
             this.#shorterSince = undefined;
             return wanted.leaseDuration;
         }
         this.#shorterSince ??= now;
-        const longerEnded = now - this.#shorterSince > this.#kept.leaseDuration + this.#kept.leaseMargin;
-        return longerEnded ? wanted.leaseDuration : this.#kept.leaseDuration;
+        const longerEnded = now - this.#shorterSince > this.#committed.leaseDuration + this.#committed.leaseMargin;
+        return longerEnded ? wanted.leaseDuration : this.#committed.leaseDuration;
     }
 }
--- a/packages/core/src/shard/pending-queue.ts
+++ b/packages/core/src/shard/pending-queue.ts
@@ -12,9 +12,9 @@
     readonly size: Resources;
     readonly priority: Priority;
     /** Equal for units with equal requirements: if one cannot be placed, neither can the others. */
-    readonly signature: string;
+    readonly equivalenceKey: string;
     /** Position in the order of arrival. */
-    readonly ticket: number;
+    readonly sequence: number;
     /** When the unit began to wait, on the monotonic clock. */
     readonly since: number;
 }
@@ -29,10 +29,10 @@
 
 const ranks: Readonly<Record<Priority, number>> = { [Priority.Urgent]: 0, [Priority.Normal]: 1, [Priority.Patient]: 2 };
 /** A group's array is compacted once its head reaches this index. */
-const compactAfter = 1024;
+const compactionThreshold = 1024;
 
-const isBefore = (left: Group, right: Group): number =>
-    left.rank - right.rank || left.units[left.first].ticket - right.units[right.first].ticket;
+const compareGroups = (left: Group, right: Group): number =>
+    left.rank - right.rank || left.units[left.first].sequence - right.units[right.first].sequence;
 
 /**
  * Pending units by priority and age, grouped by equal requirements.
@@ -42,7 +42,7 @@
 export class PendingQueue {
     readonly #groups = new Map<string, Group>();
     /** Groups ordered by their heads. A head changes only while its group is taken out, which keeps the heap valid. */
-    readonly #order = new TinyQueue<Group>([], isBefore);
+    readonly #order = new TinyQueue<Group>([], compareGroups);
     readonly #removed = new Set<PendingUnit>();
     readonly #byTask = new Map<TaskId, PendingUnit>();
     #waiting = 0;
@@ -53,7 +53,7 @@
 
     /** Appends a unit to its group. Sequence numbers must be increasing. */
     add(unit: PendingUnit): void {
-        const name = `${unit.priority}|${unit.signature}`;
+        const name = `${unit.priority}|${unit.equivalenceKey}`;
         let group = this.#groups.get(name);
         if (group === undefined) {
             group = { name, rank: ranks[unit.priority], units: [unit], first: 0 };
@@ -71,7 +71,7 @@
     remove(task: TaskId): void {
         const unit = this.#byTask.get(task);
         if (unit !== undefined) {
-            this.#forget(unit);
+            this.#drop(unit);
             this.#removed.add(unit);
         }
     }
@@ -81,7 +81,7 @@
     }
 
     /** Position of a unit in the queue, from 1. */
-    placeOf(unit: PendingUnit): number {
+    positionOf(unit: PendingUnit): number {
         let ahead = 1;
         for (const group of this.#groups.values()) {
             if (group.first >= group.units.length) {
@@ -91,7 +91,7 @@
                 ahead += group.units.length - group.first;
             }
             else if (group.rank === ranks[unit.priority]) {
-                ahead += countBefore(group, unit.ticket);
+                ahead += countBefore(group, unit.sequence);
             }
         }
         return ahead;
@@ -101,9 +101,9 @@
      * Offers units in order to `tryPlace` and removes those it returns true for. After a refusal the other units of the group
      * are skipped. Ends after `maxRefusals` refusals, which bounds the cost on a long queue.
      */
-    offer(place: (unit: PendingUnit) => boolean, depth = Infinity): void {
+    offer(tryPlace: (unit: PendingUnit) => boolean, maxRefusals = Infinity): void {
         const refused: Group[] = [];
-        while (refused.length < depth) {
+        while (refused.length < maxRefusals) {
             const group = this.#order.pop();
             if (group === undefined) {
                 break;
@@ -112,25 +112,25 @@
             this.#skipRemoved(group);
             const unit = group.units[group.first];
             if (unit !== head) {
-                this.#putBack(group);
+                this.#reinsert(group);
                 continue;
             }
-            if (!place(unit)) {
+            if (!tryPlace(unit)) {
                 refused.push(group);
                 continue;
             }
             if (this.#byTask.get(unit.tasks[0]) === unit) {
-                this.#forget(unit);
+                this.#drop(unit);
             }
             group.first++;
             this.#skipRemoved(group);
-            this.#putBack(group);
+            this.#reinsert(group);
         }
-        refused.forEach(group => this.#putBack(group));
+        refused.forEach(group => this.#reinsert(group));
     }
 
     /** Returns a group to the heap, or deletes it when it is empty. */
-    #putBack(group: Group): void {
+    #reinsert(group: Group): void {
         if (group.first < group.units.length) {
             this.#order.push(group);
         }
@@ -139,7 +139,7 @@
         }
     }
 
-    #forget(unit: PendingUnit): void {
+    #drop(unit: PendingUnit): void {
         unit.tasks.forEach(task => this.#byTask.delete(task));
         this.#waiting--;
     }
@@ -148,7 +148,7 @@
         while (group.first < group.units.length && this.#removed.delete(group.units[group.first])) {
             group.first++;
         }
-        if (group.first >= compactAfter) {
+        if (group.first >= compactionThreshold) {
             group.units = group.units.slice(group.first);
             group.first = 0;
         }
@@ -156,12 +156,12 @@
 }
 
 /** Counts the units of a group with a smaller sequence number, by binary search. */
-const countBefore = (group: Group, ticket: number): number => {
+const countBefore = (group: Group, sequence: number): number => {
     let low = group.first;
     let high = group.units.length;
     while (low < high) {
         const middle = (low + high) >>> 1;
-        if (group.units[middle].ticket < ticket) {
+        if (group.units[middle].sequence < sequence) {
             low = middle + 1;
         }
         else {
--- a/packages/core/src/shard/placement-pass.ts
+++ b/packages/core/src/shard/placement-pass.ts
@@ -2,96 +2,102 @@
 import { type Attempt, indexOfTask } from "../ids/index.js";
 import type { Resources } from "../resources/index.js";
 import type { Milliseconds } from "../time/index.js";
-import { longestRetryAfter, passDepth, passInterval, rateWeight } from "./constants.js";
+import { maxRetryAfter, maxUnplacedUnits, placementCycleInterval, startRateWeight } from "./constants.js";
 import type { JobLifecycle } from "./job-lifecycle.js";
 import type { PendingUnit } from "./pending-queue.js";
 import type { RecordedPlacement } from "./records.js";
 import type { ShardContext } from "./shard-context.js";
-import type { StepBuilder } from "./step-builder.js";
-import type { JobEntry, Step } from "./types.js";
-import { type Choice, WorkerChooser } from "./worker-chooser.js";
+import type { TransitionBuilder } from "./step-builder.js";
+import type { JobEntry, Transition } from "./types.js";
+import { type WorkerSelection, WorkerSelector } from "./worker-chooser.js";
 
 /** Runs placement cycles over the queue, and estimates waits from the rate at which tasks are placed. */
-export class PlacementPass {
-    readonly #chooser: WorkerChooser;
+export class PlacementCycle {
+    readonly #selector: WorkerSelector;
     #startsSinceTick = 0;
     #startsPerSecond = 0;
     #lastTick: Milliseconds;
     /** Time of the last cycle, with the versions of capacity and queue at its end. */
-    #lastPass = { at: -Infinity, room: -1, ticket: -1 };
+    #lastCycle = { at: -Infinity, room: -1, ticket: -1 };
 
     constructor(private readonly context: ShardContext, private readonly jobs: JobLifecycle) {
-        this.#chooser = new WorkerChooser(context.workers, context.saver);
+        this.#selector = new WorkerSelector(context.workers, context.gangReservation);
         this.#lastTick = context.openedAt;
     }
 
     /** Runs a placement cycle if one is due. Nothing is placed while the journal accepts no records (`mayRecord` false). */
-    run(mayRecord: boolean): Step {
-        const builder = this.context.builder();
-        if (mayRecord && this.context.mayRenew() && this.context.queue.length > 0) {
+    run(mayRecord: boolean): Transition {
+        const builder = this.context.beginTransition();
+        if (mayRecord && this.context.mayGrantLeases() && this.context.queue.length > 0) {
             const now = this.context.now();
-            if (this.#isPassDue(now)) {
-                this.context.saver.refresh(now);
-                this.context.queue.offer(unit => this.#place(unit, now, builder), passDepth);
-                this.#lastPass = {
+            if (this.#isDue(now)) {
+                this.context.gangReservation.expire(now);
+                this.context.queue.offer(unit => this.#place(unit, now, builder), maxUnplacedUnits);
+                this.#lastCycle = {
                     at: now,
-                    room: this.context.workers.index.roomVersion,
-                    ticket: this.jobs.nextTicket,
+                    room: this.context.workers.index.capacityVersion,
+                    ticket: this.jobs.nextSequence,
                 };
             }
         }
-        return builder.step();
+        return builder.build();
     }
 
     /** A unit that could not be placed can only fit once capacity was freed; other changes wait for the regular interval. */
-    #isPassDue(now: Milliseconds): boolean {
-        const { at, room, ticket } = this.#lastPass;
-        return now - at >= passInterval || room !== this.context.workers.index.roomVersion
-            || ticket !== this.jobs.nextTicket;
+    #isDue(now: Milliseconds): boolean {
+        const { at, room, ticket } = this.#lastCycle;
+        return now - at >= placementCycleInterval || room !== this.context.workers.index.capacityVersion
+            || ticket !== this.jobs.nextSequence;
     }
 
     /** Estimates the wait at a position of the queue from the rate of placements. */
     expectedWait(place: number): Milliseconds {
         const rate = Math.max(this.#startsPerSecond, 0.1);
-        return Math.min(longestRetryAfter, Math.ceil(place / rate * 1000));
+        return Math.min(maxRetryAfter, Math.ceil(place / rate * 1000));
     }
 
     /** Updates the rate of placements, at most once a second. */
-    measureRate(now: Milliseconds): void {
+    updateStartRate(now: Milliseconds): void {
         const elapsed = now - this.#lastTick;
         if (elapsed < 1000) {
             return;
         }
         const rate = this.#startsSinceTick / elapsed * 1000;
-        this.#startsPerSecond += (rate - this.#startsPerSecond) * rateWeight;
+        this.#startsPerSecond += (rate - this.#startsPerSecond) * startRateWeight;
         this.#startsSinceTick = 0;
         this.#lastTick = now;
     }
 
-    #place(unit: PendingUnit, now: Milliseconds, builder: StepBuilder): boolean {
+    #place(unit: PendingUnit, now: Milliseconds, builder: TransitionBuilder): boolean {
         const job = this.context.jobOf(unit.job);
         const { size } = unit;
         const { team } = job.submission;
         if (
-            !this.context.teams.isWithinQuota(team, size, unit.tasks.length, this.context.options.settings().quotas)
+            !this.context.teamUsage.isWithinQuota(team, size, unit.tasks.length, this.context.options.settings().quotas)
         ) {
             return false;
         }
         const settings = this.context.options.settings(job.submission.class);
         const avoided = this.context.health.failedWorkersOf(job.job);
-        const choice = this.#chooser.choose({ unit, job, settings, avoided, now });
+        const choice = this.#selector.select({ unit, job, settings, avoided, now });
         if (choice === undefined) {
             if (unit.tasks.length > 1 && now - unit.since >= settings.gangPatience) {
-                this.context.saver.save(job.job, size, unit.tasks.length, now);
+                this.context.gangReservation.reserve(job.job, size, unit.tasks.length, now);
             }
             return false;
         }
-        this.context.saver.done(unit.job);
+        this.context.gangReservation.release(unit.job);
         this.#recordPlacements(job, unit, choice, size, builder);
         return true;
     }
 
-    #recordPlacements(job: JobEntry, unit: PendingUnit, choice: Choice, grant: Resources, builder: StepBuilder): void {
+    #recordPlacements(
+        job: JobEntry,
+        unit: PendingUnit,
+        choice: WorkerSelection,
+        grant: Resources,
+        builder: TransitionBuilder,
+    ): void {
         const { workers, reason } = choice;
         const tasks = unit.tasks.map(task => job.tasks[indexOfTask(task)]);
         const placements = tasks.map((task, index): RecordedPlacement => ({
@@ -101,10 +107,10 @@
             incarnation: workers[index].incarnation!,
             grant,
         }));
-        builder.record({ kind: "starting", at: this.context.at(), job: job.job, placements, reason });
+        builder.record({ kind: "starting", at: this.context.timestamp(), job: job.job, placements, reason });
         placements.forEach(({ worker, task, attempt }, index) => {
             this.context.workers.charge(workers[index], tasks[index], grant);
-            this.context.teams.take(job.submission.team, grant);
+            this.context.teamUsage.charge(job.submission.team, grant);
             builder.effect({ kind: "start", worker, task, attempt });
         });
         this.#startsSinceTick += placements.length;
--- a/packages/core/src/shard/records.ts
+++ b/packages/core/src/shard/records.ts
@@ -1,9 +1,9 @@
 /** Journal records of a shard. Replaying them in order rebuilds the state of all jobs. */
 import { type Attempt, type Incarnation, type JobId, jobOfTask, type TaskId, type WorkerId } from "../ids/index.js";
-import type { JobState, JobSubmission, RanAnswer } from "../jobs/index.js";
+import type { ExecutionStatus, JobState, JobSubmission } from "../jobs/index.js";
 import type { Resources } from "../resources/index.js";
 import type { EndKind } from "../worker/index.js";
-import type { Terms } from "./lease-terms.js";
+import type { LeaseTerms } from "./lease-terms.js";
 
 /** Assignment of one task to one worker. The start request is sent only once this is committed. */
 export interface RecordedPlacement {
@@ -79,7 +79,7 @@
     readonly at: string;
     readonly job: JobId;
     readonly state: JobState;
-    readonly ran: RanAnswer;
+    readonly ran: ExecutionStatus;
     readonly reason: string;
 }
 
@@ -90,7 +90,7 @@
 }
 
 /** Written before an at-most-once live request is sent. */
-export interface OnceBeganRecord {
+export interface UnrepeatableBeganRecord {
     readonly kind: "once-began";
     readonly at: string;
     readonly key: string;
@@ -100,7 +100,7 @@
 }
 
 /** Written when an at-most-once live request was answered, or is known not to have run. */
-export interface OnceEndedRecord {
+export interface UnrepeatableEndedRecord {
     readonly kind: "once-ended";
     readonly at: string;
     readonly key: string;
@@ -109,9 +109,9 @@
 }
 
 /** Written before the owner grants leases under new terms. */
-export interface TermsRecord {
+export interface LeaseTermsRecord {
     readonly kind: "terms";
-    readonly terms: Terms;
+    readonly terms: LeaseTerms;
 }
 
 /** Union of all journal records of a shard, discriminated by `kind`. */
@@ -124,9 +124,9 @@
     | CancelRecord
     | FinishedRecord
     | ForgottenRecord
-    | OnceBeganRecord
-    | OnceEndedRecord
-    | TermsRecord;
+    | UnrepeatableBeganRecord
+    | UnrepeatableEndedRecord
+    | LeaseTermsRecord;
 
 /** Returns the job that a record belongs to; undefined for records of the shard as a whole. */
 export const jobOfRecord = (record: ShardRecord): JobId | undefined => {
--- a/packages/core/src/shard/room-saver.ts
+++ b/packages/core/src/shard/room-saver.ts
@@ -5,7 +5,7 @@
 import type { TaskEntry } from "./types.js";
 import type { WorkerEntry, WorkerTable } from "./worker-table.js";
 
-interface Saving {
+interface Reservation {
     readonly job: JobId;
     readonly workers: ReadonlySet<WorkerEntry>;
     /** When the reservation was made, on the monotonic clock. */
@@ -15,15 +15,15 @@
 }
 
 /** A gang that has not started within this time loses its reservation to the next one. */
-const longestSaving: Milliseconds = 600_000;
+const maxReservationDuration: Milliseconds = 600_000;
 
 /**
  * Reserves workers for one gang at a time, so that two gangs never each hold half of what the other needs.
  *
  * Other tasks may still be placed on a reserved worker if they are expected to end before the gang can start (backfill).
  */
-export class RoomSaver {
-    #saving: Saving | undefined;
+export class GangReservation {
+    #reservation: Reservation | undefined;
 
     constructor(
         private readonly workers: WorkerTable,
@@ -31,60 +31,60 @@
     ) {}
 
     /** Drops a reservation that is too old. */
-    refresh(now: Milliseconds): void {
-        if (this.#saving !== undefined && now - this.#saving.since > longestSaving) {
-            this.#saving = undefined;
+    expire(now: Milliseconds): void {
+        if (this.#reservation !== undefined && now - this.#reservation.since > maxReservationDuration) {
+            this.#reservation = undefined;
         }
     }
 
     /** Reserves enough workers for a gang, least loaded first. Does nothing while a reservation is held. */
-    save(job: JobId, size: Resources, count: number, now: Milliseconds): void {
-        if (this.#saving !== undefined) {
+    reserve(job: JobId, size: Resources, count: number, now: Milliseconds): void {
+        if (this.#reservation !== undefined) {
             return;
         }
         const chosen = new Set<WorkerEntry>();
-        let places = 0;
+        let taskCapacity = 0;
         const byLoad = [...this.workers.values()]
-            .filter(entry => this.workers.index.isOpen(entry.slot))
+            .filter(entry => this.workers.index.isSchedulable(entry.slot))
             .sort((left, right) => left.tasks.size - right.tasks.size);
         for (const entry of byLoad) {
-            if (places >= count) {
+            if (taskCapacity >= count) {
                 break;
             }
-            const fitting = countFitting(size, entry.listed.capacity, count - places);
+            const fitting = countFitting(size, entry.listed.capacity, count - taskCapacity);
             if (fitting > 0) {
                 chosen.add(entry);
-                places += fitting;
+                taskCapacity += fitting;
             }
         }
-        if (places >= count) {
+        if (taskCapacity >= count) {
             const ends = [...chosen].flatMap(entry => [...entry.tasks.values()]).map(this.expectedEndOf);
-            this.#saving = { job, workers: chosen, since: now, expectedStart: Math.max(now, ...ends) };
+            this.#reservation = { job, workers: chosen, since: now, expectedStart: Math.max(now, ...ends) };
         }
     }
 
     /** Drops the reservation if this job holds it. */
-    done(job: JobId): void {
-        if (this.#saving?.job === job) {
-            this.#saving = undefined;
+    release(job: JobId): void {
+        if (this.#reservation?.job === job) {
+            this.#reservation = undefined;
         }
     }
 
     /** Whether a worker is reserved for another job and a task with this expected end would delay that job. */
-    isSavedForAnother(entry: WorkerEntry, job: JobId, expectedEnd: Milliseconds): boolean {
-        const saving = this.#saving;
-        if (saving === undefined || saving.job === job || !saving.workers.has(entry)) {
+    isReservedForAnother(entry: WorkerEntry, job: JobId, expectedEnd: Milliseconds): boolean {
+        const reservation = this.#reservation;
+        if (reservation === undefined || reservation.job === job || !reservation.workers.has(entry)) {
             return false;
         }
-        const endsInTime = saving.expectedStart < Infinity && expectedEnd <= saving.expectedStart;
+        const endsInTime = reservation.expectedStart < Infinity && expectedEnd <= reservation.expectedStart;
         return !endsInTime;
     }
 }
 
-const countFitting = (size: Resources, capacity: Resources, most: number): number => {
+const countFitting = (size: Resources, capacity: Resources, limit: number): number => {
     let room = capacity;
     let count = 0;
-    while (count < most && fitsInto(size, room)) {
+    while (count < limit && fitsInto(size, room)) {
         room = subtractResources(room, size);
         count++;
     }
--- a/packages/core/src/shard/service-directory.ts
+++ b/packages/core/src/shard/service-directory.ts
@@ -1,7 +1,7 @@
 /** Services of a shard by name. */
 import type { TaskId } from "../ids/index.js";
 import type { Milliseconds } from "../time/index.js";
-import { gatewaysRegisterWithin } from "./constants.js";
+import { gatewayRegistrationPeriod } from "./constants.js";
 import { type ServiceInstance, type SlotGrant, SlotLedger, type SlotRequest } from "./slot-ledger.js";
 import { type JobEntry, type TaskEntry, TaskPhase } from "./types.js";
 import { isLeaving, type WorkerEntry, type WorkerTable } from "./worker-table.js";
@@ -47,8 +47,8 @@
     }
 
     /** Whether any gateway may still send requests to an instance. */
-    isGranted(service: string, task: TaskId): boolean {
-        return this.#ledgerOf(service).grantedOf(task, this.options.now()) > 0;
+    hasGrants(service: string, task: TaskId): boolean {
+        return this.#ledgerOf(service).grantedSlots(task, this.options.now()) > 0;
     }
 
     #ledgerOf(service: string): SlotLedger {
@@ -56,7 +56,7 @@
         if (ledger === undefined) {
             const { hasFormerOwner, now, slotGrant } = this.options;
             // Counted from the first request, as gateways may only now have discovered the new owner.
-            const settledAt = hasFormerOwner ? now() + Math.min(gatewaysRegisterWithin, slotGrant()) : -Infinity;
+            const settledAt = hasFormerOwner ? now() + Math.min(gatewayRegistrationPeriod, slotGrant()) : -Infinity;
             ledger = new SlotLedger(settledAt);
             this.#ledgers.set(service, ledger);
         }
@@ -90,6 +90,6 @@
         }
         const isUnheard = entry.incarnation === undefined && this.options.hasFormerOwner;
         const isRunning = task.phase === TaskPhase.Running && task.serviceAddress !== undefined;
-        return isUnheard || (isRunning && this.options.workers.index.isOpen(entry.slot));
+        return isUnheard || (isRunning && this.options.workers.index.isSchedulable(entry.slot));
     }
 }
--- a/packages/core/src/shard/shard-context.ts
+++ b/packages/core/src/shard/shard-context.ts
@@ -4,14 +4,14 @@
 import type { Random } from "../random/index.js";
 import type { Clock, Milliseconds } from "../time/index.js";
 import { WorkerHealth } from "../worker-health/index.js";
-import { JobBook } from "./job-book.js";
-import { LeaseTerms } from "./lease-terms.js";
+import { JobRegistry } from "./job-book.js";
+import { LeasePolicy } from "./lease-terms.js";
 import { PendingQueue } from "./pending-queue.js";
-import { RoomSaver } from "./room-saver.js";
+import { GangReservation } from "./room-saver.js";
 import { ServiceDirectory } from "./service-directory.js";
 import type { ShardSettings } from "./settings.js";
-import { StepBuilder } from "./step-builder.js";
-import { TeamUse } from "./team-use.js";
+import { TransitionBuilder } from "./step-builder.js";
+import { TeamUsage } from "./team-use.js";
 import { type JobEntry, type TaskEntry } from "./types.js";
 import { type WorkerEntry, WorkerTable } from "./worker-table.js";
 
@@ -31,21 +31,21 @@
 
 /** State, clock and lease calculations shared by the components of a shard's scheduler. */
 export class ShardContext {
-    readonly book = new JobBook();
+    readonly registry = new JobRegistry();
     readonly workers = new WorkerTable();
     readonly queue = new PendingQueue();
     readonly health = new WorkerHealth();
-    readonly saver: RoomSaver;
-    readonly terms = new LeaseTerms();
-    readonly teams = new TeamUse();
+    readonly gangReservation: GangReservation;
+    readonly leasePolicy = new LeasePolicy();
+    readonly teamUsage = new TeamUsage();
     readonly services: ServiceDirectory;
     readonly openedAt: Milliseconds;
-    #atTime = NaN;
-    #atText = "";
+    #timestampTime = NaN;
+    #timestampText = "";
 
     constructor(readonly options: ShardSchedulerOptions) {
         this.openedAt = options.clock.monotonic();
-        this.saver = new RoomSaver(this.workers, task => this.expectedEnd(task));
+        this.gangReservation = new GangReservation(this.workers, task => this.expectedEnd(task));
         this.services = new ServiceDirectory({
             workers: this.workers,
             hasFormerOwner: options.hasFormerOwner,
@@ -60,51 +60,51 @@
     }
 
     /** Wall-clock time in ISO 8601. Cached, as one cycle may write thousands of records within a millisecond. */
-    at(): string {
+    timestamp(): string {
         const now = this.options.clock.now().getTime();
-        if (now !== this.#atTime) {
-            this.#atTime = now;
-            this.#atText = new Date(now).toISOString();
+        if (now !== this.#timestampTime) {
+            this.#timestampTime = now;
+            this.#timestampText = new Date(now).toISOString();
         }
-        return this.#atText;
+        return this.#timestampText;
     }
 
-    builder(): StepBuilder {
-        return new StepBuilder(this.book);
+    beginTransition(): TransitionBuilder {
+        return new TransitionBuilder(this.registry);
     }
 
     /** Returns a job that must exist. */
     jobOf(id: JobId): JobEntry {
-        return this.book.jobs.get(id)!;
+        return this.registry.jobs.get(id)!;
     }
 
     /** Whether leases may be granted: only within the horizon after the platform last confirmed ownership. */
-    mayRenew(): boolean {
-        return this.now() - this.options.lastContact() < this.terms.inForce(this.options.settings()).horizon;
+    mayGrantLeases(): boolean {
+        return this.now() - this.options.lastContact() < this.leasePolicy.currentTerms(this.options.settings()).horizon;
     }
 
     /** When leases of a former owner have expired on a worker that this owner has not heard from. */
-    leasesOfFormerOwner(): Milliseconds {
+    formerLeasesExpireAt(): Milliseconds {
         if (!this.options.hasFormerOwner) {
             return -Infinity;
         }
-        const { horizon, leaseDuration, leaseMargin } = this.terms.ofFormerOwner();
+        const { horizon, leaseDuration, leaseMargin } = this.leasePolicy.formerTerms();
         return this.openedAt + horizon + leaseDuration + leaseMargin;
     }
 
     /** The worker counts leases granted now from when it issued its last report number, which is no later than its answer. */
-    noteLeases(entry: WorkerEntry): void {
-        const { leaseDuration, leaseMargin } = this.terms.inForce(this.options.settings());
-        entry.leasesLapseAt = Math.max(entry.leasesLapseAt, entry.answeredAt + leaseDuration + leaseMargin);
+    recordLeaseGrant(entry: WorkerEntry): void {
+        const { leaseDuration, leaseMargin } = this.leasePolicy.currentTerms(this.options.settings());
+        entry.leasesExpireAt = Math.max(entry.leasesExpireAt, entry.lastAnswerAt + leaseDuration + leaseMargin);
     }
 
-    refresh(entry: WorkerEntry): void {
-        this.workers.refresh(entry, this.now(), this.options.settings().silentAfter);
+    updateSchedulable(entry: WorkerEntry): void {
+        this.workers.updateSchedulable(entry, this.now(), this.options.settings().silentAfter);
     }
 
     /** When a running task should end by its caller's estimate; Infinity without one. */
     expectedEnd(task: TaskEntry): Milliseconds {
-        const run = this.book.jobs.get(jobOfTask(task.task))?.submission.expectedRunMilliseconds;
+        const run = this.registry.jobs.get(jobOfTask(task.task))?.submission.expectedRunMilliseconds;
         return run === undefined ? Infinity : (task.confirmedAt ?? this.now()) + run;
     }
 
@@ -113,9 +113,9 @@
     }
 
     /** Longest validity of a lease that this owner or a former one may have granted. */
-    longestLease(): Milliseconds {
-        const former = this.terms.ofFormerOwner();
-        const own = this.terms.inForce(this.options.settings());
+    maxLeaseDuration(): Milliseconds {
+        const former = this.leasePolicy.formerTerms();
+        const own = this.leasePolicy.currentTerms(this.options.settings());
         return Math.max(former.leaseDuration + former.leaseMargin, own.leaseDuration + own.leaseMargin);
     }
 }
--- a/packages/core/src/shard/shard-scheduler.ts
+++ b/packages/core/src/shard/shard-scheduler.ts
@@ -10,19 +10,19 @@
     type WorkerRefusal,
     type WorkerReport,
 } from "../worker/index.js";
-import { refusalOf } from "./admission.js";
-import { JobBook } from "./job-book.js";
+import { checkAdmission } from "./admission.js";
+import { JobRegistry } from "./job-book.js";
 import { JobLifecycle } from "./job-lifecycle.js";
 import { describeJob, repeatedOutcome } from "./job-view.js";
 import { PendingQueue } from "./pending-queue.js";
-import { PlacementPass } from "./placement-pass.js";
+import { PlacementCycle } from "./placement-pass.js";
 import { jobOfRecord, type ShardRecord } from "./records.js";
 import { ShardContext, type ShardSchedulerOptions } from "./shard-context.js";
 import { type SlotGrant, type SlotRequest } from "./slot-ledger.js";
-import { StartOrders } from "./start-orders.js";
-import { emptyStep } from "./step-builder.js";
-import { type OnceEntry, type ShardSnapshot, type Step, type SubmitOutcome } from "./types.js";
-import { WorkerReports } from "./worker-reports.js";
+import { StartRequests } from "./start-orders.js";
+import { emptyTransition } from "./step-builder.js";
+import { type ShardSnapshot, type SubmitOutcome, type Transition, type UnrepeatableRequest } from "./types.js";
+import { WorkerController } from "./worker-reports.js";
 import { WorkerTable } from "./worker-table.js";
 
 /** A validated submission. Equal request bodies have equal digests. */
@@ -40,17 +40,17 @@
 export class ShardScheduler {
     readonly #context: ShardContext;
     readonly #jobs: JobLifecycle;
-    readonly #reports: WorkerReports;
-    readonly #starts: StartOrders;
-    readonly #pass: PlacementPass;
+    readonly #workerController: WorkerController;
+    readonly #startRequests: StartRequests;
+    readonly #placement: PlacementCycle;
     #nextJob = 1;
 
     constructor(options: ShardSchedulerOptions) {
         this.#context = new ShardContext(options);
         this.#jobs = new JobLifecycle(this.#context);
-        this.#reports = new WorkerReports(this.#context, this.#jobs);
-        this.#starts = new StartOrders(this.#context, this.#jobs, this.#reports);
-        this.#pass = new PlacementPass(this.#context, this.#jobs);
+        this.#workerController = new WorkerController(this.#context, this.#jobs);
+        this.#startRequests = new StartRequests(this.#context, this.#jobs, this.#workerController);
+        this.#placement = new PlacementCycle(this.#context, this.#jobs);
     }
 
     get workers(): WorkerTable {
@@ -61,92 +61,92 @@
         return this.#context.queue;
     }
 
-    get book(): JobBook {
-        return this.#context.book;
+    get registry(): JobRegistry {
+        return this.#context.registry;
     }
 
     /** Whether the list of VMs has been read. Before that no worker is known. */
-    get hasList(): boolean {
-        return this.#reports.hasList;
+    get hasWorkerList(): boolean {
+        return this.#workerController.hasWorkerList;
     }
 
     /** Restores the state from the journal. Must be called once, before any other input. */
     recover(snapshot: ShardSnapshot | undefined, records: readonly ShardRecord[]): void {
         if (snapshot !== undefined) {
-            this.book.restore(snapshot);
+            this.registry.restore(snapshot);
         }
-        records.forEach(record => this.book.apply(record));
-        this.#context.terms.recover(this.book.terms);
-        for (const job of this.book.jobs.values()) {
+        records.forEach(record => this.registry.apply(record));
+        this.#context.leasePolicy.recover(this.registry.terms);
+        for (const job of this.registry.jobs.values()) {
             this.#jobs.recover(job);
-            this.#reports.recover(job);
+            this.#workerController.recover(job);
         }
     }
 
     /** Applies the platform's list of VMs, limited to those of this shard. */
-    listWorkers(listed: readonly ListedWorker[]): Step {
-        return this.#reports.listWorkers(listed);
+    applyWorkerList(listed: readonly ListedWorker[]): Transition {
+        return this.#workerController.applyWorkerList(listed);
     }
 
     /** Applies the report of a worker that has accepted this owner's epoch. `sentAt`: when the claim was sent. */
-    claimAnswered(worker: WorkerId, report: WorkerReport, sentAt: Milliseconds): Step {
-        return this.#reports.claimAnswered(worker, report, sentAt);
+    claimAnswered(worker: WorkerId, report: WorkerReport, sentAt: Milliseconds): Transition {
+        return this.#workerController.claimAnswered(worker, report, sentAt);
     }
 
     /** Creates the next heartbeat for a worker, or returns undefined when the worker must be claimed first. */
-    heartbeatFor(worker: WorkerId, wait: Milliseconds): HeartbeatMessage | undefined {
-        return this.#reports.heartbeatFor(worker, wait);
+    nextHeartbeat(worker: WorkerId, wait: Milliseconds): HeartbeatMessage | undefined {
+        return this.#workerController.nextHeartbeat(worker, wait);
     }
 
     /** Queues the acknowledgements of an unanswered heartbeat again. */
     heartbeatFailed(worker: WorkerId, message: HeartbeatMessage): void {
-        this.#reports.heartbeatFailed(worker, message);
+        this.#workerController.heartbeatFailed(worker, message);
     }
 
     /** Applies the report that answers a heartbeat. `sentAt`: when the heartbeat was sent. */
-    heartbeatAnswered(worker: WorkerId, report: WorkerReport, sentAt: Milliseconds): Step {
-        return this.#reports.heartbeatAnswered(worker, report, sentAt);
+    heartbeatAnswered(worker: WorkerId, report: WorkerReport, sentAt: Milliseconds): Transition {
+        return this.#workerController.heartbeatAnswered(worker, report, sentAt);
     }
 
     /** Processes what is due by now: expired leases, deadlines, retries and retention. */
-    tick(): Step {
-        const builder = this.#context.builder();
+    tick(): Transition {
+        const builder = this.#context.beginTransition();
         const now = this.#context.now();
         const settings = this.#context.options.settings();
-        this.#pass.measureRate(now);
-        const terms = this.#context.terms.due(settings, now);
+        this.#placement.updateStartRate(now);
+        const terms = this.#context.leasePolicy.termsToRecord(settings, now);
         if (terms !== undefined) {
             builder.record({ kind: "terms", terms });
         }
-        this.#reports.loseSilent(now, settings.silentAfter, builder);
-        this.#jobs.requeueDue(now);
-        this.#jobs.passDeadlines(builder);
-        this.#jobs.forgetOld(builder);
-        return builder.step();
+        this.#workerController.expireSilent(now, settings.silentAfter, builder);
+        this.#jobs.requeueDelayed(now);
+        this.#jobs.expireOverdue(builder);
+        this.#jobs.purgeExpired(builder);
+        return builder.build();
     }
 
     /** Accepts or refuses a job. A submission whose key and body are known returns the job accepted before. */
-    submit(input: Submission): { readonly step: Step; readonly outcome: SubmitOutcome; } {
+    submit(input: Submission): { readonly transition: Transition; readonly outcome: SubmitOutcome; } {
         const { submission, digest } = input;
-        const known = submission.key === undefined ? undefined : this.book.byKey(submission.key);
+        const known = submission.key === undefined ? undefined : this.registry.findByKey(submission.key);
         if (known !== undefined) {
-            return { step: emptyStep, outcome: repeatedOutcome(known, digest) };
+            return { transition: emptyTransition, outcome: repeatedOutcome(known, digest) };
         }
-        const refusal = refusalOf(submission, {
-            shapes: this.hasList ? this.workers.shapes() : undefined,
+        const refusal = checkAdmission(submission, {
+            shapes: this.hasWorkerList ? this.workers.shapes() : undefined,
             queueLength: this.queue.length,
             settings: this.#context.options.settings(submission.class),
-            expectedWait: place => this.#pass.expectedWait(place),
+            expectedWait: place => this.#placement.expectedWait(place),
         });
         if (refusal !== undefined) {
-            return { step: emptyStep, outcome: { kind: "refused", refusal } };
+            return { transition: emptyTransition, outcome: { kind: "refused", refusal } };
         }
         const { shard, epoch } = this.#context.options;
         const job = jobId(`${shard}.${epoch}.${this.#nextJob++}`);
-        const builder = this.#context.builder();
+        const builder = this.#context.beginTransition();
         builder.record({
             kind: "submitted",
-            at: this.#context.at(),
+            at: this.#context.timestamp(),
             job,
             key: submission.key ?? job,
             digest,
@@ -156,57 +156,57 @@
         this.#jobs.watchDeadline(entry);
         this.#context.services.add(entry);
         this.#jobs.enqueue(entry, entry.tasks);
-        return { step: builder.step(), outcome: { kind: "accepted", job, repeated: false } };
+        return { transition: builder.build(), outcome: { kind: "accepted", job, repeated: false } };
     }
 
     /** Cancels a job; undefined when the job is unknown. */
-    cancel(id: JobId): Step | undefined {
-        const job = this.book.jobs.get(id);
+    cancel(id: JobId): Transition | undefined {
+        const job = this.registry.jobs.get(id);
         if (job === undefined) {
             return undefined;
         }
         if (isFinalState(job.state) || job.state === JobState.Cancelling) {
-            return emptyStep;
+            return emptyTransition;
         }
-        const builder = this.#context.builder();
-        builder.record({ kind: "cancel", at: this.#context.at(), job: id });
+        const builder = this.#context.beginTransition();
+        builder.record({ kind: "cancel", at: this.#context.timestamp(), job: id });
         this.#jobs.endJob(job, builder);
-        return builder.step();
+        return builder.build();
     }
 
     /** Describes a job for its caller. A final state is reported only once it is committed. */
     view(id: JobId): JobView | undefined {
-        const job = this.book.jobs.get(id);
+        const job = this.registry.jobs.get(id);
         if (job === undefined) {
             return undefined;
         }
         const unit = job.state === JobState.Queued ? this.queue.unitOf(job.tasks[0].task) : undefined;
-        const place = unit === undefined ? undefined : this.queue.placeOf(unit);
+        const place = unit === undefined ? undefined : this.queue.positionOf(unit);
         return describeJob(job, {
             place,
-            expectedWait: place === undefined ? undefined : this.#pass.expectedWait(place),
+            expectedWait: place === undefined ? undefined : this.#placement.expectedWait(place),
         });
     }
 
     findByKey(key: string): JobId | undefined {
-        return this.book.byKey(key)?.job;
+        return this.registry.findByKey(key)?.job;
     }
 
     startMessage(id: TaskId, attempt: Attempt, mayHaveArrived: boolean): StartMessage | undefined {
-        return this.#starts.message(id, attempt, mayHaveArrived);
+        return this.#startRequests.buildMessage(id, attempt, mayHaveArrived);
     }
 
-    startAccepted(id: TaskId, attempt: Attempt, running: RunningTask): Step {
-        return this.#starts.accepted(id, attempt, running);
+    startAccepted(id: TaskId, attempt: Attempt, running: RunningTask): Transition {
+        return this.#startRequests.accepted(id, attempt, running);
     }
 
-    startRefused(id: TaskId, attempt: Attempt, refusal: WorkerRefusal | undefined): Step {
-        return this.#starts.refused(id, attempt, refusal);
+    startRefused(id: TaskId, attempt: Attempt, refusal: WorkerRefusal | undefined): Transition {
+        return this.#startRequests.refused(id, attempt, refusal);
     }
 
     /** Runs a placement cycle if one is due. Nothing is placed while the journal accepts no records (`mayRecord` false). */
-    schedule(mayRecord: boolean): Step {
-        return this.#pass.run(mayRecord);
+    schedule(mayRecord: boolean): Transition {
+        return this.#placement.run(mayRecord);
     }
 
     /** Grants slots of a service's instances to a gateway; undefined when the service is unknown. */
@@ -214,56 +214,56 @@
         if (!this.#context.services.has(service)) {
             return undefined;
         }
-        return this.#context.mayRenew() ? this.#context.services.acquire(service, request) : [];
+        return this.#context.mayGrantLeases() ? this.#context.services.acquire(service, request) : [];
     }
 
     /**
      * Records that an at-most-once live request is about to be sent. When another send has used the key, returns that one as
      * `earlier` and records nothing. `nonce` identifies the send, so that a call retried after a lost answer is allowed.
      */
-    beginOnce(
+    beginUnrepeatable(
         key: string,
         digest: string,
         nonce: string,
-    ): { readonly step: Step; readonly earlier: OnceEntry | undefined; } {
-        const known = this.book.once.get(key);
+    ): { readonly transition: Transition; readonly earlier: UnrepeatableRequest | undefined; } {
+        const known = this.registry.once.get(key);
         if (known !== undefined && known.nonce !== nonce) {
-            return { step: emptyStep, earlier: known };
+            return { transition: emptyTransition, earlier: known };
         }
         // A retried call records again: its first record may not be committed yet, and must be before the request is sent.
-        const builder = this.#context.builder();
-        builder.record({ kind: "once-began", at: this.#context.at(), key, digest, nonce });
-        return { step: builder.step(), earlier: undefined };
+        const builder = this.#context.beginTransition();
+        builder.record({ kind: "once-began", at: this.#context.timestamp(), key, digest, nonce });
+        return { transition: builder.build(), earlier: undefined };
     }
 
     /** Records that an at-most-once live request was answered or, without a status, that it did not run. */
-    endOnce(key: string, status: number | undefined): Step {
-        const builder = this.#context.builder();
-        builder.record({ kind: "once-ended", at: this.#context.at(), key, status });
-        return builder.step();
+    endUnrepeatable(key: string, status: number | undefined): Transition {
+        const builder = this.#context.beginTransition();
+        builder.record({ kind: "once-ended", at: this.#context.timestamp(), key, status });
+        return builder.build();
     }
 
     /** Must be called once the records of a transition are committed. */
-    kept(step: Step): void {
-        for (const record of step.records) {
+    onCommitted(transition: Transition): void {
+        for (const record of transition.records) {
             const job = jobOfRecord(record);
-            const entry = job === undefined ? undefined : this.book.jobs.get(job);
+            const entry = job === undefined ? undefined : this.registry.jobs.get(job);
             if (entry !== undefined) {
                 entry.unkept--;
             }
             if (record.kind === "terms") {
-                this.#context.terms.kept(record.terms);
+                this.#context.leasePolicy.onCommitted(record.terms);
             }
             if (record.kind === "ended") {
                 const { task, attempt } = record;
-                this.workers.get(record.worker)?.acknowledgements.push({ task, attempt });
+                this.workers.get(record.worker)?.pendingAcknowledgements.push({ task, attempt });
             }
         }
     }
 
     /** Whether this is the task's current attempt and it is assigned to a worker. */
     isCurrent(id: TaskId, attempt: Attempt): boolean {
-        const task = this.book.task(id);
+        const task = this.registry.task(id);
         return task?.attempt === attempt && task.assignment !== undefined;
     }
 }
--- a/packages/core/src/shard/slot-ledger.ts
+++ b/packages/core/src/shard/slot-ledger.ts
@@ -33,12 +33,12 @@
 
 interface Holding {
     slots: number;
-    until: Milliseconds;
+    expiresAt: Milliseconds;
 }
 
 interface GatewayEntry {
     demand: number;
-    until: Milliseconds;
+    expiresAt: Milliseconds;
     readonly holdings: Map<TaskId, Holding>;
 }
 
@@ -54,7 +54,7 @@
     readonly #gateways = new Map<ProcessId, GatewayEntry>();
 
     /** `reconciledAt`: from then on every reachable gateway has reported the slots it holds, so grants may grow. */
-    constructor(private readonly settledAt: Milliseconds) {}
+    constructor(private readonly reconciledAt: Milliseconds) {}
 
     /** Grants slots that expire at `now + duration`. */
     acquire(
@@ -63,46 +63,46 @@
         now: Milliseconds,
         duration: Milliseconds,
     ): SlotGrant[] {
-        this.#dropEnded(now);
+        this.#dropExpired(now);
         const gateway = this.#entryOf(request.gateway);
         gateway.demand = request.demand;
-        gateway.until = now + duration;
-        this.#takeOverHeld(gateway, request, now, duration);
+        gateway.expiresAt = now + duration;
+        this.#replaceHoldings(gateway, request, now, duration);
         let wanted = this.#shareOf(gateway, instances);
         const grants: SlotGrant[] = [];
-        for (const instance of this.#inOrder(gateway, instances, request.dataHall)) {
+        for (const instance of this.#inPreferenceOrder(gateway, instances, request.dataHall)) {
             const room = Math.max(0, instance.slots - this.#heldByOthers(gateway, instance.task));
             const before = gateway.holdings.get(instance.task)?.slots ?? 0;
-            const mayGrow = now >= this.settledAt && instance.address !== undefined;
+            const mayGrow = now >= this.reconciledAt && instance.address !== undefined;
             const slots = Math.min(wanted, room, mayGrow ? room : before);
             wanted -= slots;
             if (slots > 0) {
-                gateway.holdings.set(instance.task, { slots: Math.max(slots, before), until: now + duration });
+                gateway.holdings.set(instance.task, { slots: Math.max(slots, before), expiresAt: now + duration });
                 grants.push({ task: instance.task, worker: instance.worker, address: instance.address, slots });
             }
         }
         return grants;
     }
 
-    grantedOf(task: TaskId, now: Milliseconds): number {
-        this.#dropEnded(now);
-        return this.#sum(task, undefined);
+    grantedSlots(task: TaskId, now: Milliseconds): number {
+        this.#dropExpired(now);
+        return this.#sumHeld(task, undefined);
     }
 
     #entryOf(gateway: ProcessId): GatewayEntry {
         let entry = this.#gateways.get(gateway);
         if (entry === undefined) {
-            entry = { demand: 0, until: 0, holdings: new Map() };
+            entry = { demand: 0, expiresAt: 0, holdings: new Map() };
             this.#gateways.set(gateway, entry);
         }
         return entry;
     }
 
     /** Replaces a gateway's holdings by those it reports, which releases slots it no longer uses. */
-    #takeOverHeld(gateway: GatewayEntry, request: SlotRequest, now: Milliseconds, duration: Milliseconds): void {
+    #replaceHoldings(gateway: GatewayEntry, request: SlotRequest, now: Milliseconds, duration: Milliseconds): void {
         gateway.holdings.clear();
         for (const held of request.held) {
-            gateway.holdings.set(held.task, { slots: held.slots, until: now + duration });
+            gateway.holdings.set(held.task, { slots: held.slots, expiresAt: now + duration });
         }
     }
 
@@ -120,20 +120,24 @@
     }
 
     /** Orders instances: those the gateway already uses, then those in its data hall, then those with the fewest slots granted. */
-    #inOrder(gateway: GatewayEntry, instances: readonly ServiceInstance[], dataHall: string): ServiceInstance[] {
+    #inPreferenceOrder(
+        gateway: GatewayEntry,
+        instances: readonly ServiceInstance[],
+        dataHall: string,
+    ): ServiceInstance[] {
         const weight = (instance: ServiceInstance): number => {
             const held = gateway.holdings.has(instance.task) ? 0 : 1_000_000;
             const distance = instance.dataHall === dataHall ? 0 : 1_000;
-            return held + distance + this.#sum(instance.task, undefined);
+            return held + distance + this.#sumHeld(instance.task, undefined);
         };
         return [...instances].sort((left, right) => weight(left) - weight(right));
     }
 
     #heldByOthers(gateway: GatewayEntry, task: TaskId): number {
-        return this.#sum(task, gateway);
+        return this.#sumHeld(task, gateway);
     }
 
-    #sum(task: TaskId, without: GatewayEntry | undefined): number {
+    #sumHeld(task: TaskId, without: GatewayEntry | undefined): number {
         let sum = 0;
         for (const entry of this.#gateways.values()) {
             if (entry !== without) {
@@ -143,14 +147,14 @@
         return sum;
     }
 
-    #dropEnded(now: Milliseconds): void {
+    #dropExpired(now: Milliseconds): void {
         for (const [name, entry] of this.#gateways) {
             for (const [task, holding] of entry.holdings) {
-                if (holding.until <= now) {
+                if (holding.expiresAt <= now) {
                     entry.holdings.delete(task);
                 }
             }
-            if (entry.until <= now) {
+            if (entry.expiresAt <= now) {
                 this.#gateways.delete(name);
             }
         }
--- a/packages/core/src/shard/start-orders.ts
+++ b/packages/core/src/shard/start-orders.ts
@@ -5,45 +5,47 @@
 import type { JobLifecycle } from "./job-lifecycle.js";
 import { isEnding } from "./job-view.js";
 import type { ShardContext } from "./shard-context.js";
-import { emptyStep } from "./step-builder.js";
-import { type Step, TaskPhase } from "./types.js";
-import type { WorkerReports } from "./worker-reports.js";
+import { emptyTransition } from "./step-builder.js";
+import { TaskPhase, type Transition } from "./types.js";
+import type { WorkerController } from "./worker-reports.js";
 
 /** Builds the messages that start attempts, and applies the workers' answers. */
-export class StartOrders {
+export class StartRequests {
     constructor(
         private readonly context: ShardContext,
         private readonly jobs: JobLifecycle,
-        private readonly reports: WorkerReports,
+        private readonly workerController: WorkerController,
     ) {}
 
     /**
      * Returns the message that starts an attempt, or undefined when it must no longer be sent.
      * `mayHaveArrived`: a copy was sent before and not answered.
      */
-    message(id: TaskId, attempt: Attempt, mayHaveArrived: boolean): StartMessage | undefined {
-        const task = this.context.book.task(id);
-        const job = this.context.book.jobs.get(jobOfTask(id));
+    buildMessage(id: TaskId, attempt: Attempt, mayHaveArrived: boolean): StartMessage | undefined {
+        const task = this.context.registry.task(id);
+        const job = this.context.registry.jobs.get(jobOfTask(id));
         if (job === undefined || task?.attempt !== attempt || task.phase !== TaskPhase.Starting || !task.assignment) {
             return undefined;
         }
         const entry = this.context.workers.get(task.assignment.worker);
-        if (entry === undefined || entry.incarnation !== task.assignment.incarnation || !this.context.mayRenew()) {
+        if (
+            entry === undefined || entry.incarnation !== task.assignment.incarnation || !this.context.mayGrantLeases()
+        ) {
             return undefined;
         }
         if (isEnding(job) && !mayHaveArrived) {
             return undefined;
         }
         const settings = this.context.options.settings();
-        this.context.noteLeases(entry);
+        this.context.recordLeaseGrant(entry);
         return {
             shard: this.context.options.shard,
             epoch: this.context.options.epoch,
             task: id,
             attempt,
-            number: entry.number,
+            number: entry.reportNumber,
             latestStart: settings.startWithin,
-            lease: this.context.terms.inForce(settings).leaseDuration,
+            lease: this.context.leasePolicy.currentTerms(settings).leaseDuration,
             grant: task.assignment.grant,
             payload: job.submission.payload,
             checkpoint: task.checkpoint,
@@ -52,31 +54,35 @@
     }
 
     /** Applies a worker's acceptance of a start. */
-    accepted(id: TaskId, attempt: Attempt, running: RunningTask): Step {
-        const task = this.context.book.task(id);
+    accepted(id: TaskId, attempt: Attempt, running: RunningTask): Transition {
+        const task = this.context.registry.task(id);
         if (task?.attempt !== attempt || task.phase !== TaskPhase.Starting) {
-            return emptyStep;
+            return emptyTransition;
         }
-        const builder = this.context.builder();
-        this.reports.confirm(task, running);
-        builder.changed(jobOfTask(id));
+        const builder = this.context.beginTransition();
+        this.workerController.confirm(task, running);
+        builder.jobChanged(jobOfTask(id));
         this.jobs.stopIfUnwanted(task, builder);
-        return builder.step();
+        return builder.build();
     }
 
     /** Applies a worker's refusal, or without `refusal` that the start was never sent: the attempt did not run. */
-    refused(id: TaskId, attempt: Attempt, refusal: WorkerRefusal | undefined): Step {
-        const task = this.context.book.task(id);
+    refused(id: TaskId, attempt: Attempt, refusal: WorkerRefusal | undefined): Transition {
+        const task = this.context.registry.task(id);
         if (task?.attempt !== attempt || task.phase !== TaskPhase.Starting || task.assignment === undefined) {
-            return emptyStep;
+            return emptyTransition;
         }
-        const builder = this.context.builder();
+        const builder = this.context.beginTransition();
         const entry = this.context.workers.get(task.assignment.worker);
         if (entry !== undefined && refusal === WorkerRefusal.Leaving) {
-            entry.saidLeaving = true;
-            this.context.refresh(entry);
+            entry.reportedLeaving = true;
+            this.context.updateSchedulable(entry);
         }
-        this.jobs.notStarted(task, refusal === undefined ? "never sent" : `the worker refused: ${refusal}`, builder);
-        return builder.step();
+        this.jobs.recordNotStarted(
+            task,
+            refusal === undefined ? "never sent" : `the worker refused: ${refusal}`,
+            builder,
+        );
+        return builder.build();
     }
 }
--- a/packages/core/src/shard/team-use.ts
+++ b/packages/core/src/shard/team-use.ts
@@ -10,7 +10,7 @@
 import type { ShardSettings } from "./settings.js";
 
 /** Sums the granted resources of each team and checks them against its quota. */
-export class TeamUse {
+export class TeamUsage {
     readonly #used = new Map<string, Resources>();
 
     /** Whether a team may hold `count` further tasks of a size. */
@@ -23,11 +23,11 @@
         return dimensions.every(name => after[name] <= (quota[name] ?? Infinity));
     }
 
-    take(team: string, grant: Resources): void {
+    charge(team: string, grant: Resources): void {
         this.#used.set(team, addResources(this.#usedBy(team), grant));
     }
 
-    giveBack(team: string, grant: Resources): void {
+    release(team: string, grant: Resources): void {
         this.#used.set(team, subtractResources(this.#usedBy(team), grant));
     }
 
--- a/packages/core/src/shard/types.ts
+++ b/packages/core/src/shard/types.ts
@@ -1,10 +1,10 @@
 /** State of a shard, and the transitions that inputs cause. */
 import type { Attempt, Incarnation, JobId, TaskId, WorkerId } from "../ids/index.js";
-import type { DecisionEntry, JobState, JobSubmission, RanAnswer } from "../jobs/index.js";
+import type { DecisionEntry, ExecutionStatus, JobState, JobSubmission } from "../jobs/index.js";
 import type { Resources } from "../resources/index.js";
 import type { Milliseconds } from "../time/index.js";
 import type { EndKind, StopMessage, ThrottleMessage } from "../worker/index.js";
-import type { Terms } from "./lease-terms.js";
+import type { LeaseTerms } from "./lease-terms.js";
 import type { ShardRecord } from "./records.js";
 
 /** Lifecycle phase of a task. */
@@ -55,7 +55,7 @@
     readonly submission: JobSubmission;
     readonly submittedAt: string;
     state: JobState;
-    ran: RanAnswer;
+    ran: ExecutionStatus;
     reason: string;
     readonly tasks: TaskEntry[];
     readonly history: DecisionEntry[];
@@ -65,7 +65,7 @@
 }
 
 /** A live request that must be sent at most once. */
-export interface OnceEntry {
+export interface UnrepeatableRequest {
     readonly key: string;
     readonly digest: string;
     /** Identifies the one send that is allowed. */
@@ -83,7 +83,7 @@
     | { readonly kind: "job-changed"; readonly job: JobId; };
 
 /** Result of one input: records to commit, then effects to carry out. */
-export interface Step {
+export interface Transition {
     readonly records: readonly ShardRecord[];
     readonly effects: readonly Effect[];
 }
@@ -91,8 +91,8 @@
 /** Serialised state of a shard. */
 export interface ShardSnapshot {
     readonly jobs: readonly JobEntry[];
-    readonly once: readonly OnceEntry[];
-    readonly terms: Terms | undefined;
+    readonly once: readonly UnrepeatableRequest[];
+    readonly terms: LeaseTerms | undefined;
 }
 
 /** Why a submission was refused. A refused job has not run and never will. */
--- a/packages/core/src/shard/worker-chooser.ts
+++ b/packages/core/src/shard/worker-chooser.ts
@@ -3,19 +3,19 @@
 import { noWorker, policyOf, type WorkerSlot } from "../placement/index.js";
 import type { Milliseconds } from "../time/index.js";
 import type { PendingUnit } from "./pending-queue.js";
-import type { RoomSaver } from "./room-saver.js";
+import type { GangReservation } from "./room-saver.js";
 import type { ShardSettings } from "./settings.js";
 import type { JobEntry } from "./types.js";
 import type { WorkerEntry, WorkerTable } from "./worker-table.js";
 
 /** Workers for the tasks of a unit, in the order of the tasks, with the reason. */
-export interface Choice {
+export interface WorkerSelection {
     readonly workers: readonly WorkerEntry[];
     readonly reason: string;
 }
 
 /** A pending unit with what its placement depends on. */
-export interface ChoiceRequest {
+export interface SelectionRequest {
     readonly unit: PendingUnit;
     readonly job: JobEntry;
     readonly settings: ShardSettings;
@@ -27,28 +27,28 @@
 const noWorkers: ReadonlySet<WorkerId> = new Set();
 
 /** Selects workers for a single task, or for all tasks of a gang at once. */
-export class WorkerChooser {
-    constructor(private readonly workers: WorkerTable, private readonly saver: RoomSaver) {}
+export class WorkerSelector {
+    constructor(private readonly workers: WorkerTable, private readonly gangReservation: GangReservation) {}
 
     /** Returns workers for all tasks of a unit, or undefined when not all of them fit. Reserves nothing. */
-    choose(request: ChoiceRequest): Choice | undefined {
+    select(request: SelectionRequest): WorkerSelection | undefined {
         const { avoided } = request;
-        return this.#chooseWithout(request, avoided)
-            ?? (avoided.size === 0 ? undefined : this.#chooseWithout(request, noWorkers));
+        return this.#selectAvoiding(request, avoided)
+            ?? (avoided.size === 0 ? undefined : this.#selectAvoiding(request, noWorkers));
     }
 
-    #chooseWithout(
-        { unit, job, settings, now }: ChoiceRequest,
+    #selectAvoiding(
+        { unit, job, settings, now }: SelectionRequest,
         avoided: ReadonlySet<WorkerId>,
-    ): Choice | undefined {
+    ): WorkerSelection | undefined {
         const { size } = unit;
         const policy = policyOf(job.submission.class);
         const preference = policy.preference(settings.placement);
         const headroom = policy.headroom(settings.placement);
         const expectedEnd = now + (job.submission.expectedRunMilliseconds ?? Infinity);
         const isExcluded = (slot: WorkerSlot): boolean => {
-            const entry = this.workers.at(slot);
-            return avoided.has(entry.worker) || this.saver.isSavedForAnother(entry, unit.job, expectedEnd);
+            const entry = this.workers.entryAt(slot);
+            return avoided.has(entry.worker) || this.gangReservation.isReservedForAnother(entry, unit.job, expectedEnd);
         };
         const isGang = unit.tasks.length > 1;
         const chosen: WorkerEntry[] = [];
@@ -57,11 +57,11 @@
         for (let index = 0; index < unit.tasks.length; index++) {
             const decision = this.workers.index.find({ size, preference, headroom, isExcluded });
             considered += decision.considered;
-            fitted += decision.fitted;
+            fitted += decision.feasible;
             if (decision.worker === noWorker) {
                 break;
             }
-            chosen.push(this.workers.at(decision.worker));
+            chosen.push(this.workers.entryAt(decision.worker));
             if (isGang) {
                 this.workers.index.reserve(decision.worker, size);
             }
--- a/packages/core/src/shard/worker-reports.ts
+++ b/packages/core/src/shard/worker-reports.ts
@@ -1,6 +1,6 @@
 /** Handling of worker reports and of the platform's list of VMs. */
 import { type Attempt, jobOfTask, type TaskId, type WorkerId } from "../ids/index.js";
-import { RanAnswer } from "../jobs/index.js";
+import { ExecutionStatus } from "../jobs/index.js";
 import type { Milliseconds } from "../time/index.js";
 import type { ListedWorker } from "../vm-list/index.js";
 import {
@@ -11,8 +11,8 @@
     StopMode,
     type WorkerReport,
 } from "../worker/index.js";
-import { emptyStep, StepBuilder } from "./step-builder.js";
-import { type JobEntry, type Step, type TaskEntry, TaskPhase } from "./types.js";
+import { emptyTransition, TransitionBuilder } from "./step-builder.js";
+import { type JobEntry, type TaskEntry, TaskPhase, type Transition } from "./types.js";
 import { isLeaving, type WorkerEntry } from "./worker-table.js";
 
 import type { JobLifecycle } from "./job-lifecycle.js";
@@ -22,63 +22,63 @@
  * Reconciles the shard's state with what workers and the platform report: claims, heartbeats, ended tasks, and workers that
  * are leaving, silent or gone.
  */
-export class WorkerReports {
+export class WorkerController {
     /** Recovered tasks whose worker has not been listed yet. */
-    readonly #unlisted = new Set<TaskEntry>();
-    #hasList = false;
+    readonly #awaitingListing = new Set<TaskEntry>();
+    #hasWorkerList = false;
 
     constructor(private readonly context: ShardContext, private readonly jobs: JobLifecycle) {}
 
     /** Whether the list of VMs has been read. Before that no worker is known. */
-    get hasList(): boolean {
-        return this.#hasList;
+    get hasWorkerList(): boolean {
+        return this.#hasWorkerList;
     }
 
     /** Updates which workers are schedulable, and records the tasks of silent workers as lost once all leases there expired. */
-    loseSilent(now: Milliseconds, silentAfter: Milliseconds, builder: StepBuilder): void {
+    expireSilent(now: Milliseconds, silentAfter: Milliseconds, builder: TransitionBuilder): void {
         for (const entry of this.context.workers.values()) {
-            this.context.refresh(entry);
+            this.context.updateSchedulable(entry);
             // A worker that answers reports its tasks itself; an old expiry then only means that it was idle.
-            const isSilent = now - entry.answeredAt > silentAfter;
-            if (entry.tasks.size > 0 && isSilent && now > entry.leasesLapseAt) {
-                this.jobs.loseTasks(entry, "its worker was silent until every lease there had lapsed", builder);
+            const isSilent = now - entry.lastAnswerAt > silentAfter;
+            if (entry.tasks.size > 0 && isSilent && now > entry.leasesExpireAt) {
+                this.jobs.recordAllLost(entry, "its worker was silent until every lease there had lapsed", builder);
             }
         }
     }
 
     /** Resumes the assigned tasks of a job that was restored from the journal. */
     recover(job: JobEntry): void {
-        job.tasks.filter(task => task.assignment !== undefined).forEach(task => this.#unlisted.add(task));
+        job.tasks.filter(task => task.assignment !== undefined).forEach(task => this.#awaitingListing.add(task));
     }
 
     /** Applies the platform's list of VMs, limited to those of this shard. */
-    listWorkers(listed: readonly ListedWorker[]): Step {
-        const builder = this.context.builder();
+    applyWorkerList(listed: readonly ListedWorker[]): Transition {
+        const builder = this.context.beginTransition();
         const now = this.context.now();
         const names = new Set(listed.map(worker => worker.worker));
         for (const worker of listed) {
             const entry = this.context.workers.get(worker.worker);
             if (entry === undefined) {
-                this.context.workers.add(worker, this.context.leasesOfFormerOwner());
+                this.context.workers.add(worker, this.context.formerLeasesExpireAt());
             }
             else {
                 entry.listed = worker;
-                this.context.refresh(entry);
+                this.context.updateSchedulable(entry);
             }
         }
-        this.#hasList = true;
-        this.#chargeUnlisted(builder);
+        this.#hasWorkerList = true;
+        this.#chargeRecovered(builder);
         for (const entry of [...this.context.workers.values()]) {
             entry.unlistedSince = names.has(entry.worker) ? undefined : entry.unlistedSince ?? now;
             if (this.#isGone(entry, now)) {
-                this.jobs.loseTasks(entry, "the platform no longer lists its VM", builder);
+                this.jobs.recordAllLost(entry, "the platform no longer lists its VM", builder);
                 this.context.workers.remove(entry);
             }
             else if (isLeaving(entry)) {
-                this.#emptyLeaving(entry, builder);
+                this.#drain(entry, builder);
             }
         }
-        return builder.step();
+        return builder.build();
     }
 
     /**
@@ -90,112 +90,112 @@
         if (unlistedSince === undefined) {
             return false;
         }
-        const isSilent = now - entry.answeredAt > this.context.options.settings().silentAfter;
-        return isSilent && (entry.tasks.size === 0 || now - unlistedSince > this.context.longestLease());
+        const isSilent = now - entry.lastAnswerAt > this.context.options.settings().silentAfter;
+        return isSilent && (entry.tasks.size === 0 || now - unlistedSince > this.context.maxLeaseDuration());
     }
 
     /** Charges recovered tasks to workers that have been listed; records the others as lost after the longest lease. */
-    #chargeUnlisted(builder: StepBuilder): void {
-        const isOverdue = this.context.now() - this.context.openedAt > this.context.longestLease();
-        for (const task of [...this.#unlisted]) {
+    #chargeRecovered(builder: TransitionBuilder): void {
+        const isOverdue = this.context.now() - this.context.openedAt > this.context.maxLeaseDuration();
+        for (const task of [...this.#awaitingListing]) {
             const { assignment } = task;
             const entry = assignment === undefined ? undefined : this.context.workers.get(assignment.worker);
             if (assignment !== undefined && entry !== undefined) {
                 this.context.workers.charge(entry, task, assignment.grant);
-                this.context.teams.take(this.context.teamOf(task), assignment.grant);
+                this.context.teamUsage.charge(this.context.teamOf(task), assignment.grant);
             }
             else if (assignment !== undefined && !isOverdue) {
                 continue;
             }
-            this.#unlisted.delete(task);
+            this.#awaitingListing.delete(task);
             if (entry === undefined) {
-                this.jobs.lose(task, "the platform does not list its VM", builder);
+                this.jobs.recordLost(task, "the platform does not list its VM", builder);
             }
         }
     }
 
     /** Applies the report of a worker that has accepted this owner's epoch. `sentAt`: when the claim was sent. */
-    claimAnswered(worker: WorkerId, report: WorkerReport, sentAt: Milliseconds): Step {
+    claimAnswered(worker: WorkerId, report: WorkerReport, sentAt: Milliseconds): Transition {
         const entry = this.context.workers.get(worker);
         if (entry === undefined) {
-            return emptyStep;
+            return emptyTransition;
         }
-        const builder = this.context.builder();
+        const builder = this.context.beginTransition();
         for (const task of [...entry.tasks.values()]) {
             const isKnown = [...report.running, ...report.ended].some(other => isSameAttempt(other, task));
             if (!isKnown && task.assignment?.incarnation === report.incarnation) {
                 // The worker now rejects the former owner, so a start that has not arrived yet will be refused.
-                this.jobs.notStarted(task, "the start never reached the worker", builder);
+                this.jobs.recordNotStarted(task, "the start never reached the worker", builder);
             }
         }
         entry.incarnation = report.incarnation;
-        this.#takeReport(entry, report, sentAt, builder);
+        this.#applyReport(entry, report, sentAt, builder);
         // The former owner can no longer renew leases here, so all of them expire within one lease duration.
-        const { leaseDuration, leaseMargin } = this.context.terms.ofFormerOwner();
-        entry.leasesLapseAt = this.context.now() + leaseDuration + leaseMargin;
-        return builder.step();
+        const { leaseDuration, leaseMargin } = this.context.leasePolicy.formerTerms();
+        entry.leasesExpireAt = this.context.now() + leaseDuration + leaseMargin;
+        return builder.build();
     }
 
     /** Creates the next heartbeat for a worker, or returns undefined when the worker must be claimed first. */
-    heartbeatFor(worker: WorkerId, wait: Milliseconds): HeartbeatMessage | undefined {
+    nextHeartbeat(worker: WorkerId, wait: Milliseconds): HeartbeatMessage | undefined {
         const entry = this.context.workers.get(worker);
         if (entry?.incarnation === undefined) {
             return undefined;
         }
-        const renewed = this.context.mayRenew()
+        const renewed = this.context.mayGrantLeases()
             ? [...entry.tasks.values()].filter(task => task.stopSent !== true && task.confirmedAt !== undefined)
             : [];
         if (renewed.length > 0) {
-            this.context.noteLeases(entry);
+            this.context.recordLeaseGrant(entry);
         }
-        const acknowledged = entry.acknowledgements;
-        entry.acknowledgements = [];
+        const acknowledged = entry.pendingAcknowledgements;
+        entry.pendingAcknowledgements = [];
         return {
             shard: this.context.options.shard,
             epoch: this.context.options.epoch,
-            number: entry.number,
+            number: entry.reportNumber,
             renewals: renewed.map(task => ({ task: task.task, attempt: task.attempt })),
             acknowledged,
-            lease: this.context.terms.inForce(this.context.options.settings()).leaseDuration,
+            lease: this.context.leasePolicy.currentTerms(this.context.options.settings()).leaseDuration,
             wait,
         };
     }
 
     /** Queues the acknowledgements of an unanswered heartbeat again. */
     heartbeatFailed(worker: WorkerId, message: HeartbeatMessage): void {
-        this.context.workers.get(worker)?.acknowledgements.push(...message.acknowledged);
+        this.context.workers.get(worker)?.pendingAcknowledgements.push(...message.acknowledged);
     }
 
     /** Applies the report that answers a heartbeat. `sentAt`: when the heartbeat was sent. */
-    heartbeatAnswered(worker: WorkerId, report: WorkerReport, sentAt: Milliseconds): Step {
+    heartbeatAnswered(worker: WorkerId, report: WorkerReport, sentAt: Milliseconds): Transition {
         const entry = this.context.workers.get(worker);
         if (entry === undefined) {
-            return emptyStep;
+            return emptyTransition;
         }
-        const builder = this.context.builder();
+        const builder = this.context.beginTransition();
         entry.incarnation = report.incarnation;
-        this.#takeReport(entry, report, sentAt, builder);
-        return builder.step();
+        this.#applyReport(entry, report, sentAt, builder);
+        return builder.build();
     }
 
-    #takeReport(entry: WorkerEntry, report: WorkerReport, sentAt: Milliseconds, builder: StepBuilder): void {
-        entry.number = report.number;
-        entry.answeredAt = this.context.now();
-        entry.saidLeaving = report.leaving;
+    #applyReport(entry: WorkerEntry, report: WorkerReport, sentAt: Milliseconds, builder: TransitionBuilder): void {
+        entry.reportNumber = report.number;
+        entry.lastAnswerAt = this.context.now();
+        entry.reportedLeaving = report.leaving;
         const running = new Map(report.running.map(task => [task.task, task]));
-        report.ended.forEach(ended => this.#takeEnd(entry, ended, builder));
+        report.ended.forEach(ended => this.#applyEnd(entry, ended, builder));
         for (const task of [...entry.tasks.values()]) {
-            this.#compareWithReport(task, running.get(task.task), report, sentAt, builder);
+            this.#reconcileTask(task, running.get(task.task), report, sentAt, builder);
         }
-        entry.strangers = this.#stopStrangers(entry, report, builder);
+        entry.unknownAttempts = this.#stopUnknownAttempts(entry, report, builder);
         if (report.leaving) {
-            this.#emptyLeaving(entry, builder);
+            this.#drain(entry, builder);
         }
-        this.context.refresh(entry);
+        this.context.updateSchedulable(entry);
     }
 
     /** Throttles a task that uses more processors than granted, to protect other tasks on the worker. */
-    #throttleIfOver(task: TaskEntry, running: RunningTask, builder: StepBuilder): void {
+    #throttleIfOverGrant(task: TaskEntry, running: RunningTask, builder: TransitionBuilder): void {
         const { assignment } = task;
         const granted = assignment?.grant.processorThousandths ?? Infinity;
         if (assignment === undefined || running.usage.processorThousandths <= granted) {
@@ -209,28 +209,28 @@
         });
     }
 
-    #compareWithReport(
+    #reconcileTask(
         task: TaskEntry,
         running: RunningTask | undefined,
         report: WorkerReport,
         sentAt: Milliseconds,
-        builder: StepBuilder,
+        builder: TransitionBuilder,
     ): void {
         if (running !== undefined && running.attempt === task.attempt) {
             if (task.phase === TaskPhase.Starting || task.serviceAddress !== running.serviceAddress) {
                 this.confirm(task, running);
-                builder.changed(jobOfTask(task.task));
+                builder.jobChanged(jobOfTask(task.task));
             }
             this.jobs.stopIfUnwanted(task, builder);
-            this.#throttleIfOver(task, running, builder);
+            this.#throttleIfOverGrant(task, running, builder);
             return;
         }
         const isOther = task.assignment?.incarnation !== report.incarnation;
         if (isOther) {
-            this.jobs.lose(task, "its worker was restarted", builder);
+            this.jobs.recordLost(task, "its worker was restarted", builder);
         }
         else if (task.confirmedAt !== undefined && sentAt > task.confirmedAt) {
-            this.jobs.lose(task, "its worker no longer knows it", builder);
+            this.jobs.recordLost(task, "its worker no longer knows it", builder);
         }
     }
 
@@ -239,28 +239,28 @@
         task.phase = TaskPhase.Running;
         task.confirmedAt = this.context.now();
         task.serviceAddress = running.serviceAddress;
-        this.context.jobOf(jobOfTask(task.task)).ran = RanAnswer.Ran;
+        this.context.jobOf(jobOfTask(task.task)).ran = ExecutionStatus.Ran;
     }
 
-    #takeEnd(entry: WorkerEntry, ended: EndedTask, builder: StepBuilder): void {
-        const task = this.context.book.task(ended.task);
+    #applyEnd(entry: WorkerEntry, ended: EndedTask, builder: TransitionBuilder): void {
+        const task = this.context.registry.task(ended.task);
         if (task === undefined || task.attempt !== ended.attempt || task.assignment?.worker !== entry.worker) {
             // Acknowledged only once its record is committed. If the worker dropped the end before that, the next owner would
             // conclude that the start had never arrived and run the task again.
-            if ((this.context.book.jobs.get(jobOfTask(ended.task))?.unkept ?? 0) === 0) {
-                entry.acknowledgements.push({ task: ended.task, attempt: ended.attempt });
+            if ((this.context.registry.jobs.get(jobOfTask(ended.task))?.unkept ?? 0) === 0) {
+                entry.pendingAcknowledgements.push({ task: ended.task, attempt: ended.attempt });
             }
             return;
         }
         const job = this.context.jobOf(jobOfTask(ended.task));
         const kind = this.#checkedEnd(ended);
-        this.#noteHealth(entry, job, kind);
+        this.#recordHealth(entry, job, kind);
         const { assignment } = task;
         const isFinal = this.jobs.isFinalEnd(job, task, kind);
         const output = kind === ended.kind ? ended.output : "the result is larger than the settings allow";
         builder.record({
             kind: "ended",
-            at: this.context.at(),
+            at: this.context.timestamp(),
             task: ended.task,
             attempt: ended.attempt,
             worker: entry.worker,
@@ -268,8 +268,8 @@
             output,
             isFinal,
         });
-        this.jobs.discharge(task, entry, assignment.grant);
-        this.jobs.afterTask(job, task, builder);
+        this.jobs.releaseResources(task, entry, assignment.grant);
+        this.jobs.onAttemptEnded(job, task, builder);
     }
 
     /** A result over the size limit counts as a failure, as a truncated one would be wrong. */
@@ -278,11 +278,11 @@
         return isTooLarge && ended.kind === EndKind.Succeeded ? EndKind.Failed : ended.kind;
     }
 
-    #noteHealth(entry: WorkerEntry, job: JobEntry, kind: EndKind): void {
+    #recordHealth(entry: WorkerEntry, job: JobEntry, kind: EndKind): void {
         if (kind === EndKind.Succeeded) {
-            this.context.health.noteSuccess(entry.worker, job.job);
+            this.context.health.recordSuccess(entry.worker, job.job);
         }
-        else if (kind === EndKind.Failed && this.context.health.noteFailure(entry.worker, job.job)) {
+        else if (kind === EndKind.Failed && this.context.health.recordFailure(entry.worker, job.job)) {
             this.#quarantine(entry);
         }
     }
@@ -296,10 +296,10 @@
         }
         const count = this.context.health.beginQuarantine(entry.worker);
         entry.quarantinedUntil = now + quarantineDuration * 2 ** Math.min(count - 1, 6);
-        this.context.refresh(entry);
+        this.context.updateSchedulable(entry);
     }
 
-    #stopStrangers(entry: WorkerEntry, report: WorkerReport, builder: StepBuilder): number {
+    #stopUnknownAttempts(entry: WorkerEntry, report: WorkerReport, builder: TransitionBuilder): number {
         const { shard, epoch } = this.context.options;
         let count = 0;
         for (const running of report.running) {
@@ -315,15 +315,15 @@
     }
 
     /** Stops repeatable tasks on a leaving worker so that they move elsewhere. Unrepeatable tasks run to their end. */
-    #emptyLeaving(entry: WorkerEntry, builder: StepBuilder): void {
-        this.context.refresh(entry);
+    #drain(entry: WorkerEntry, builder: TransitionBuilder): void {
+        this.context.updateSchedulable(entry);
         for (const task of entry.tasks.values()) {
             const job = this.context.jobOf(jobOfTask(task.task));
             if (task.phase !== TaskPhase.Running || job.submission.unrepeatable || task.stopSent === true) {
                 continue;
             }
             const { service } = job.submission;
-            const isServing = service !== undefined && this.context.services.isGranted(service, task.task);
+            const isServing = service !== undefined && this.context.services.hasGrants(service, task.task);
             if (!isServing) {
                 this.jobs.stop(task, service === undefined ? StopMode.Checkpoint : StopMode.Stop, builder);
             }
--- a/packages/core/src/shard/worker-table.ts
+++ b/packages/core/src/shard/worker-table.ts
@@ -14,20 +14,20 @@
     listed: ListedWorker;
     /** Set once the worker has accepted this owner's epoch. */
     incarnation?: Incarnation;
-    number: number;
+    reportNumber: number;
     /** When the worker last answered, on the monotonic clock. */
-    answeredAt: Milliseconds;
+    lastAnswerAt: Milliseconds;
     /** From then on no lease that any owner granted here can be valid. */
-    leasesLapseAt: Milliseconds;
-    saidLeaving: boolean;
+    leasesExpireAt: Milliseconds;
+    reportedLeaving: boolean;
     /** Since when the platform's list lacks the worker, on the monotonic clock. */
     unlistedSince?: Milliseconds;
     /** Tasks whose resources are reserved on this worker. */
     readonly tasks: Map<TaskId, TaskEntry>;
     /** Ended attempts that are committed and not yet acknowledged to the worker. */
-    acknowledgements: TaskAttempt[];
+    pendingAcknowledgements: TaskAttempt[];
     /** Number of running attempts that this owner did not place. The worker is unschedulable until they are gone. */
-    strangers: number;
+    unknownAttempts: number;
     quarantinedUntil: Milliseconds;
 }
 
@@ -60,25 +60,25 @@
         return this.#entries.get(worker);
     }
 
-    at(slot: WorkerSlot): WorkerEntry {
+    entryAt(slot: WorkerSlot): WorkerEntry {
         return this.#bySlot[slot];
     }
 
     /** Adds a worker, unschedulable until it has been claimed. */
-    add(listed: ListedWorker, leasesLapseAt: Milliseconds): WorkerEntry {
+    add(listed: ListedWorker, leasesExpireAt: Milliseconds): WorkerEntry {
         const slot = this.index.add(listed.capacity);
-        this.index.setOpen(slot, false);
+        this.index.setSchedulable(slot, false);
         const entry: WorkerEntry = {
             worker: listed.worker,
             slot,
             listed,
-            number: 0,
-            answeredAt: -Infinity,
-            leasesLapseAt,
-            saidLeaving: false,
+            reportNumber: 0,
+            lastAnswerAt: -Infinity,
+            leasesExpireAt: leasesExpireAt,
+            reportedLeaving: false,
             tasks: new Map(),
-            acknowledgements: [],
-            strangers: 0,
+            pendingAcknowledgements: [],
+            unknownAttempts: 0,
             quarantinedUntil: -Infinity,
         };
         this.#entries.set(listed.worker, entry);
@@ -89,7 +89,7 @@
 
     /** Removes a worker. Its slot in the index stays unschedulable. */
     remove(entry: WorkerEntry): void {
-        this.index.setOpen(entry.slot, false);
+        this.index.setSchedulable(entry.slot, false);
         this.#entries.delete(entry.worker);
         this.#shapes = undefined;
     }
@@ -101,21 +101,21 @@
     }
 
     /** Releases a task's resources. Does nothing when the task is not charged to the worker. */
-    discharge(entry: WorkerEntry, task: TaskEntry, grant: Resources): void {
+    release(entry: WorkerEntry, task: TaskEntry, grant: Resources): void {
         if (entry.tasks.delete(task.task)) {
             this.index.release(entry.slot, grant);
         }
     }
 
     /** Recomputes whether a worker accepts placements. */
-    refresh(entry: WorkerEntry, now: Milliseconds, silentAfter: Milliseconds): void {
-        const open = entry.incarnation !== undefined
-            && entry.strangers === 0
+    updateSchedulable(entry: WorkerEntry, now: Milliseconds, silentAfter: Milliseconds): void {
+        const schedulable = entry.incarnation !== undefined
+            && entry.unknownAttempts === 0
             && !isLeaving(entry)
             && entry.unlistedSince === undefined
-            && now - entry.answeredAt <= silentAfter
+            && now - entry.lastAnswerAt <= silentAfter
             && entry.quarantinedUntil <= now;
-        this.index.setOpen(entry.slot, open);
+        this.index.setSchedulable(entry.slot, schedulable);
     }
 
     /** Workers grouped by capacity, so that admission does not have to visit each worker. */
@@ -136,4 +136,5 @@
 }
 
 /** Whether the platform's list or the worker itself reports that it is leaving. */
-export const isLeaving = (entry: WorkerEntry): boolean => entry.saidLeaving || entry.listed.state === VmState.Leaving;
+export const isLeaving = (entry: WorkerEntry): boolean =>
+    entry.reportedLeaving || entry.listed.state === VmState.Leaving;
--- a/packages/core/src/time/answer-times.ts
+++ b/packages/core/src/time/answer-times.ts
@@ -2,58 +2,58 @@
 import type { Milliseconds } from "./milliseconds.js";
 
 /** Weight of a sample in the smoothed response time (RFC 6298). */
-const timeWeight = 1 / 8;
+const smoothedWeight = 1 / 8;
 /** Weight of a sample in the deviation (RFC 6298). */
 const deviationWeight = 1 / 4;
 /** The timeout exceeds the smoothed time by this many deviations (RFC 6298). */
-const deviations = 4;
+const deviationFactor = 4;
 
 /** Bounds of the response timeout. */
-export interface AnswerTimeBounds {
-    readonly shortest: Milliseconds;
+export interface TimeoutBounds {
+    readonly min: Milliseconds;
     /** Upper bound, which also applies until there is a sample. */
-    readonly longest: Milliseconds;
+    readonly max: Milliseconds;
 }
 
 /**
  * Estimates the response timeout of one server like TCP's retransmission timer (RFC 6298): from the smoothed response time and
  * its deviation, doubled with each consecutive timeout.
  */
-export class AnswerTimes {
+export class ResponseTimeEstimator {
     #smoothed: Milliseconds | undefined;
     #deviation: Milliseconds = 0;
-    #lostInARow = 0;
+    #consecutiveTimeouts = 0;
 
-    constructor(private readonly bounds: AnswerTimeBounds) {}
+    constructor(private readonly bounds: TimeoutBounds) {}
 
-    note(took: Milliseconds): void {
-        this.#lostInARow = 0;
+    recordResponse(took: Milliseconds): void {
+        this.#consecutiveTimeouts = 0;
         if (this.#smoothed === undefined) {
             this.#smoothed = took;
             this.#deviation = took / 2;
             return;
         }
         this.#deviation += (Math.abs(took - this.#smoothed) - this.#deviation) * deviationWeight;
-        this.#smoothed += (took - this.#smoothed) * timeWeight;
+        this.#smoothed += (took - this.#smoothed) * smoothedWeight;
     }
 
     /** Records that a response did not arrive in time. */
-    noteLost(): void {
-        this.#lostInARow++;
+    recordTimeout(): void {
+        this.#consecutiveTimeouts++;
     }
 
     /** Whether any response was recorded. */
-    get hasAny(): boolean {
+    get hasSamples(): boolean {
         return this.#smoothed !== undefined;
     }
 
     /** Time after which a pending response should be considered lost. */
-    get limit(): Milliseconds {
-        const { shortest, longest } = this.bounds;
+    get timeout(): Milliseconds {
+        const { min: shortest, max: longest } = this.bounds;
         if (this.#smoothed === undefined) {
             return longest;
         }
-        const expected = (this.#smoothed + deviations * this.#deviation) * 2 ** this.#lostInARow;
+        const expected = (this.#smoothed + deviationFactor * this.#deviation) * 2 ** this.#consecutiveTimeouts;
         return Math.min(longest, Math.max(shortest, expected));
     }
 }
--- a/packages/core/src/time/clock.ts
+++ b/packages/core/src/time/clock.ts
@@ -1,5 +1,5 @@
 /** Clock interfaces. Code takes a clock as a dependency instead of reading the process's clock. */
-import { GapWatch } from "./gap-watch.js";
+import { SuspensionDetector } from "./gap-watch.js";
 import type { Milliseconds } from "./milliseconds.js";
 
 /** Source of time and timers. */
@@ -13,20 +13,20 @@
 }
 
 /** A clock that detects possible suspensions of the machine. */
-export interface GapClock extends Clock {
+export interface SuspensionAwareClock extends Clock {
     /**
      * Returns the monotonic time since which no suspension was detected, or -Infinity when there was none. Anything confirmed
      * before that time may be older than it seems. Cheap enough to call at each use.
      */
-    countedSince(): Milliseconds;
+    uninterruptedSince(): Milliseconds;
 }
 
 /** The clock of the process. No other code reads the process's time. */
-export class SystemClock implements GapClock {
-    readonly #gaps = new GapWatch();
+export class SystemClock implements SuspensionAwareClock {
+    readonly #suspensions = new SuspensionDetector();
 
-    countedSince(): Milliseconds {
-        return this.#gaps.check(this.monotonic(), this.now().getTime());
+    uninterruptedSince(): Milliseconds {
+        return this.#suspensions.check(this.monotonic(), this.now().getTime());
     }
 
     monotonic(): Milliseconds {
@@ -55,12 +55,12 @@
 }
 
 /** A clock for tests that only moves when it is advanced. */
-export class ManualClock implements GapClock {
-    readonly #gaps = new GapWatch();
+export class ManualClock implements SuspensionAwareClock {
+    readonly #suspensions = new SuspensionDetector();
     #elapsed = 0;
     /** Time by which the wall clock has moved ahead of the monotonic clock. */
-    #ahead = 0;
-    readonly #waiting = new Set<{ readonly at: Milliseconds; readonly resolve: () => void; }>();
+    #wallClockOffset = 0;
+    readonly #sleepers = new Set<{ readonly at: Milliseconds; readonly resolve: () => void; }>();
 
     constructor(private readonly start: Date = new Date("2026-01-01T00:00:00Z")) {}
 
@@ -69,7 +69,7 @@
     }
 
     now(): Date {
-        return new Date(this.start.getTime() + this.#elapsed + this.#ahead);
+        return new Date(this.start.getTime() + this.#elapsed + this.#wallClockOffset);
     }
 
     sleep(duration: Milliseconds, signal?: AbortSignal): Promise<void> {
@@ -84,29 +84,29 @@
             };
             const entry = { at: this.#elapsed + duration, resolve: finish };
             const abort = () => {
-                this.#waiting.delete(entry);
+                this.#sleepers.delete(entry);
                 finish();
             };
-            this.#waiting.add(entry);
+            this.#sleepers.add(entry);
             signal?.addEventListener("abort", abort, { once: true });
         });
     }
 
-    countedSince(): Milliseconds {
-        return this.#gaps.check(this.monotonic(), this.now().getTime());
+    uninterruptedSince(): Milliseconds {
+        return this.#suspensions.check(this.monotonic(), this.now().getTime());
     }
 
     /** Moves only the wall clock, as a suspension of the machine or a change of its time of day does. */
     suspend(duration: Milliseconds): void {
-        this.countedSince();
-        this.#ahead += duration;
+        this.uninterruptedSince();
+        this.#wallClockOffset += duration;
     }
 
     /** Advances the clock and resolves all sleeps that are due. */
     advance(duration: Milliseconds): void {
         this.#elapsed += duration;
-        const due = [...this.#waiting].filter(entry => entry.at <= this.#elapsed);
-        due.forEach(entry => this.#waiting.delete(entry));
+        const due = [...this.#sleepers].filter(entry => entry.at <= this.#elapsed);
+        due.forEach(entry => this.#sleepers.delete(entry));
         due.forEach(entry => entry.resolve());
     }
 }
--- a/packages/core/src/time/gap-watch.ts
+++ b/packages/core/src/time/gap-watch.ts
@@ -5,7 +5,7 @@
  * Smallest jump of the wall clock that counts as a suspension, well above its resolution and slewing. Lease margins cover
  * shorter suspensions.
  */
-const leastGap: Milliseconds = 100;
+const minGap: Milliseconds = 100;
 
 /**
  * Detects possible suspensions of the machine.
@@ -15,17 +15,17 @@
  * that earlier confirmations are out of date; its size is not meaningful. CLOCK_BOOTTIME, which counts suspensions, is not used:
  * Node.js exposes it only as `os.uptime()`, which may show the host's time and not match the clocks of the process.
  */
-export class GapWatch {
+export class SuspensionDetector {
     #offset: Milliseconds | undefined;
-    #countedSince: Milliseconds = -Infinity;
+    #uninterruptedSince: Milliseconds = -Infinity;
 
     /** Compares readings of both clocks; returns the monotonic time of the last detected jump, or -Infinity. */
     check(monotonic: Milliseconds, timeOfDay: number): Milliseconds {
         const offset = timeOfDay - monotonic;
-        if (this.#offset !== undefined && offset - this.#offset > leastGap) {
-            this.#countedSince = monotonic;
+        if (this.#offset !== undefined && offset - this.#offset > minGap) {
+            this.#uninterruptedSince = monotonic;
         }
         this.#offset = offset;
-        return this.#countedSince;
+        return this.#uninterruptedSince;
     }
 }
--- a/packages/core/src/worker-health/worker-health.ts
+++ b/packages/core/src/worker-health/worker-health.ts
@@ -2,22 +2,22 @@
 import type { JobId, WorkerId } from "../ids/index.js";
 
 /** Thresholds above which a worker is considered failing. */
-export interface HealthLimits {
+export interface HealthThresholds {
     /** Number of most recent outcomes evaluated per worker. */
-    readonly rememberedOutcomes: number;
+    readonly outcomeWindow: number;
     /** Minimum number of different jobs that must have failed on the worker. */
-    readonly fewestFailures: number;
+    readonly minFailedJobs: number;
     /** Minimum share of failures among the evaluated outcomes. */
-    readonly failingShare: number;
+    readonly minFailureShare: number;
 }
 
 /** Thresholds for workers with few, long tasks, where a wrong quarantine costs more than some failures. */
-export const patientLimits: HealthLimits = { rememberedOutcomes: 12, fewestFailures: 4, failingShare: 0.5 };
+export const defaultHealthThresholds: HealthThresholds = { outcomeWindow: 12, minFailedJobs: 4, minFailureShare: 0.5 };
 
 const noWorkers: ReadonlySet<WorkerId> = new Set();
 
 /** A failing worker's share of failures is at least this many times that of its peers. */
-const worseThanPeers = 2;
+const minPeerRatio = 2;
 
 interface Outcome {
     readonly job: JobId;
@@ -35,13 +35,13 @@
     readonly #outcomes = new Map<WorkerId, Outcome[]>();
     readonly #failedOn = new Map<JobId, Set<WorkerId>>();
     /** Totals over all workers. */
-    #remembered = 0;
-    #failures = 0;
+    #outcomeCount = 0;
+    #failureCount = 0;
     readonly #quarantines = new Map<WorkerId, number>();
 
-    constructor(private readonly limits: HealthLimits = patientLimits) {}
+    constructor(private readonly thresholds: HealthThresholds = defaultHealthThresholds) {}
 
-    noteSuccess(worker: WorkerId, job: JobId): void {
+    recordSuccess(worker: WorkerId, job: JobId): void {
         // The job is able to succeed, so its failures count against the workers again.
         this.#failedOn.delete(job);
         this.#add(worker, { job, failed: false });
@@ -51,7 +51,7 @@
     }
 
     /** Records a failure and returns whether the worker is now considered failing. */
-    noteFailure(worker: WorkerId, job: JobId): boolean {
+    recordFailure(worker: WorkerId, job: JobId): boolean {
         const workers = this.#failedOn.get(job) ?? new Set<WorkerId>();
         workers.add(worker);
         this.#failedOn.set(job, workers);
@@ -61,20 +61,20 @@
 
     /** Whether a worker exceeds the thresholds. Jobs that also fail elsewhere are left out. */
     isFailing(worker: WorkerId): boolean {
-        const counted = this.#counted(worker);
-        const failed = counted.filter(outcome => outcome.failed);
-        const share = failed.length / Math.max(1, counted.length);
+        const outcomes = this.#attributableOutcomes(worker);
+        const failed = outcomes.filter(outcome => outcome.failed);
+        const share = failed.length / Math.max(1, outcomes.length);
         // Several tasks of one job may fail together because of the job.
         const jobs = new Set(failed.map(outcome => outcome.job)).size;
-        return jobs >= this.limits.fewestFailures && share >= this.limits.failingShare
-            && share >= this.#shareOfPeers(worker) * worseThanPeers;
+        return jobs >= this.thresholds.minFailedJobs && share >= this.thresholds.minFailureShare
+            && share >= this.#peerFailureShare(worker) * minPeerRatio;
     }
 
     /** Share of failures among the recent outcomes of all other workers. */
-    #shareOfPeers(worker: WorkerId): number {
+    #peerFailureShare(worker: WorkerId): number {
         const own = this.#outcomes.get(worker) ?? [];
         const ownFailures = own.filter(outcome => outcome.failed).length;
-        return (this.#failures - ownFailures) / Math.max(1, this.#remembered - own.length);
+        return (this.#failureCount - ownFailures) / Math.max(1, this.#outcomeCount - own.length);
     }
 
     /** Whether any recent failure is attributed to a worker. */
@@ -108,28 +108,28 @@
         this.#failedOn.delete(job);
     }
 
-    #counted(worker: WorkerId): Outcome[] {
+    #attributableOutcomes(worker: WorkerId): Outcome[] {
         return (this.#outcomes.get(worker) ?? []).filter(
             outcome => !outcome.failed || (this.#failedOn.get(outcome.job)?.size ?? 0) < 2,
         );
     }
 
     #recentFailures(worker: WorkerId): number {
-        return this.#counted(worker).filter(outcome => outcome.failed).length;
+        return this.#attributableOutcomes(worker).filter(outcome => outcome.failed).length;
     }
 
     #add(worker: WorkerId, outcome: Outcome): void {
         const outcomes = this.#outcomes.get(worker) ?? [];
         outcomes.push(outcome);
         this.#count(outcome, 1);
-        if (outcomes.length > this.limits.rememberedOutcomes) {
+        if (outcomes.length > this.thresholds.outcomeWindow) {
             this.#count(outcomes.shift()!, -1);
         }
         this.#outcomes.set(worker, outcomes);
     }
 
     #count(outcome: Outcome, sign: number): void {
-        this.#remembered += sign;
-        this.#failures += outcome.failed ? sign : 0;
+        this.#outcomeCount += sign;
+        this.#failureCount += outcome.failed ? sign : 0;
     }
 }
--- a/packages/core/test/journal/repeated-swap.test.ts
+++ b/packages/core/test/journal/repeated-swap.test.ts
@@ -5,7 +5,7 @@
 import { expect } from "earl";
 import { describe, it } from "node:test";
 import { absentVersion, ManualClock, type Milliseconds, PlatformUnavailableError } from "../../src/index.js";
-import { RepeatedSwaps } from "../../src/journal/repeated-swap.js";
+import { HedgedWriter } from "../../src/journal/repeated-swap.js";
 
 const onTheirWay = 16;
 const retryDelay: Milliseconds = 60;
@@ -27,7 +27,7 @@
 const begin = () => {
     const clock = new ManualClock();
     const store = { isBusy: true, calls: 0 };
-    const swaps = new RepeatedSwaps({
+    const swaps = new HedgedWriter({
         store: {
             compareAndSwap: async () => {
                 store.calls++;
@@ -36,14 +36,14 @@
                 }
                 return { kind: "swapped", version: 1 };
             },
-        } as unknown as ConstructorParameters<typeof RepeatedSwaps>[0]["store"],
+        } as unknown as ConstructorParameters<typeof HedgedWriter>[0]["store"],
         clock,
         options: { retryDelay, repeatAfter: 160 },
         signal: new AbortController().signal,
     });
     let kept = 0;
     for (let write = 0; write < onTheirWay; write++) {
-        void swaps.untilAnswered(`key-${write}`, absentVersion, "value").then(() => kept++);
+        void swaps.write(`key-${write}`, absentVersion, "value").then(() => kept++);
     }
     return { clock, store, kept: () => kept };
 };
--- a/packages/core/test/placement/fleet-index.test.ts
+++ b/packages/core/test/placement/fleet-index.test.ts
@@ -40,9 +40,9 @@
     it("places nothing on a closed worker and remembers its room", () => {
         const index = new FleetIndex();
         const worker = index.add(capacity);
-        index.setOpen(worker, false);
+        index.setSchedulable(worker, false);
         expect(index.find({ size: size(1, 1), preference: Preference.Pack, headroom: 0 }).worker).toEqual(noWorker);
-        index.setOpen(worker, true);
+        index.setSchedulable(worker, true);
         expect(index.find({ size: size(1, 1), preference: Preference.Pack, headroom: 0 }).worker).toEqual(worker);
     });
 });
--- a/packages/core/test/sessions/session.ts
+++ b/packages/core/test/sessions/session.ts
@@ -17,8 +17,8 @@
     ShardScheduler,
     shardSettingsOf,
     type ShardSnapshot,
-    type Step,
     type TaskId,
+    type Transition,
     VmState,
     workerId,
     WorkerRefusal,
@@ -65,7 +65,7 @@
     readonly #clock = new ManualClock();
     readonly #random = new SeededRandom(1);
     readonly #journal: ShardRecord[] = [];
-    readonly #held: Step[] = [];
+    readonly #held: Transition[] = [];
     #core!: ShardScheduler;
     #epoch = 0;
     #number = 0;
@@ -88,9 +88,9 @@
 
     readonly #actions: Readonly<Record<string, (words: Words) => void>> = {
         open: () => this.#open(),
-        snapshot: () => this.#open(JSON.parse(JSON.stringify(this.#core.book.snapshot())) as ShardSnapshot),
+        snapshot: () => this.#open(JSON.parse(JSON.stringify(this.#core.registry.snapshot())) as ShardSnapshot),
         list: words =>
-            this.#take(this.#core.listWorkers(words.plain.map(name => listed(name, words.named.leaving === name)))),
+            this.#take(this.#core.applyWorkerList(words.plain.map(name => listed(name, words.named.leaving === name)))),
         claim: words => this.#report(words, true),
         report: words => this.#report(words, false),
         submit: words => this.#submit(words),
@@ -121,7 +121,7 @@
             this.#take(this.#core.startRefused(task, attempt, words.plain[1] as WorkerRefusal | undefined));
         },
         heartbeat: words => {
-            const message = this.#core.heartbeatFor(workerId(words.plain[0]), 1000);
+            const message = this.#core.nextHeartbeat(workerId(words.plain[0]), 1000);
             const names = (list: readonly { task: TaskId; attempt: Attempt; }[]) =>
                 list.map(entry => `${entry.task}#${entry.attempt}`).join(",");
             this.#say(
@@ -171,10 +171,14 @@
         },
         "once-ended": words => {
             const { status } = words.named;
-            this.#take(this.#core.endOnce(words.plain[0], status === undefined ? undefined : Number(status)));
+            this.#take(this.#core.endUnrepeatable(words.plain[0], status === undefined ? undefined : Number(status)));
         },
         once: words => {
-            const { step, earlier } = this.#core.beginOnce(words.plain[0], words.plain[1], words.named.send);
+            const { transition: step, earlier } = this.#core.beginUnrepeatable(
+                words.plain[0],
+                words.plain[1],
+                words.named.send,
+            );
             this.#take(step);
             this.#say(earlier === undefined ? "may be sent" : `sent before, status=${earlier.status ?? "unknown"}`);
         },
@@ -216,7 +220,7 @@
                 slots: Number(named.slots ?? 1),
             },
         });
-        const { step, outcome } = this.#core.submit({ submission, digest: JSON.stringify(submission) });
+        const { transition: step, outcome } = this.#core.submit({ submission, digest: JSON.stringify(submission) });
         this.#say(
             outcome.kind === "accepted"
                 ? `accepted ${outcome.job}${outcome.repeated ? " again" : ""}`
@@ -252,7 +256,7 @@
         );
     }
 
-    #take(step: Step): void {
+    #take(step: Transition): void {
         step.records.forEach(record => this.#say(`record ${describeRecord(record)}`));
         if (this.#isHolding) {
             this.#held.push(step);
@@ -261,9 +265,9 @@
         this.#keep(step);
     }
 
-    #keep(step: Step): void {
+    #keep(step: Transition): void {
         this.#journal.push(...step.records);
-        this.#core.kept(step);
+        this.#core.onCommitted(step);
         for (const effect of step.effects) {
             if (effect.kind === "start") {
                 this.#say(`effect start ${effect.task}#${effect.attempt} at ${effect.worker}`);
--- a/packages/core/test/shard/pending-queue.test.ts
+++ b/packages/core/test/shard/pending-queue.test.ts
@@ -7,14 +7,14 @@
     tasks: [`job-${ticket}/0` as TaskId],
     size: noResources,
     priority,
-    signature,
-    ticket,
+    equivalenceKey: signature,
+    sequence: ticket,
     since: 0,
 });
 
 const drain = (queue: PendingQueue): number[] => {
     const order: number[] = [];
-    queue.offer(entry => order.push(entry.ticket) > 0);
+    queue.offer(entry => order.push(entry.sequence) > 0);
     return order;
 };
 
@@ -33,8 +33,8 @@
         );
         const offered: number[] = [];
         queue.offer(entry => {
-            offered.push(entry.ticket);
-            return entry.signature === "small";
+            offered.push(entry.sequence);
+            return entry.equivalenceKey === "small";
         });
         expect(offered).toEqual([1, 3]);
         expect(queue.length).toEqual(2);
@@ -44,9 +44,9 @@
         const queue = new PendingQueue();
         const entries = Array.from({ length: 10_000 }, (_, index) => unit(index));
         entries.forEach(entry => queue.add(entry));
-        entries.filter(entry => entry.ticket !== 7).forEach(entry => queue.remove(entry.tasks[0]));
+        entries.filter(entry => entry.sequence !== 7).forEach(entry => queue.remove(entry.tasks[0]));
         expect(queue.length).toEqual(1);
-        expect(queue.placeOf(entries[7])).toEqual(8);
+        expect(queue.positionOf(entries[7])).toEqual(8);
         expect(drain(queue)).toEqual([7]);
     });
 
@@ -54,7 +54,7 @@
         const queue = new PendingQueue();
         queue.add(unit(1));
         queue.remove("job-1/0" as TaskId);
-        queue.add({ ...unit(1), ticket: 2 });
+        queue.add({ ...unit(1), sequence: 2 });
         expect(drain(queue)).toEqual([2]);
     });
 });
--- a/packages/core/test/shard/worker-health.test.ts
+++ b/packages/core/test/shard/worker-health.test.ts
@@ -9,14 +9,14 @@
 describe("WorkerHealth", () => {
     it("finds a worker that fails what succeeds elsewhere", () => {
         const health = new WorkerHealth();
-        const found = Array.from({ length: 4 }, (_, index) => health.noteFailure(worker(1), job(index)));
+        const found = Array.from({ length: 4 }, (_, index) => health.recordFailure(worker(1), job(index)));
         expect(found).toEqual([false, false, false, true]);
     });
 
     it("blames a job that fails on two workers, and neither of them", () => {
         const health = new WorkerHealth();
         for (let index = 0; index < 20; index++) {
-            health.noteFailure(worker(index % 2), job(index >> 1));
+            health.recordFailure(worker(index % 2), job(index >> 1));
         }
         expect(health.isFailing(worker(0))).toEqual(false);
         expect(health.isFailing(worker(1))).toEqual(false);
@@ -24,16 +24,16 @@
 
     it("blames no worker when many different jobs fail everywhere at once", () => {
         const health = new WorkerHealth();
-        const found = Array.from({ length: 200 }, (_, index) => health.noteFailure(worker(index % 30), job(index)));
+        const found = Array.from({ length: 200 }, (_, index) => health.recordFailure(worker(index % 30), job(index)));
         expect(found.filter(isFailing => isFailing).length).toEqual(0);
     });
 
     it("blames the workers after all when the job then succeeds", () => {
         const health = new WorkerHealth();
         for (let index = 0; index < 4; index++) {
-            health.noteFailure(worker(0), job(index));
-            health.noteFailure(worker(1), job(index));
-            health.noteSuccess(worker(2), job(index));
+            health.recordFailure(worker(0), job(index));
+            health.recordFailure(worker(1), job(index));
+            health.recordSuccess(worker(2), job(index));
         }
         expect(health.isFailing(worker(0))).toEqual(true);
     });
--- a/packages/core/test/time/answer-times.test.ts
+++ b/packages/core/test/time/answer-times.test.ts
@@ -1,35 +1,35 @@
 import { expect } from "earl";
 import { describe, it } from "node:test";
-import { AnswerTimes } from "../../src/index.js";
+import { ResponseTimeEstimator } from "../../src/index.js";
 
-const bounds = { shortest: 120, longest: 400 };
+const bounds = { min: 120, max: 400 };
 
 describe("the time after which an answer is taken for lost", () => {
     it("is the longest one before there was any", () => {
-        expect(new AnswerTimes(bounds).limit).toEqual(bounds.longest);
+        expect(new ResponseTimeEstimator(bounds).timeout).toEqual(bounds.max);
     });
 
     it("follows the answers, within its bounds", () => {
-        const times = new AnswerTimes(bounds);
-        [5, 4, 6, 5].forEach(took => times.note(took));
-        expect(times.limit).toEqual(bounds.shortest);
+        const times = new ResponseTimeEstimator(bounds);
+        [5, 4, 6, 5].forEach(took => times.recordResponse(took));
+        expect(times.timeout).toEqual(bounds.min);
         for (let answer = 0; answer < 40; answer++) {
-            times.note(200);
+            times.recordResponse(200);
         }
-        expect(times.limit > 200 && times.limit < bounds.longest).toEqual(true);
-        times.note(5_000);
-        expect(times.limit).toEqual(bounds.longest);
+        expect(times.timeout > 200 && times.timeout < bounds.max).toEqual(true);
+        times.recordResponse(5_000);
+        expect(times.timeout).toEqual(bounds.max);
     });
 
     it("doubles with each answer that is lost in a row, so that a slow worker is waited for", () => {
-        const times = new AnswerTimes(bounds);
+        const times = new ResponseTimeEstimator(bounds);
         for (let answer = 0; answer < 40; answer++) {
-            times.note(150);
+            times.recordResponse(150);
         }
-        const before = times.limit;
-        times.noteLost();
-        expect(times.limit).toEqual(Math.min(bounds.longest, before * 2));
-        times.note(150);
-        expect(times.limit < before * 2).toEqual(true);
+        const before = times.timeout;
+        times.recordTimeout();
+        expect(times.timeout).toEqual(Math.min(bounds.max, before * 2));
+        times.recordResponse(150);
+        expect(times.timeout < before * 2).toEqual(true);
     });
 });
--- a/packages/core/test/time/gap-watch.test.ts
+++ b/packages/core/test/time/gap-watch.test.ts
@@ -7,7 +7,7 @@
         const clock = new ManualClock();
         for (let passed = 0; passed < 100; passed++) {
             clock.advance(1_000);
-            expect(clock.countedSince()).toEqual(-Infinity);
+            expect(clock.uninterruptedSince()).toEqual(-Infinity);
         }
     });
 
@@ -15,27 +15,27 @@
         const clock = new ManualClock();
         clock.advance(5_000);
         clock.suspend(3_000);
-        expect(clock.countedSince()).toEqual(5_000);
+        expect(clock.uninterruptedSince()).toEqual(5_000);
         clock.advance(2_000);
-        expect(clock.countedSince()).toEqual(5_000);
+        expect(clock.uninterruptedSince()).toEqual(5_000);
         clock.suspend(500);
-        expect(clock.countedSince()).toEqual(7_000);
+        expect(clock.uninterruptedSince()).toEqual(7_000);
     });
 
     it("takes a time of day that is set back for no sign, and one that is set ahead again for one", () => {
         const clock = new ManualClock();
         clock.advance(1_000);
         clock.suspend(-2_000);
-        expect(clock.countedSince()).toEqual(-Infinity);
+        expect(clock.uninterruptedSince()).toEqual(-Infinity);
         clock.advance(1_000);
         clock.suspend(2_000);
-        expect(clock.countedSince()).toEqual(2_000);
+        expect(clock.uninterruptedSince()).toEqual(2_000);
     });
 
     it("of the process gives none on a machine that is not suspended", async () => {
         const clock = new SystemClock();
-        expect(clock.countedSince()).toEqual(-Infinity);
+        expect(clock.uninterruptedSince()).toEqual(-Infinity);
         await clock.sleep(20);
-        expect(clock.countedSince()).toEqual(-Infinity);
+        expect(clock.uninterruptedSince()).toEqual(-Infinity);
     });
 });
--- a/packages/entry/src/configuration/watch.ts
+++ b/packages/entry/src/configuration/watch.ts
@@ -2,26 +2,26 @@
 import {
     type CellConfiguration,
     type ConfigurationFeed,
-    type OperatorNews,
+    type OperatorUpdate,
     QueueDirectory,
     type UpkeepWave,
 } from "@pebbledale/cell";
 import { type Clock, logEvents, type Milliseconds } from "@pebbledale/core";
 import type { EventLogger } from "@pebbledale/runtime";
 import {
-    type Followed,
-    type FollowedNews,
+    type FollowedUpdate,
     type FollowLimits,
     FollowLoop,
+    type FollowSource,
     type StoreProbe,
 } from "../following/index.js";
-import { DependencyWatch } from "../observation/index.js";
+import { DependencyMonitor } from "../observation/index.js";
 
 /**
  * A VM that hears of a newer configuration waits this long for the store to show it before it asks for it, in
  * milliseconds: all VMs see it there within a few, and it may be half a megabyte.
  */
-export const configurationGrace: Milliseconds = 100;
+export const configurationFetchDelay: Milliseconds = 100;
 
 /** What a watch needs. */
 export interface ConfigurationWatchOptions {
@@ -38,7 +38,7 @@
 }
 
 /** See the module's comment. */
-export class ConfigurationWatch implements Followed {
+export class ConfigurationWatch implements FollowSource {
     #queues: QueueDirectory | undefined;
     readonly #waves = new Map<number, UpkeepWave>();
     readonly #loop: FollowLoop;
@@ -46,14 +46,14 @@
     constructor(private readonly options: ConfigurationWatchOptions) {
         const { logger, clock, limits, probe } = options;
         const { storeUnreachable: lost, storeReachable: regained } = logEvents;
-        const store = new DependencyWatch({ logger, clock, lost, regained });
+        const store = new DependencyMonitor({ logger, clock, lostEvent: lost, recoveredEvent: regained });
         this.#loop = new FollowLoop({
-            followed: this,
+            source: this,
             clock,
             limits,
             probe,
-            onAnswer: () => store.noteAnswer(),
-            onFailure: (cause, age) => store.noteFailure(cause, age),
+            onAnswer: () => store.recordSuccess(),
+            onFailure: (cause, age) => store.recordFailure(cause, age),
         });
     }
 
@@ -78,7 +78,7 @@
     }
 
     /** Takes a configuration that may be newer. `source`: where it was seen. */
-    take(configuration: CellConfiguration, source: string): void {
+    apply(configuration: CellConfiguration, source: string): void {
         if (configuration.version <= (this.configuration?.version ?? 0)) {
             return;
         }
@@ -103,21 +103,21 @@
         return this.#loop.run(signal);
     }
 
-    /** See {@link Followed.readAll}. */
-    async readAll(signal: AbortSignal): Promise<FollowedNews> {
+    /** See {@link FollowSource.readAll}. */
+    async readAll(signal: AbortSignal): Promise<FollowedUpdate> {
         const news = await this.options.feed.read(signal);
-        return { cursor: news.cursor, take: () => this.#takeNews(news) };
+        return { cursor: news.cursor, apply: () => this.#applyUpdate(news) };
     }
 
-    /** See {@link Followed.changes}. */
-    async changes(cursor: string, wait: Milliseconds, signal: AbortSignal): Promise<FollowedNews | undefined> {
+    /** See {@link FollowSource.changes}. */
+    async changes(cursor: string, wait: Milliseconds, signal: AbortSignal): Promise<FollowedUpdate | undefined> {
         const news = await this.options.feed.follow(cursor, wait, signal);
-        return news && { cursor: news.cursor, take: () => this.#takeNews(news) };
+        return news && { cursor: news.cursor, apply: () => this.#applyUpdate(news) };
     }
 
-    #takeNews({ configuration, waves }: OperatorNews): void {
+    #applyUpdate({ configuration, waves }: OperatorUpdate): void {
         if (configuration !== undefined) {
-            this.take(configuration, "store");
+            this.apply(configuration, "store");
         }
         if (waves.length > 0) {
             waves.forEach(wave => this.#waves.set(wave.wave, wave));
--- a/packages/entry/src/entry-process.ts
+++ b/packages/entry/src/entry-process.ts
@@ -8,37 +8,50 @@
 } from "@pebbledale/cell";
 import {
     type ChangeFeed,
-    type GapClock,
     logEvents,
     type Milliseconds,
     type PlatformStore,
     type Random,
+    type SuspensionAwareClock,
 } from "@pebbledale/core";
 import { createAbortController, type EventLogger, untilAborted } from "@pebbledale/runtime";
 import { ConfigurationWatch } from "./configuration/index.js";
-import { type FollowLimits, followLimitsOf, FollowLoop, longestUnheard, StoreProbe } from "./following/index.js";
+import { type FollowLimits, followLimitsOf, FollowLoop, maxStaleness, StoreProbe } from "./following/index.js";
 import { JobService, RequestLog } from "./front/index.js";
-import { clockDrift, ownerHorizon, VmSession } from "./links/index.js";
-import { cellPrefix, CellView, type EntryVm, FollowedKeys, ownerKey, Registration, vmKey } from "./membership/index.js";
-import { DependencyWatch, type EntryMetrics, MeasuredLogger, MeasuredWorkers } from "./observation/index.js";
-import { confirmationHorizon, type OwnerSession, type OwnerUpkeep } from "./owner/index.js";
-import { Candidate, ownerLease, vmLease } from "./ownership/index.js";
-import { isRefused, listenForOwners } from "./peers/index.js";
+import { maxClockDrift, ownerSilenceLimit, VmSession } from "./links/index.js";
+import {
+    cellPrefix,
+    CellView,
+    type EntryVm,
+    KeyFollowSource,
+    ownerKey,
+    vmKey,
+    VmRegistration,
+} from "./membership/index.js";
+import {
+    DependencyMonitor,
+    type EntryMetrics,
+    InstrumentedLogger,
+    InstrumentedWorkerClients,
+} from "./observation/index.js";
+import { confirmationValidity, type OwnerSession, type OwnerUpkeep } from "./owner/index.js";
+import { Candidate, ownerLeaseLength, vmLeaseLength } from "./ownership/index.js";
+import { listenForOwners, refusesConnections } from "./peers/index.js";
 import { createMemoryChannel, type OwnerMessage, type VmMessage } from "./protocol/index.js";
 import type { EntrySettings } from "./settings/index.js";
-import { stopTimesOf } from "./stop-times.js";
+import { shutdownTimesOf } from "./stop-times.js";
 import { RelayedStore } from "./store-relay/index.js";
 
 const millisecondsPerSecond = 1_000;
 /** Limit of the look whether a lost owner's process is gone, in milliseconds. */
-const refusalLimit: Milliseconds = 300;
+const ownerCheckTimeout: Milliseconds = 300;
 /** Margin added to the leases of an earlier owner, in milliseconds. */
-const formerLeaseMargin: Milliseconds = 300;
+const priorLeaseMargin: Milliseconds = 300;
 
 /** What an entry VM is made from. */
-export interface EntryOptions {
+export interface EntryProcessOptions {
     readonly settings: EntrySettings;
-    readonly clock: GapClock;
+    readonly clock: SuspensionAwareClock;
     readonly random: Random;
     readonly logger: EventLogger;
     readonly metrics: EntryMetrics;
@@ -63,18 +76,18 @@
     readonly #view: CellView;
     readonly #configuration: ConfigurationWatch;
     readonly #session: VmSession;
-    readonly #registration: Registration;
+    readonly #registration: VmRegistration;
     readonly #candidate: Candidate;
     readonly #store: RelayedStore;
     readonly #probe: StoreProbe;
-    #deadOwner: string | undefined;
+    #terminatedOwner: string | undefined;
     /** Whether the owner asked this VM to take the cell over. */
-    #isAsked = false;
+    #isTakeoverRequested = false;
     #ownerWaiters: (() => void)[] = [];
 
-    constructor(private readonly options: EntryOptions) {
+    constructor(private readonly options: EntryProcessOptions) {
         const { settings, clock, random, store, metrics } = options;
-        const logger = new MeasuredLogger(options.logger, metrics);
+        const logger = new InstrumentedLogger(options.logger, metrics);
         this.#logger = logger;
         this.#followLimits = followLimitsOf(settings.bounds);
         this.#view = new CellView(clock);
@@ -95,7 +108,7 @@
         this.#probe = new StoreProbe({
             clock,
             call: () => store.get(ownerKey),
-            isWanted: () => !this.#session.hasOwner,
+            isNeeded: () => !this.#session.hasOwner,
         });
         this.#configuration = new ConfigurationWatch({
             feed: options.configuration,
@@ -104,33 +117,33 @@
             limits: this.#followLimits,
             probe: this.#probe,
             onChange: configuration => {
-                this.#session.tellConfiguration(configuration.version);
+                this.#session.announceConfiguration(configuration.version);
                 this.#candidate.session?.configure(configuration);
             },
             onWaves: waves => this.#candidate.session?.addWaves(waves),
         });
         this.#session = new VmSession({
-            clients: new MeasuredWorkers(options.clients, metrics, clock),
+            clients: new InstrumentedWorkerClients(options.clients, metrics, clock),
             advice: options.advice,
             clock,
             logger,
             leaseLength: settings.bounds.longestLease,
             store,
             onHandOver: () => {
-                this.#isAsked = true;
-                this.#candidate.poke();
+                this.#isTakeoverRequested = true;
+                this.#candidate.wake();
             },
             configuration: () => this.#configuration.configuration,
-            onConfiguration: configuration => this.#configuration.take(configuration, "owner"),
-            onOwner: hasOwner => this.#noteOwner(hasOwner),
+            onConfiguration: configuration => this.#configuration.apply(configuration, "owner"),
+            onOwnerChange: hasOwner => this.#handleOwnerChange(hasOwner),
         });
-        this.#registration = new Registration({
+        this.#registration = new VmRegistration({
             store: this.#store,
             clock,
             logger,
             key: vmKey(settings.vm),
             value: JSON.stringify(this.#self),
-            leaseLength: Math.max(vmLease, settings.store.shortestLease),
+            leaseLength: Math.max(vmLeaseLength, settings.store.shortestLease),
         });
         this.#candidate = new Candidate({
             store: this.#store,
@@ -141,23 +154,24 @@
             metrics,
             self: this.#self,
             view: this.#view,
-            leaseLength: Math.max(ownerLease, settings.store.shortestLease),
+            leaseLength: Math.max(ownerLeaseLength, settings.store.shortestLease),
             followLimits: this.#followLimits,
             configuration: () => this.#configuration.configuration,
-            onConfiguration: configuration => this.#configuration.take(configuration, "vm"),
-            formerLeases: confirmationHorizon + ownerHorizon + settings.bounds.longestLease / (1 - clockDrift)
-                + formerLeaseMargin,
-            knownOwner: () => ({
+            onConfiguration: configuration => this.#configuration.apply(configuration, "vm"),
+            formerLeaseLength: confirmationValidity + ownerSilenceLimit
+                + settings.bounds.longestLease / (1 - maxClockDrift)
+                + priorLeaseMargin,
+            ownerStatus: () => ({
                 ownerSilence: this.#session.hasOwner ? this.#session.ownerSilence : Infinity,
                 // Not told: an owner that was only paused would answer for a while that it does not know jobs which the next
                 // one took, and the renewal of its lease would not show it that the key is another's.
                 heardSilence: undefined,
-                deadOwner: this.#deadOwner,
-                isAsked: this.#isAsked,
+                deadOwner: this.#terminatedOwner,
+                isAsked: this.#isTakeoverRequested,
             }),
             waves: () => this.#configuration.waves,
             upkeep: options.upkeep?.(this.#store),
-            connectOwn: session => this.#connectOwn(session),
+            connectSelf: session => this.#connectLocally(session),
         });
         this.requestLog = new RequestLog({
             logger,
@@ -169,7 +183,7 @@
             {
                 hasOwner: () => this.#session.hasOwner,
                 ask: body => this.#session.ask(body),
-                untilOwner: wait => this.#untilOwner(wait),
+                waitForOwner: wait => this.#waitForOwner(wait),
             },
             clock,
             this.requestLog,
@@ -183,11 +197,11 @@
 
     /** Whether this VM hears of the configuration as often as it does while the store answers. */
     get isConfigurationCurrent(): boolean {
-        return (this.#configuration.age ?? Infinity) <= longestUnheard(this.#followLimits);
+        return (this.#configuration.age ?? Infinity) <= maxStaleness(this.#followLimits);
     }
 
     /** Why this VM is not ready for callers; undefined when it is. */
-    get notReady(): string | undefined {
+    get unreadyReason(): string | undefined {
         return this.queues === undefined ? "no configuration yet" : undefined;
     }
 
@@ -195,19 +209,24 @@
     async run(stop: AbortSignal, drained: () => Promise<void>): Promise<void> {
         const { settings, store, clock, metrics } = this.options;
         const { membersUnavailable: lost, membersAvailable: regained } = logEvents;
-        const members = new DependencyWatch({ logger: this.#logger, clock, lost, regained });
+        const members = new DependencyMonitor({
+            logger: this.#logger,
+            clock,
+            lostEvent: lost,
+            recoveredEvent: regained,
+        });
         const following = new FollowLoop({
-            followed: new FollowedKeys(store, cellPrefix, this.#view),
+            source: new KeyFollowSource(store, cellPrefix, this.#view),
             clock,
             limits: this.#followLimits,
             probe: this.#probe,
             onAnswer: () => {
-                members.noteAnswer();
-                this.#candidate.poke();
+                members.recordSuccess();
+                this.#candidate.wake();
             },
-            onFailure: (cause, age) => members.noteFailure(cause, age),
+            onFailure: (cause, age) => members.recordFailure(cause, age),
         });
-        metrics.noteAges({ configuration: () => this.#configuration.age, members: () => following.age });
+        metrics.setAgeSources({ configuration: () => this.#configuration.age, members: () => following.age });
         const background = createAbortController();
         await listenForOwners(settings.peerAddress, channel => this.#session.attach(channel), background.signal);
         const running = [
@@ -216,45 +235,45 @@
             following.run(background.signal),
             this.#session.run(background.signal),
         ];
-        const leaving = untilAborted(stop).then(() => this.#leave(drained));
+        const leaving = untilAborted(stop).then(() => this.#drain(drained));
         await Promise.all([this.#candidate.run(stop), leaving]);
         background.abort();
         await Promise.all(running);
     }
 
     /** Callers are served on while the cell and the links go to others. */
-    async #leave(drained: () => Promise<void>): Promise<void> {
+    async #drain(drained: () => Promise<void>): Promise<void> {
         const { settings, clock } = this.options;
-        this.#session.leave();
-        this.jobs.answerBy(clock.monotonic() + stopTimesOf(settings.bounds.stopWithin).answersWithin);
+        this.#session.announceLeaving();
+        this.jobs.limitAnswersTo(clock.monotonic() + shutdownTimesOf(settings.bounds.stopWithin).answerWithin);
         await drained();
     }
 
-    #noteOwner(hasOwner: boolean): void {
+    #handleOwnerChange(hasOwner: boolean): void {
         if (hasOwner) {
             this.#logger.log(logEvents.ownerConnected, { epoch: this.#session.epoch });
-            this.#isAsked = false;
-            this.#candidate.noteOwner(this.#session.epoch);
+            this.#isTakeoverRequested = false;
+            this.#candidate.noteOwnerEpoch(this.#session.epoch);
             const waiters = this.#ownerWaiters;
             this.#ownerWaiters = [];
             waiters.forEach(wake => wake());
             return;
         }
         this.#logger.log(logEvents.ownerLost, { epoch: this.#session.epoch });
-        this.#candidate.poke();
-        void this.#checkOwner();
+        this.#candidate.wake();
+        void this.#checkOwnerProcess();
     }
 
     /** Finds out whether a lost owner's process is gone: then its lease need not be waited for. */
-    async #checkOwner(): Promise<void> {
+    async #checkOwnerProcess(): Promise<void> {
         const owner = this.#view.owner;
-        if (owner !== undefined && await isRefused(owner.address, refusalLimit)) {
-            this.#deadOwner = owner.process;
-            this.#candidate.poke();
+        if (owner !== undefined && await refusesConnections(owner.address, ownerCheckTimeout)) {
+            this.#terminatedOwner = owner.process;
+            this.#candidate.wake();
         }
     }
 
-    #untilOwner(wait: Milliseconds): Promise<void> {
+    #waitForOwner(wait: Milliseconds): Promise<void> {
         return new Promise(resolve => {
             const timer = setTimeout(resolve, wait);
             this.#ownerWaiters.push(() => {
@@ -265,7 +284,7 @@
     }
 
     /** This VM is one of the owner's: it is connected without a socket. */
-    #connectOwn(session: OwnerSession): void {
+    #connectLocally(session: OwnerSession): void {
         const [ownerEnd, vmEnd] = createMemoryChannel<OwnerMessage, VmMessage>();
         this.#session.attach(vmEnd);
         session.connect(this.#self, ownerEnd);
--- a/packages/entry/src/following/constants.ts
+++ b/packages/entry/src/following/constants.ts
@@ -15,14 +15,14 @@
 /** No answer is taken for lost before this: a pause of this VM's process takes up to a tenth of a second. */
 export const shortestSlack: Milliseconds = 250;
 /** The slack is doubled with each call in a row that had no answer, up to this. A slow store answers in up to 0.4 s. */
-export const mostSlack: Milliseconds = 1_500;
+export const maxSlack: Milliseconds = 1_500;
 /** Wait of the call after one without an answer: it is to be known soon whether the store is heard again. */
-export const probeWait: Milliseconds = 20;
+export const retryWait: Milliseconds = 20;
 /** Wait before a call that had no answer is made again. */
 export const followRetryDelay: Milliseconds = 50;
 /** The same once several in a row had none. */
 export const repeatedRetryDelay: Milliseconds = 150;
 /** Reading all has no answer by then: a page holds up to a megabyte, which takes 1.2 s where a VM has 7 Mbit/s. */
-export const readAllLimit: Milliseconds = 2_000;
+export const readAllTimeout: Milliseconds = 2_000;
 /** The same is doubled with each failure in a row, up to this. */
-export const mostReadAllLimit: Milliseconds = 8_000;
+export const maxReadAllTimeout: Milliseconds = 8_000;
--- a/packages/entry/src/following/limits.ts
+++ b/packages/entry/src/following/limits.ts
@@ -3,20 +3,20 @@
 import {
     followRetryDelay,
     longestFollowWait,
-    probeWait,
+    retryWait,
     shortestFollowWait,
     slackShare,
     waitShare,
 } from "./constants.js";
 
 /** The users' bounds on news. */
-export interface NewsBounds {
+export interface FreshnessBounds {
     /** No start reaches a worker later than this after it said that it leaves. */
     readonly drainWithin: Milliseconds;
     /** A configuration is in force this long after the store took it. */
     readonly configurationWithin: Milliseconds;
     /** A VM is bound by the others this long after a fault of its connections. */
-    readonly contact: Milliseconds;
+    readonly contactWithin: Milliseconds;
 }
 
 /** Times of one follow loop. */
@@ -28,8 +28,8 @@
 }
 
 /** The limits that keep the bounds. */
-export const followLimitsOf = (bounds: NewsBounds): FollowLimits => {
-    const within = Math.min(bounds.drainWithin, bounds.configurationWithin, bounds.contact);
+export const followLimitsOf = (bounds: FreshnessBounds): FollowLimits => {
+    const within = Math.min(bounds.drainWithin, bounds.configurationWithin, bounds.contactWithin);
     const wait = Math.max(shortestFollowWait, Math.floor(within * waitShare));
     return { wait: Math.min(longestFollowWait, wait), slack: within * slackShare };
 };
@@ -38,5 +38,5 @@
  * How old what is known gets at most while the store answers, when one connection falls silent: the call that waits on it
  * is given up, and the next one is answered on another within its slack.
  */
-export const longestUnheard = ({ wait, slack }: FollowLimits): Milliseconds =>
-    wait + slack + followRetryDelay + probeWait + slack / 2;
+export const maxStaleness = ({ wait, slack }: FollowLimits): Milliseconds =>
+    wait + slack + followRetryDelay + retryWait + slack / 2;
--- a/packages/entry/src/following/store-probe.ts
+++ b/packages/entry/src/following/store-probe.ts
@@ -15,7 +15,7 @@
     /** A small call; rejects when it has no answer. */
     readonly call: () => Promise<unknown>;
     /** Whether anything hangs on knowing soon: where an owner is heard, nothing does. */
-    readonly isWanted: () => boolean;
+    readonly isNeeded: () => boolean;
 }
 
 /** See the module's comment. One for all of a VM that wait for the store. */
@@ -26,7 +26,7 @@
     constructor(private readonly options: StoreProbeOptions) {}
 
     /** Resolves to true when the store answers after a call that it left without an answer, and to false when `signal` fires. */
-    untilBack(signal: AbortSignal): Promise<boolean> {
+    waitForRecovery(signal: AbortSignal): Promise<boolean> {
         return new Promise(resolve => {
             const finish = (isBack: boolean) => {
                 this.#waiters.delete(noteBack);
@@ -52,7 +52,7 @@
         let answered = 0;
         await this.options.clock.sleep(probeInterval);
         while (this.#waiters.size > 0) {
-            if (this.options.isWanted()) {
+            if (this.options.isNeeded()) {
                 const number = ++sent;
                 const noteAnswer = () => {
                     // An earlier call has no answer though this later one has: the store was silent in between.
--- a/packages/entry/src/front/caller-check.ts
+++ b/packages/entry/src/front/caller-check.ts
@@ -1,15 +1,15 @@
 /** Decides whose a caller's request is, by the key that it shows. */
-import { longestKey, type QueueConfiguration, type QueueDirectory } from "@pebbledale/cell";
+import { maxKeyLength, type QueueConfiguration, type QueueDirectory } from "@pebbledale/cell";
 import type { OrganisationName } from "@pebbledale/core";
 
 /** HTTP's scheme for keys that are shown as they are (RFC 6750). */
 const credentials = /^Bearer +([\x21-\x7e]+) *$/i;
 
 /** Longest head that is looked at, in characters: a caller's long head may not take a VM's time. */
-const longestCredentials = longestKey + "Bearer ".length;
+const longestCredentials = maxKeyLength + "Bearer ".length;
 
 /** Whose a request is, or why it is turned away. */
-export type CallerCheck =
+export type CallerAuthentication =
     /** `organisation`: undefined where the queue needs no key. */
     | { readonly kind: "allowed"; readonly organisation: OrganisationName | undefined; }
     | { readonly kind: "refused"; readonly reason: string; }
@@ -21,12 +21,12 @@
  * `shown`: the values of its headers that carry credentials.
  * `isCurrent`: whether the configuration was heard of lately. If not, a key that is not known may be of a version that this VM has not heard of.
  */
-export const checkCaller = (
+export const authenticateCaller = (
     { needsKey }: QueueConfiguration,
     { keys }: QueueDirectory,
     shown: readonly string[],
     isCurrent: boolean,
-): CallerCheck => {
+): CallerAuthentication => {
     if (!needsKey) {
         return { kind: "allowed", organisation: undefined };
     }
--- a/packages/entry/src/front/index.ts
+++ b/packages/entry/src/front/index.ts
@@ -1,5 +1,5 @@
 /** What a front does for callers. */
-export { type CallerCheck, checkCaller } from "./caller-check.js";
+export { authenticateCaller as checkCaller, type CallerAuthentication as CallerCheck } from "./caller-check.js";
 export * from "./job-service.js";
 export * from "./request-log.js";
 export * from "./types.js";
