--- a/packages/entry/src/front/job-service.ts
+++ b/packages/entry/src/front/job-service.ts
@@ -2,15 +2,15 @@
 import type { JobDefinition } from "@pebbledale/cell";
 import type { Clock, JobId, Milliseconds, OrganisationName, QueueName } from "@pebbledale/core";
 import { createAbortController } from "@pebbledale/runtime";
-import { NotNowReason, type OwnerReply, type OwnerRequest } from "../protocol/index.js";
-import { answerMargin, noOwnerRetryAfter, ownerWait, pendingAge, shortestAsk } from "./constants.js";
+import { type OwnerReply, type OwnerRequest, RetryLaterReason } from "../protocol/index.js";
+import { answerMargin, maxOwnerWait, minOwnerCall, noOwnerRetryAfter, pendingCountLifetime } from "./constants.js";
 import type { RequestLog } from "./request-log.js";
 import type { JobAnswer, OwnerAccess } from "./types.js";
 
 /** See the module's comment. */
 export class JobService {
     /** Requests have their answers by this moment, by the monotonic clock: the process ends soon after. */
-    #answerBy: Milliseconds = Infinity;
+    #answerDeadline: Milliseconds = Infinity;
     readonly #pending = new Map<QueueName, { readonly at: Milliseconds; readonly count: number; }>();
 
     constructor(
@@ -20,8 +20,8 @@
     ) {}
 
     /** This VM stops: requests that come from now on have their answers by a moment of the monotonic clock. */
-    answerBy(moment: Milliseconds): void {
-        this.#answerBy = moment;
+    limitAnswersTo(moment: Milliseconds): void {
+        this.#answerDeadline = moment;
     }
 
     /** Hands a job in. `within`: how long the caller waits. */
@@ -43,9 +43,9 @@
     async pending(queue: QueueName, within: Milliseconds): Promise<JobAnswer> {
         const now = this.clock.monotonic();
         const known = this.#pending.get(queue);
-        if (known !== undefined && now - known.at < pendingAge) {
+        if (known !== undefined && now - known.at < pendingCountLifetime) {
             const remembered: JobAnswer = { kind: "pending", count: known.count };
-            this.log.answered({ kind: "pending", queue }, remembered, now);
+            this.log.logAnswer({ kind: "pending", queue }, remembered, now);
             return remembered;
         }
         const answer = await this.#ask({ kind: "pending", queue }, within);
@@ -58,27 +58,27 @@
     async #ask(body: OwnerRequest, within: Milliseconds): Promise<JobAnswer> {
         const since = this.log.now();
         const answer = await this.#askOwner(body, within);
-        this.log.answered(body, answer, since);
+        this.log.logAnswer(body, answer, since);
         return answer;
     }
 
     /** Asks until there is an answer: each request may be sent to the owner again without harm. */
     async #askOwner(body: OwnerRequest, within: Milliseconds): Promise<JobAnswer> {
-        const deadline = Math.min(this.clock.monotonic() + within, this.#answerBy) - answerMargin;
+        const deadline = Math.min(this.clock.monotonic() + within, this.#answerDeadline) - answerMargin;
         let wasSent = false;
         let hasAskedNext = false;
         for (;;) {
             const left = deadline - this.clock.monotonic();
             if (!this.owner.hasOwner() && left > 0) {
-                await this.owner.untilOwner(Math.min(left, ownerWait));
+                await this.owner.waitForOwner(Math.min(left, maxOwnerWait));
             }
             if (!this.owner.hasOwner()) {
                 return unanswered(body, wasSent, "no owner is known");
             }
-            if (deadline - this.clock.monotonic() < shortestAsk) {
+            if (deadline - this.clock.monotonic() < minOwnerCall) {
                 return unanswered(body, wasSent, "too little of the caller's time is left");
             }
-            const reply = await this.#withLimit(this.owner.ask(body), deadline);
+            const reply = await this.#withDeadline(this.owner.ask(body), deadline);
             if (reply === "late") {
                 return unanswered(body, true, "the owner gave no answer in time");
             }
@@ -87,7 +87,7 @@
                     return unanswered(body, wasSent, "the cell is being handed over");
                 }
                 hasAskedNext = true;
-                await this.owner.untilOwner(Math.min(deadline - this.clock.monotonic(), ownerWait));
+                await this.owner.waitForOwner(Math.min(deadline - this.clock.monotonic(), maxOwnerWait));
             }
             else if (reply !== undefined) {
                 return answerOf(reply);
@@ -98,7 +98,7 @@
         }
     }
 
-    async #withLimit(
+    async #withDeadline(
         asked: Promise<OwnerReply | undefined>,
         deadline: Milliseconds,
     ): Promise<OwnerReply | undefined | "late"> {
@@ -122,11 +122,11 @@
         : { kind: "refused", retryAfter: noOwnerRetryAfter, reason };
 };
 
-const notNowReasons: Readonly<Record<NotNowReason, string>> = {
-    [NotNowReason.JournalStalled]: "the store keeps no records now",
-    [NotNowReason.QueueUnknown]: "the owner does not know the queue or the organisation yet",
-    [NotNowReason.OwnerUnconfirmed]: "the owner does not know the job and is not confirmed to own the cell",
-    [NotNowReason.NotKeptYet]: "the job's acceptance is not kept yet",
+const notNowReasons: Readonly<Record<RetryLaterReason, string>> = {
+    [RetryLaterReason.JournalStalled]: "the store keeps no records now",
+    [RetryLaterReason.QueueUnknown]: "the owner does not know the queue or the organisation yet",
+    [RetryLaterReason.OwnerUnconfirmed]: "the owner does not know the job and is not confirmed to own the cell",
+    [RetryLaterReason.NotCommittedYet]: "the job's acceptance is not kept yet",
 };
 
 const answerOf = (reply: Exclude<OwnerReply, { readonly kind: "handing-over"; }>): JobAnswer => {
--- a/packages/entry/src/front/request-log.ts
+++ b/packages/entry/src/front/request-log.ts
@@ -9,7 +9,7 @@
 const longestPath = 100;
 
 /** What the front believed of the owner when it answered. */
-export interface OwnerBelief {
+export interface OwnerContact {
     readonly epoch: number;
     /** How long ago the owner was heard. */
     readonly silence: Milliseconds;
@@ -20,26 +20,26 @@
     readonly logger: EventLogger;
     readonly metrics: EntryMetrics;
     readonly clock: Clock;
-    readonly owner: () => OwnerBelief;
+    readonly owner: () => OwnerContact;
 }
 
 /** See the module's comment. */
 export class RequestLog {
     constructor(private readonly options: RequestLogOptions) {}
 
-    /** Now, by the clock that `since` of {@link answered} is of. */
+    /** Now, by the clock that `since` of {@link logAnswer} is of. */
     now(): Milliseconds {
         return this.options.clock.monotonic();
     }
 
     /** A request was answered. An answer that gives what was asked for has its line at the owner. */
-    answered(request: OwnerRequest, answer: JobAnswer, since: Milliseconds): void {
+    logAnswer(request: OwnerRequest, answer: JobAnswer, since: Milliseconds): void {
         const { logger, metrics, owner } = this.options;
         const took = Math.round(this.now() - since);
-        metrics.noteRequest(request.kind, answer.kind, took);
+        metrics.recordRequest(request.kind, answer.kind, took);
         const fields = () => {
             const { epoch, silence } = owner();
-            return { request: request.kind, ...nameOf(request), took, epoch, ownerSilence: Math.round(silence) };
+            return { request: request.kind, ...subjectOf(request), took, epoch, ownerSilence: Math.round(silence) };
         };
         switch (answer.kind) {
             case "refused":
@@ -63,14 +63,14 @@
     }
 
     /** A request was turned away before the owner was asked. `path`: of the queue and the job that it names. */
-    turnedAway(method: string, path: string, outcome: string, reason: string): void {
+    logRejection(method: string, path: string, outcome: string, reason: string): void {
         const { logger, metrics } = this.options;
-        metrics.noteRequest(method.toLowerCase(), outcome, 0);
+        metrics.recordRequest(method.toLowerCase(), outcome, 0);
         logger.log(logEvents.callerTurnedAway, { method, path: path.slice(0, longestPath), outcome, reason });
     }
 }
 
-const nameOf = (request: OwnerRequest): { readonly job: string; } | { readonly queue: string; } => {
+const subjectOf = (request: OwnerRequest): { readonly job: string; } | { readonly queue: string; } => {
     switch (request.kind) {
         case "submit":
             return { job: request.definition.job };
--- a/packages/entry/src/front/types.ts
+++ b/packages/entry/src/front/types.ts
@@ -25,5 +25,5 @@
     /** Asks the owner; resolves to undefined when the connection ends before there is an answer. */
     ask(body: OwnerRequest): Promise<OwnerReply | undefined>;
     /** Resolves when there is an owner, or after `wait`. */
-    untilOwner(wait: Milliseconds): Promise<void>;
+    waitForOwner(wait: Milliseconds): Promise<void>;
 }
--- a/packages/entry/src/links/end-numbers.ts
+++ b/packages/entry/src/links/end-numbers.ts
@@ -1,11 +1,11 @@
 /** The numbers of one life's ends: which were reported to the owner, and which the worker may forget. */
 import type { EndedRun } from "@pebbledale/cell";
 import type { Clock, Milliseconds } from "@pebbledale/core";
-import { sureLifeTime } from "./constants.js";
+import { sameIncarnationWindow } from "./constants.js";
 
 /** See the module's comment. */
-export class EndNumbers {
-    #forgetThrough = 0;
+export class EndedRunTracker {
+    #committedThrough = 0;
     #reportedThrough = 0;
     /**
      * When the life last answered, while each call since then has been answered. What tells a worker to forget its ends is sent only soon
@@ -16,25 +16,25 @@
     constructor(private readonly clock: Clock) {}
 
     /** Ends up to this one are kept. */
-    get keptThrough(): number {
-        return this.#forgetThrough;
+    get committedThrough(): number {
+        return this.#committedThrough;
     }
 
     /** Whether ends were reported that are not known to be kept. */
-    get areSomeUnkept(): boolean {
-        return this.#reportedThrough > this.#forgetThrough;
+    get hasUncommitted(): boolean {
+        return this.#reportedThrough > this.#committedThrough;
     }
 
     /** Ends up to `through` are kept. */
-    keep(through: number): void {
-        this.#forgetThrough = Math.max(this.#forgetThrough, through);
+    commitThrough(through: number): void {
+        this.#committedThrough = Math.max(this.#committedThrough, through);
     }
 
     /** What a look that is sent now lets the worker forget; its life is not sure again before the answer. */
-    takeForLook(): number {
-        const isSure = this.clock.monotonic() - this.#answeredAt <= sureLifeTime;
+    takeForPoll(): number {
+        const isSure = this.clock.monotonic() - this.#answeredAt <= sameIncarnationWindow;
         this.#answeredAt = -Infinity;
-        return isSure ? this.#forgetThrough : 0;
+        return isSure ? this.#committedThrough : 0;
     }
 
     /** The life has answered. */
@@ -48,7 +48,7 @@
     }
 
     /** Those of some ends that were not reported yet; from now on they are. */
-    report(ended: readonly EndedRun[]): EndedRun[] {
+    takeUnreported(ended: readonly EndedRun[]): EndedRun[] {
         const fresh = ended.filter(({ number }) => number > this.#reportedThrough);
         this.#reportedThrough = Math.max(this.#reportedThrough, ...fresh.map(({ number }) => number));
         return fresh;
--- a/packages/entry/src/links/links.ts
+++ b/packages/entry/src/links/links.ts
@@ -1,41 +1,41 @@
 /** All links of this VM to workers, for the owner that speaks at the moment. */
 import type { TaskWorkerClient, TaskWorkerClients } from "@pebbledale/cell";
-import type { GapClock, Milliseconds, WorkerId, WorkerLife } from "@pebbledale/core";
+import type { Milliseconds, SuspensionAwareClock, WorkerId, WorkerIncarnation } from "@pebbledale/core";
 import type { EventLogger } from "@pebbledale/runtime";
 import type { AssignMessage, CommandMessage, WorkerMessage } from "../protocol/index.js";
-import { oldMessagesTime, ownerHorizon } from "./constants.js";
-import { LossWatch } from "./loss-watch.js";
+import { ownerSilenceLimit, staleMessageWindow } from "./constants.js";
+import { LossMonitor } from "./loss-watch.js";
 import { WorkerLink } from "./worker-link.js";
 
 /** What links need. */
-export interface LinksOptions {
+export interface WorkerLinksOptions {
     readonly clients: TaskWorkerClients;
-    readonly clock: GapClock;
+    readonly clock: SuspensionAwareClock;
     readonly logger: EventLogger;
     readonly leaseLength: Milliseconds;
     readonly send: (message: WorkerMessage) => void;
 }
 
 /** Connections to one life of a worker. */
-interface LifeClient {
+interface IncarnationClient {
     readonly client: TaskWorkerClient;
     readonly address: string;
-    readonly life: WorkerLife | undefined;
+    readonly incarnation: WorkerIncarnation | undefined;
 }
 
 /** See the module's comment. */
-export class Links {
+export class WorkerLinks {
     readonly #links = new Map<WorkerId, WorkerLink>();
-    readonly #clients = new Map<WorkerId, LifeClient>();
-    readonly #losses: LossWatch;
+    readonly #clients = new Map<WorkerId, IncarnationClient>();
+    readonly #losses: LossMonitor;
     #heardAt = -Infinity;
 
-    constructor(private readonly options: LinksOptions) {
-        this.#losses = new LossWatch(options.clock, options.logger);
+    constructor(private readonly options: WorkerLinksOptions) {
+        this.#losses = new LossMonitor(options.clock, options.logger);
     }
 
     /** The owner, which owns the cell as far as it knows, was heard. */
-    noteOwner(): void {
+    noteOwnerHeard(): void {
         this.#heardAt = this.options.clock.monotonic();
     }
 
@@ -43,14 +43,14 @@
      * Whether the owner was heard since this process may last have been suspended. What it said before may be long out of date, and
      * so may messages that lay in the socket meanwhile: they are read within the first moments.
      */
-    get #mayOrder(): boolean {
-        return this.#heardAt >= this.options.clock.countedSince() + oldMessagesTime;
+    get #mayForwardOrders(): boolean {
+        return this.#heardAt >= this.options.clock.uninterruptedSince() + staleMessageWindow;
     }
 
     /** Takes a link over. */
     assign(assignment: AssignMessage): void {
         const { worker } = assignment;
-        this.#links.get(worker)?.end();
+        this.#links.get(worker)?.close();
         const client = this.#clientOf(assignment);
         const link = new WorkerLink({
             assignment,
@@ -58,9 +58,9 @@
             clock: this.options.clock,
             logger: this.options.logger,
             leaseLength: this.options.leaseLength,
-            mayRenew: () => this.#mayOrder && this.options.clock.monotonic() - this.#heardAt < ownerHorizon,
-            mayOrder: () => this.#mayOrder,
-            losses: this.#losses,
+            mayPoll: () => this.#mayForwardOrders && this.options.clock.monotonic() - this.#heardAt < ownerSilenceLimit,
+            mayForwardOrders: () => this.#mayForwardOrders,
+            lossMonitor: this.#losses,
             send: report => this.options.send({ ...report, assignment: assignment.token }),
         });
         this.#links.set(worker, link);
@@ -76,7 +76,7 @@
 
     /** Gives a link up. */
     unassign(worker: WorkerId): void {
-        this.#links.get(worker)?.end();
+        this.#links.get(worker)?.close();
         this.#links.delete(worker);
         const known = this.#clients.get(worker);
         this.#clients.delete(worker);
@@ -86,12 +86,12 @@
     /** Connections are those of one life at one address: those to a life that is over may stay silent without an end. */
     #clientOf({ worker, address, life }: AssignMessage): TaskWorkerClient {
         const known = this.#clients.get(worker);
-        if (known?.address === address && known.life === life) {
+        if (known?.address === address && known.incarnation === life) {
             return known.client;
         }
         void known?.client.close();
         const client = this.options.clients.clientOf(worker, address);
-        this.#clients.set(worker, { client, address, life });
+        this.#clients.set(worker, { client, address, incarnation: life });
         return client;
     }
 
@@ -102,7 +102,7 @@
 
     /** The owner knows that a worker answers again. */
     resume(worker: WorkerId): void {
-        this.#links.get(worker)?.resume();
+        this.#links.get(worker)?.resumeLeases();
     }
 
     /** Ends up to `through` are kept. */
@@ -111,8 +111,8 @@
     }
 
     /** Ends all links: another owner speaks. Connections stay for the links it assigns. */
-    endAll(): void {
-        this.#links.forEach(link => link.end());
+    closeAll(): void {
+        this.#links.forEach(link => link.close());
         this.#links.clear();
     }
 }
--- a/packages/entry/src/links/loss-watch.ts
+++ b/packages/entry/src/links/loss-watch.ts
@@ -6,24 +6,24 @@
  */
 import { type Clock, logEvents, type Milliseconds } from "@pebbledale/core";
 import type { EventLogger } from "@pebbledale/runtime";
-import { lossMemory } from "./constants.js";
+import { lossWindow } from "./constants.js";
 
 /** See the module's comment. */
-export class LossWatch {
-    #lastLost: Milliseconds = -Infinity;
+export class LossMonitor {
+    #lastLossAt: Milliseconds = -Infinity;
 
     constructor(private readonly clock: Clock, private readonly logger: EventLogger) {}
 
     /** An answer was lost. */
-    note(): void {
-        if (!this.isRecent) {
-            this.logger.log(logEvents.answersLost, { remembered: lossMemory });
+    noteLoss(): void {
+        if (!this.hasRecentLoss) {
+            this.logger.log(logEvents.answersLost, { remembered: lossWindow });
         }
-        this.#lastLost = this.clock.monotonic();
+        this.#lastLossAt = this.clock.monotonic();
     }
 
     /** Whether an answer was lost lately. */
-    get isRecent(): boolean {
-        return this.clock.monotonic() - this.#lastLost < lossMemory;
+    get hasRecentLoss(): boolean {
+        return this.clock.monotonic() - this.#lastLossAt < lossWindow;
     }
 }
--- a/packages/entry/src/links/side-orders.ts
+++ b/packages/entry/src/links/side-orders.ts
@@ -2,10 +2,10 @@
 import type { PaceCommand, StopCommand, TaskWorkerClient, WorkerCommand } from "@pebbledale/cell";
 import { type Clock, type FencingToken, logEvents } from "@pebbledale/core";
 import type { EventLogger } from "@pebbledale/runtime";
-import { longestAnswerTime, paceAttempts, retryDelay } from "./constants.js";
+import { maxAnswerTimeout, maxPaceAttempts, retryDelay } from "./constants.js";
 
 /** What these orders need. */
-export interface SideOrdersOptions {
+export interface BestEffortOrdersOptions {
     readonly client: TaskWorkerClient;
     readonly clock: Clock;
     readonly logger: EventLogger;
@@ -14,21 +14,21 @@
     /** The link's token at the moment. */
     readonly token: () => FencingToken;
     /** Told of a stop without an answer. */
-    readonly onStopLost: () => void;
+    readonly onStopUnanswered: () => void;
 }
 
 /** See the module's comment. */
-export class SideOrders {
-    constructor(private readonly options: SideOrdersOptions) {}
+export class BestEffortOrders {
+    constructor(private readonly options: BestEffortOrdersOptions) {}
 
     /** Passes an order to stop on. One that is lost is given again as long as a look shows the run. */
     async stop(command: StopCommand): Promise<void> {
-        const { client, signal, token, onStopLost } = this.options;
+        const { client, signal, token, onStopUnanswered: onStopLost } = this.options;
         try {
-            await client.stop({ task: command.task, run: command.run, token: token() }, longestAnswerTime, signal);
+            await client.stop({ task: command.task, run: command.run, token: token() }, maxAnswerTimeout, signal);
         }
         catch (cause) {
-            this.noteUnanswered(command, cause);
+            this.logUnanswered(command, cause);
             onStopLost();
         }
     }
@@ -37,20 +37,20 @@
     async pace(command: PaceCommand): Promise<void> {
         const { client, clock, signal, token } = this.options;
         const { task, run, percent } = command;
-        for (let attempt = 0; attempt < paceAttempts && !signal.aborted; attempt++) {
+        for (let attempt = 0; attempt < maxPaceAttempts && !signal.aborted; attempt++) {
             try {
-                await client.pace({ task, run, percent, token: token() }, longestAnswerTime, signal);
+                await client.pace({ task, run, percent, token: token() }, maxAnswerTimeout, signal);
                 return;
             }
             catch (cause) {
-                this.noteUnanswered(command, cause);
+                this.logUnanswered(command, cause);
                 await clock.sleep(retryDelay, signal);
             }
         }
     }
 
     /** An order had no answer; one that was given up with the link is settled by the next link. */
-    noteUnanswered({ kind, worker, task, run }: WorkerCommand, cause: unknown): void {
+    logUnanswered({ kind, worker, task, run }: WorkerCommand, cause: unknown): void {
         const { logger, signal } = this.options;
         if (!signal.aborted) {
             logger.log(logEvents.orderUnanswered, { order: kind, worker, task, run, cause: String(cause) });
--- a/packages/entry/src/links/vm-session.ts
+++ b/packages/entry/src/links/vm-session.ts
@@ -3,36 +3,43 @@
 import {
     type ChangeFeed,
     type Epoch,
-    type GapClock,
     logEvents,
     type Milliseconds,
     type PlatformStore,
+    type SuspensionAwareClock,
 } from "@pebbledale/core";
 import { createAbortController, type EventLogger } from "@pebbledale/runtime";
-import { configurationGrace } from "../configuration/index.js";
-import type { AskMessage, Channel, OwnerMessage, OwnerReply, OwnerRequest, VmMessage } from "../protocol/index.js";
+import { configurationFetchDelay } from "../configuration/index.js";
+import type {
+    AdviceQuestionMessage,
+    Channel,
+    OwnerMessage,
+    OwnerReply,
+    OwnerRequest,
+    VmMessage,
+} from "../protocol/index.js";
 import { performOperation, type StoreOperation } from "../store-relay/index.js";
-import { Links } from "./links.js";
+import { WorkerLinks } from "./links.js";
 
 /** Added to what a question takes at the service before it has failed, in milliseconds. */
-const adviceSlack: Milliseconds = 1_500;
+const adviceTimeoutSlack: Milliseconds = 1_500;
 /** Time between two beats to the owner when nothing else is sent, in milliseconds. */
-const beatInterval: Milliseconds = 250;
+const heartbeatInterval: Milliseconds = 250;
 
 /**
  * An owner that was not heard for this long is taken for lost, and its connection is ended: six beats. Callers are then told that
  * there is no owner; over a connection that fell silent they heard nothing until their deadline.
  */
-const ownerLostAfter: Milliseconds = 1_500;
+const ownerSilenceTimeout: Milliseconds = 1_500;
 
 /** A longer silence of the owner, also one since ever, is told as this, in milliseconds. */
-const longestTold: Milliseconds = 60_000;
+const maxReportedSilence: Milliseconds = 60_000;
 
 /** What a session needs. */
 export interface VmSessionOptions {
     readonly clients: TaskWorkerClients;
     readonly advice: AdviceClient | undefined;
-    readonly clock: GapClock;
+    readonly clock: SuspensionAwareClock;
     readonly logger: EventLogger;
     readonly leaseLength: Milliseconds;
     /** The store as this VM reaches it by itself. */
@@ -43,27 +50,27 @@
     readonly configuration: () => CellConfiguration | undefined;
     readonly onConfiguration: (configuration: CellConfiguration) => void;
     /** Told when there is a new owner, or none. */
-    readonly onOwner: (hasOwner: boolean) => void;
+    readonly onOwnerChange: (hasOwner: boolean) => void;
 }
 
-interface WaitingRequest {
+interface PendingRequest {
     readonly resolve: (reply: OwnerReply | undefined) => void;
 }
 
 /** See the module's comment. */
 export class VmSession {
-    readonly #links: Links;
-    readonly #requests = new Map<number, WaitingRequest>();
+    readonly #links: WorkerLinks;
+    readonly #pendingRequests = new Map<number, PendingRequest>();
     #channel: Channel<VmMessage, OwnerMessage> | undefined;
     #epoch = 0;
     #nextRequest = 1;
-    #lastHeard = -Infinity;
+    #lastHeardAt = -Infinity;
     /** When the owner was last sent a beat or word of a worker, which says as much. */
-    #sentAt = -Infinity;
+    #lastSentAt = -Infinity;
     #isLeaving = false;
 
     constructor(private readonly options: VmSessionOptions) {
-        this.#links = new Links({
+        this.#links = new WorkerLinks({
             clients: options.clients,
             clock: options.clock,
             logger: options.logger,
@@ -84,21 +91,21 @@
 
     /** How long ago the owner was last heard. */
     get ownerSilence(): Milliseconds {
-        return this.options.clock.monotonic() - this.#lastHeard;
+        return this.options.clock.monotonic() - this.#lastHeardAt;
     }
 
     /** Takes a connection on which an owner may speak; the one with the highest epoch counts. */
     attach(channel: Channel<VmMessage, OwnerMessage>): void {
         channel.onMessage = message => {
             if (message.kind === "welcome") {
-                this.#welcome(channel, message.epoch);
+                this.#acceptOwner(channel, message.epoch);
             }
             else if (channel === this.#channel) {
-                this.#take(message);
+                this.#handle(message);
             }
         };
-        channel.onClose = () => this.#lose(channel);
-        const silence = Math.min(this.ownerSilence, longestTold);
+        channel.onClose = () => this.#dropOwner(channel);
+        const silence = Math.min(this.ownerSilence, maxReportedSilence);
         channel.send({ kind: "owner-heard", epoch: this.#epoch, silence });
     }
 
@@ -110,18 +117,18 @@
         }
         const request = this.#nextRequest++;
         return new Promise(resolve => {
-            this.#requests.set(request, { resolve });
+            this.#pendingRequests.set(request, { resolve });
             channel.send({ kind: "request", request, body });
         });
     }
 
     /** Tells the owner that this VM knows a configuration of this version. */
-    tellConfiguration(version: number): void {
+    announceConfiguration(version: number): void {
         this.#channel?.send({ kind: "configuration-version", version });
     }
 
     /** Tells the owner, and each that follows, that this VM is about to stop. */
-    leave(): void {
+    announceLeaving(): void {
         this.#isLeaving = true;
         this.#channel?.send({ kind: "leaving" });
     }
@@ -131,42 +138,42 @@
         const { clock } = this.options;
         while (!signal.aborted) {
             const sleptAt = clock.monotonic();
-            const countedSince = clock.countedSince();
-            await clock.sleep(beatInterval, signal);
-            if (clock.countedSince() !== countedSince) {
+            const countedSince = clock.uninterruptedSince();
+            await clock.sleep(heartbeatInterval, signal);
+            if (clock.uninterruptedSince() !== countedSince) {
                 this.options.logger.log(logEvents.timeMissed, { epoch: this.#epoch });
             }
-            if (clock.monotonic() - this.#sentAt >= beatInterval) {
+            if (clock.monotonic() - this.#lastSentAt >= heartbeatInterval) {
                 this.#send({ kind: "beat" });
             }
             // Where this process stood still, the owner's beats may be waiting to be read.
-            if (clock.monotonic() - sleptAt < 2 * beatInterval) {
+            if (clock.monotonic() - sleptAt < 2 * heartbeatInterval) {
                 this.#dropSilentOwner();
             }
         }
-        this.#links.endAll();
+        this.#links.closeAll();
     }
 
     #dropSilentOwner(): void {
         const channel = this.#channel;
-        if (channel !== undefined && this.ownerSilence > ownerLostAfter) {
-            this.#lose(channel);
+        if (channel !== undefined && this.ownerSilence > ownerSilenceTimeout) {
+            this.#dropOwner(channel);
             channel.close();
         }
     }
 
-    #welcome(channel: Channel<VmMessage, OwnerMessage>, epoch: Epoch): void {
+    #acceptOwner(channel: Channel<VmMessage, OwnerMessage>, epoch: Epoch): void {
         if (epoch < this.#epoch) {
             channel.close();
             return;
         }
         const former = this.#channel;
         // An owner that speaks anew, also the same one, gives out all links anew; former ones would ask workers that refuse them.
-        this.#links.endAll();
+        this.#links.closeAll();
         this.#epoch = epoch;
         this.#channel = channel;
         this.#noteHeard();
-        this.#links.noteOwner();
+        this.#links.noteOwnerHeard();
         if (former !== undefined && former !== channel) {
             former.close();
         }
@@ -174,10 +181,10 @@
         if (this.#isLeaving) {
             channel.send({ kind: "leaving" });
         }
-        this.options.onOwner(true);
+        this.options.onOwnerChange(true);
     }
 
-    #take(message: OwnerMessage): void {
+    #handle(message: OwnerMessage): void {
         this.#noteHeard();
         switch (message.kind) {
             case "assign":
@@ -202,14 +209,14 @@
                 void this.#ask(message);
                 break;
             case "reply":
-                this.#requests.get(message.request)?.resolve(message.reply);
-                this.#requests.delete(message.request);
+                this.#pendingRequests.get(message.request)?.resolve(message.reply);
+                this.#pendingRequests.delete(message.request);
                 break;
             case "configuration":
                 this.options.onConfiguration(message.configuration);
                 break;
             case "configuration-version":
-                void this.#wantConfiguration(message.version);
+                void this.#requestNewerConfiguration(message.version);
                 break;
             case "want-configuration":
                 this.#sendConfiguration();
@@ -222,7 +229,7 @@
                 break;
             case "beat":
                 if (message.mayLease) {
-                    this.#links.noteOwner();
+                    this.#links.noteOwnerHeard();
                 }
                 break;
             case "welcome":
@@ -231,17 +238,17 @@
     }
 
     #send(message: VmMessage): void {
-        this.#sentAt = this.options.clock.monotonic();
+        this.#lastSentAt = this.options.clock.monotonic();
         this.#channel?.send(message);
     }
 
     #noteHeard(): void {
-        this.#lastHeard = this.options.clock.monotonic();
+        this.#lastHeardAt = this.options.clock.monotonic();
     }
 
     /** The owner knows a newer configuration: it is asked for it, unless the store shows it meanwhile. */
-    async #wantConfiguration(version: number): Promise<void> {
-        await this.options.clock.sleep(configurationGrace);
+    async #requestNewerConfiguration(version: number): Promise<void> {
+        await this.options.clock.sleep(configurationFetchDelay);
         if (version > (this.options.configuration()?.version ?? 0)) {
             this.#channel?.send({ kind: "want-configuration" });
         }
@@ -265,11 +272,11 @@
         }
     }
 
-    async #ask({ question, step, workers, duration }: AskMessage): Promise<void> {
+    async #ask({ question, step, workers, duration }: AdviceQuestionMessage): Promise<void> {
         const channel = this.#channel;
         const { signal } = createAbortController();
         try {
-            const answer = await this.options.advice?.ask({ step, workers }, duration + adviceSlack, signal);
+            const answer = await this.options.advice?.ask({ step, workers }, duration + adviceTimeoutSlack, signal);
             channel?.send({ kind: "advised", question, answer });
         }
         catch (cause) {
@@ -277,19 +284,19 @@
         }
     }
 
-    #lose(channel: Channel<VmMessage, OwnerMessage>): void {
+    #dropOwner(channel: Channel<VmMessage, OwnerMessage>): void {
         if (channel !== this.#channel) {
             return;
         }
         this.#channel = undefined;
         this.#dropRequests();
-        this.options.onOwner(false);
+        this.options.onOwnerChange(false);
     }
 
     /** What was asked of an owner that is gone has no answer; whether it was done is not known. */
     #dropRequests(): void {
-        const dropped = [...this.#requests.values()];
-        this.#requests.clear();
+        const dropped = [...this.#pendingRequests.values()];
+        this.#pendingRequests.clear();
         dropped.forEach(request => request.resolve(undefined));
     }
 }
--- a/packages/entry/src/links/worker-lease.ts
+++ b/packages/entry/src/links/worker-lease.ts
@@ -1,7 +1,7 @@
 /** The lease of all that runs at one life of a worker, on that life's own clock, which may run slower than ours. */
 import type { WorkerTime } from "@pebbledale/cell";
 import type { Clock, Milliseconds } from "@pebbledale/core";
-import { clockDrift } from "./constants.js";
+import { maxClockDrift } from "./constants.js";
 
 /** The worker's clock as an answer showed it. */
 export interface ClockReading {
@@ -15,31 +15,31 @@
 export class WorkerLease {
     #reading: ClockReading | undefined;
     /** The latest moment until which anything was allowed to run, on the worker's clock. */
-    #until: WorkerTime = 0;
+    #latestEnd: WorkerTime = 0;
 
     /** How long leases given from now on run. */
     #length: Milliseconds;
 
     /** `longest`: how long a lease runs at most. */
-    constructor(private readonly clock: Clock, private readonly longest: Milliseconds) {
-        this.#length = longest;
+    constructor(private readonly clock: Clock, private readonly maxLength: Milliseconds) {
+        this.#length = maxLength;
     }
 
     /** Gives no longer leases than this from now on; those that run are not cut. */
-    shorten(longest: Milliseconds): void {
-        this.#length = Math.min(this.#length, longest);
+    limitLength(limit: Milliseconds): void {
+        this.#length = Math.min(this.#length, limit);
     }
 
     /** Whether the worker's clock was read. */
-    get hasClock(): boolean {
+    get hasReading(): boolean {
         return this.#reading !== undefined;
     }
 
     /** Takes a reading in; one of an older call undoes no newer one. */
-    readClock(reading: ClockReading): void {
+    noteReading(reading: ClockReading): void {
         if (this.#reading === undefined) {
             // An earlier link may have given as much, and the worker may have carried an order out that was meant for its former life.
-            this.#until = reading.clock + this.longest;
+            this.#latestEnd = reading.clock + this.maxLength;
         }
         if (this.#reading === undefined || reading.sentAt >= this.#reading.sentAt) {
             this.#reading = reading;
@@ -47,29 +47,29 @@
     }
 
     /** Whether a reading is of another life: within one the clock is steady, and never behind what it showed before. */
-    isOfOtherLife({ clock, sentAt }: ClockReading): boolean {
+    isOtherIncarnation({ clock, sentAt }: ClockReading): boolean {
         return this.#reading !== undefined && sentAt >= this.#reading.receivedAt && clock < this.#reading.clock;
     }
 
     /** The end of a lease given now, on the worker's clock; undefined before that clock was read. */
-    next(): WorkerTime | undefined {
+    grant(): WorkerTime | undefined {
         const reading = this.#reading;
         if (reading === undefined) {
             return undefined;
         }
         const elapsed = this.clock.monotonic() - reading.receivedAt;
-        const until = Math.floor(reading.clock + elapsed * (1 - clockDrift) + this.#length);
-        this.#until = Math.max(this.#until, until);
+        const until = Math.floor(reading.clock + elapsed * (1 - maxClockDrift) + this.#length);
+        this.#latestEnd = Math.max(this.#latestEnd, until);
         return until;
     }
 
     /** Time until everything that was allowed to run is over. */
-    lapsesIn(): Milliseconds {
+    expiresIn(): Milliseconds {
         const reading = this.#reading;
         if (reading === undefined) {
-            return this.longest;
+            return this.maxLength;
         }
-        const left = (this.#until - reading.clock) / (1 - clockDrift);
+        const left = (this.#latestEnd - reading.clock) / (1 - maxClockDrift);
         return Math.max(0, reading.receivedAt + left - this.clock.monotonic());
     }
 }
--- a/packages/entry/src/links/worker-link.ts
+++ b/packages/entry/src/links/worker-link.ts
@@ -7,44 +7,44 @@
  * look shows is final, as the worker refuses whatever still carries a lower token.
  */
 import {
-    type Look,
-    type LookRequest,
     OrderRefusal,
+    type PollRequest,
+    type PollResult,
     type StartCommand,
     type TaskWorkerClient,
     type WorkerCommand,
 } from "@pebbledale/cell";
 import {
-    AnswerTimes,
     type Clock,
     type FencingToken,
     fencingToken,
     logEvents,
     type Milliseconds,
+    ResponseTimeEstimator,
     type WorkerId,
-    type WorkerLife,
+    type WorkerIncarnation,
 } from "@pebbledale/core";
 import { createAbortController, type EventLogger } from "@pebbledale/runtime";
 import type { AssignMessage, WorkerReport } from "../protocol/index.js";
 import {
-    acknowledgeWait,
-    doubtfulRetryDelay,
+    acknowledgementTimeout,
     idleAfter,
-    idleLookWait,
-    lateOrderTime,
-    leavingLease,
-    longestAnswerTime,
-    lookGap,
-    lookLimit,
-    lookWait,
-    lookWaitInDoubt,
+    idlePollWait,
+    lateOrderRetryDelay,
+    lateOrderWindow,
+    leavingLeaseLength,
+    lossyPollWait,
+    maxAnswerTimeout,
+    minAnswerTimeout,
+    minPollInterval,
+    pollTimeout,
+    pollWait,
     progressInterval,
     retryDelay,
-    shortestAnswerTime,
 } from "./constants.js";
-import { EndNumbers } from "./end-numbers.js";
-import type { LossWatch } from "./loss-watch.js";
-import { SideOrders } from "./side-orders.js";
+import { EndedRunTracker } from "./end-numbers.js";
+import type { LossMonitor } from "./loss-watch.js";
+import { BestEffortOrders } from "./side-orders.js";
 import { type ClockReading, WorkerLease } from "./worker-lease.js";
 
 /** What a link needs. */
@@ -56,97 +56,97 @@
     /** How long a lease runs. */
     readonly leaseLength: Milliseconds;
     /** Whether the owner was heard lately enough to give leases in its name. */
-    readonly mayRenew: () => boolean;
+    readonly mayPoll: () => boolean;
     /** Whether orders may be passed on in the owner's name: not before it is heard anew after a suspension. */
-    readonly mayOrder?: () => boolean;
+    readonly mayForwardOrders?: () => boolean;
     /** Shared by all links of the VM. */
-    readonly losses: LossWatch;
+    readonly lossMonitor: LossMonitor;
     readonly send: (report: WorkerReport) => void;
 }
 
 /** How one look is made. */
-interface LookTerms {
+interface PollTerms {
     /** How long it waits for an end. */
     readonly wait: Milliseconds;
     /** It has failed without an answer by then. */
-    readonly limit: Milliseconds;
+    readonly timeout: Milliseconds;
     /** Whether the owner is told all that it shows. */
-    readonly isWhole?: boolean;
+    readonly isFull?: boolean;
 }
 
 /** See the module's comment. */
 export class WorkerLink {
     readonly worker: WorkerId;
-    readonly #ended = createAbortController();
+    readonly #closed = createAbortController();
     #token: FencingToken;
     readonly #lease: WorkerLease;
-    readonly #ends: EndNumbers;
-    readonly #sideOrders: SideOrders;
-    #progressAt = -Infinity;
+    readonly #endedRuns: EndedRunTracker;
+    readonly #bestEffortOrders: BestEffortOrders;
+    #lastProgressAt = -Infinity;
     #isSilent = false;
     /** When a look last showed something, or something was started. */
-    #activeAt: Milliseconds;
+    #lastActiveAt: Milliseconds;
     /** The life that the link is for; undefined until it is known, and where lives have no names. */
-    #life: WorkerLife | undefined;
+    #incarnation: WorkerIncarnation | undefined;
     /** When the worker last answered anything. */
-    #heardAt: Milliseconds | undefined;
+    #lastHeardAt: Milliseconds | undefined;
     /** Until then an order that got no answer may still be carried out. */
-    #doubtfulUntil: Milliseconds;
+    #lateOrdersUntil: Milliseconds;
     /** After a silence the owner may take the leases for over: none is given until it says so. */
     #mayLease = true;
-    #acknowledged: (() => void) | undefined;
-    #waitingStarts: StartCommand[] = [];
-    #settling: Promise<void> | undefined;
+    #onAcknowledged: (() => void) | undefined;
+    #queuedStarts: StartCommand[] = [];
+    #resolving: Promise<void> | undefined;
     /** Starts without an answer. */
-    #uncertain: StartCommand[] = [];
-    readonly #answerTimes = new AnswerTimes({ shortest: shortestAnswerTime, longest: longestAnswerTime });
+    #uncertainStarts: StartCommand[] = [];
+    readonly #answerTimes = new ResponseTimeEstimator({ min: minAnswerTimeout, max: maxAnswerTimeout });
 
     constructor(private readonly options: WorkerLinkOptions) {
         this.worker = options.assignment.worker;
         this.#token = options.assignment.token;
-        this.#life = options.assignment.life;
-        this.#doubtfulUntil = options.clock.monotonic() + (options.assignment.doubtfulFor ?? 0);
-        this.#activeAt = options.clock.monotonic();
-        this.#ends = new EndNumbers(options.clock);
+        this.#incarnation = options.assignment.life;
+        this.#lateOrdersUntil = options.clock.monotonic() + (options.assignment.doubtfulFor ?? 0);
+        this.#lastActiveAt = options.clock.monotonic();
+        this.#endedRuns = new EndedRunTracker(options.clock);
         this.#lease = new WorkerLease(options.clock, options.leaseLength);
         const { client, clock, logger } = options;
-        this.#sideOrders = new SideOrders({
+        this.#bestEffortOrders = new BestEffortOrders({
             client,
             clock,
             logger,
-            signal: this.#ended.signal,
+            signal: this.#closed.signal,
             token: () => this.#token,
-            onStopLost: () => this.#progressAt = -Infinity,
+            onStopUnanswered: () => this.#lastProgressAt = -Infinity,
         });
         void this.#run();
     }
 
     /** Ends the link: nothing more is sent. */
-    end(): void {
-        this.#ended.abort();
-        this.#acknowledged?.();
+    close(): void {
+        this.#closed.abort();
+        this.#onAcknowledged?.();
     }
 
     /** The owner knows that the worker answers again: leases may be given. */
-    resume(): void {
+    resumeLeases(): void {
         this.#mayLease = true;
     }
 
     /** The worker says that it leaves. */
     noteLeaving(): void {
-        this.#lease.shorten(leavingLease);
+        this.#lease.limitLength(leavingLeaseLength);
     }
 
     /** Passes an order on. */
     order(command: WorkerCommand): void {
         if (command.kind === "stop") {
-            void this.#sideOrders.stop(command);
+            void this.#bestEffortOrders.stop(command);
         }
         else if (command.kind === "pace") {
-            void this.#sideOrders.pace(command);
+            void this.#bestEffortOrders.pace(command);
         }
-        else if (!this.#lease.hasClock) {
-            this.#waitingStarts.push(command);
+        else if (!this.#lease.hasReading) {
+            this.#queuedStarts.push(command);
         }
         else {
             void this.#start(command);
@@ -155,31 +155,31 @@
 
     /** Ends up to `through` are kept. */
     acknowledge(through: number): void {
-        this.#ends.keep(through);
-        this.#acknowledged?.();
+        this.#endedRuns.commitThrough(through);
+        this.#onAcknowledged?.();
     }
 
     async #run(): Promise<void> {
         const { pause = 0 } = this.options.assignment;
         if (pause > 0) {
-            await this.options.clock.sleep(pause, this.#ended.signal);
+            await this.options.clock.sleep(pause, this.#closed.signal);
         }
-        while (!this.#ended.signal.aborted) {
-            if (!this.options.mayRenew()) {
-                await this.options.clock.sleep(retryDelay, this.#ended.signal);
+        while (!this.#closed.signal.aborted) {
+            if (!this.options.mayPoll()) {
+                await this.options.clock.sleep(retryDelay, this.#closed.signal);
                 continue;
             }
             const startedAt = this.options.clock.monotonic();
-            const isAnswered = await this.#lookForEnds();
-            const gap = lookGap - (this.options.clock.monotonic() - startedAt);
+            const isAnswered = await this.#pollForEnds();
+            const gap = minPollInterval - (this.options.clock.monotonic() - startedAt);
             if (gap > 0) {
-                await this.options.clock.sleep(gap, this.#ended.signal);
+                await this.options.clock.sleep(gap, this.#closed.signal);
             }
             if (!isAnswered) {
-                const delay = this.#isDoubtful ? doubtfulRetryDelay : retryDelay;
-                await this.options.clock.sleep(delay, this.#ended.signal);
+                const delay = this.#mayLateOrdersArrive ? lateOrderRetryDelay : retryDelay;
+                await this.options.clock.sleep(delay, this.#closed.signal);
             }
-            else if (this.#ends.areSomeUnkept) {
+            else if (this.#endedRuns.hasUncommitted) {
                 await this.#untilAcknowledged();
             }
         }
@@ -187,152 +187,154 @@
 
     /** Whether nothing was at work for a while, and nothing can be. */
     get #isIdle(): boolean {
-        return !this.#isDoubtful && this.options.clock.monotonic() - this.#activeAt > idleAfter;
+        return !this.#mayLateOrdersArrive && this.options.clock.monotonic() - this.#lastActiveAt > idleAfter;
     }
 
     /** Whether an order that got no answer may still be carried out. */
-    get #isDoubtful(): boolean {
-        return this.options.clock.monotonic() < this.#doubtfulUntil;
+    get #mayLateOrdersArrive(): boolean {
+        return this.options.clock.monotonic() < this.#lateOrdersUntil;
     }
 
     /**
      * A look that waits for an end. When its answer is lost it is repeated at once without a wait: only a worker that does
      * not answer that one either is silent. Where answers are lost now and then, ends are seen all the same.
      */
-    async #lookForEnds(): Promise<boolean> {
-        if (!this.#isSilent && this.#lease.hasClock) {
-            const usualWait = this.#isIdle ? idleLookWait : lookWait;
-            const wait = this.options.losses.isRecent ? lookWaitInDoubt : usualWait;
-            const isAnswered = await this.#tryLook({ wait, limit: wait + this.#answerTimes.limit });
+    async #pollForEnds(): Promise<boolean> {
+        if (!this.#isSilent && this.#lease.hasReading) {
+            const usualWait = this.#isIdle ? idlePollWait : pollWait;
+            const wait = this.options.lossMonitor.hasRecentLoss ? lossyPollWait : usualWait;
+            const isAnswered = await this.#tryPoll({ wait, timeout: wait + this.#answerTimes.timeout });
             if (typeof isAnswered === "boolean") {
                 return isAnswered;
             }
             this.#noteLost();
         }
-        return this.#lookOnce();
+        return this.#pollOnce();
     }
 
     /** One look that does not wait; false when it had no answer. */
-    async #lookOnce(isWhole = false): Promise<boolean> {
-        const limit = this.#isDoubtful && this.#isSilent ? this.#answerTimes.limit : lookLimit;
-        const isAnswered = await this.#tryLook({ wait: 0, limit, isWhole });
+    async #pollOnce(isWhole = false): Promise<boolean> {
+        const limit = this.#mayLateOrdersArrive && this.#isSilent ? this.#answerTimes.timeout : pollTimeout;
+        const isAnswered = await this.#tryPoll({ wait: 0, timeout: limit, isFull: isWhole });
         if (typeof isAnswered === "boolean") {
             return isAnswered;
         }
-        this.#noteSilence(isAnswered.cause);
+        this.#reportSilence(isAnswered.cause);
         return false;
     }
 
     /** One look; the cause when it had no answer. */
-    async #tryLook({ wait, limit, isWhole = false }: LookTerms): Promise<boolean | { readonly cause: string; }> {
+    async #tryPoll(
+        { wait, timeout: limit, isFull: isWhole = false }: PollTerms,
+    ): Promise<boolean | { readonly cause: string; }> {
         const { client, clock } = this.options;
         const sentAt = clock.monotonic();
-        const request = this.#lookRequest(wait);
+        const request = this.#pollRequest(wait);
         const token = this.#token;
         try {
-            const answer = await client.look(request, limit, this.#ended.signal);
-            if (this.#ended.signal.aborted) {
+            const answer = await client.poll(request, limit, this.#closed.signal);
+            if (this.#closed.signal.aborted) {
                 return true;
             }
             if (answer.kind === "refused") {
-                return this.#takeRefusal(answer.refusal, token);
+                return this.#handleRefusal(answer.refusal, token);
             }
-            this.#heardAt = clock.monotonic();
+            this.#lastHeardAt = clock.monotonic();
             this.#noteAnswerTime(clock.monotonic() - sentAt - wait);
-            this.#takeLook(answer.look, sentAt, isWhole);
+            this.#handlePoll(answer.poll, sentAt, isWhole);
             return true;
         }
         catch (cause) {
-            this.#ends.noteLost();
-            return this.#ended.signal.aborted ? true : { cause: String(cause) };
+            this.#endedRuns.noteLost();
+            return this.#closed.signal.aborted ? true : { cause: String(cause) };
         }
     }
 
     /** An answer came; a look that found an end before its wait was over tells nothing of the time that answers take. */
     #noteAnswerTime(took: Milliseconds): void {
         if (took >= 0) {
-            this.#answerTimes.note(took);
+            this.#answerTimes.recordResponse(took);
         }
     }
 
     #noteLost(): void {
-        this.#answerTimes.noteLost();
-        this.options.losses.note();
+        this.#answerTimes.recordTimeout();
+        this.options.lossMonitor.noteLoss();
     }
 
-    #lookRequest(wait: Milliseconds): LookRequest {
+    #pollRequest(wait: Milliseconds): PollRequest {
         // What has no answer may still arrive later, so a silent worker is given no lease either.
-        const leaseUntil = this.#mayLease ? this.#lease.next() : undefined;
+        const leaseUntil = this.#mayLease ? this.#lease.grant() : undefined;
         return {
             token: this.#token,
-            forgetThrough: this.#ends.takeForLook(),
+            forgetThrough: this.#endedRuns.takeForPoll(),
             ...(leaseUntil === undefined ? {} : { leaseUntil }),
             ...(wait > 0 ? { wait } : {}),
         };
     }
 
-    #takeLook(look: Look, sentAt: Milliseconds, isWhole: boolean): void {
+    #handlePoll(look: PollResult, sentAt: Milliseconds, isWhole: boolean): void {
         const { clock, send } = this.options;
         const now = clock.monotonic();
         const reading = { clock: look.clock, sentAt, receivedAt: now };
-        if (this.#isOtherLife(look, reading)) {
-            this.#endWithLife(look);
+        if (this.#isOtherIncarnation(look, reading)) {
+            this.#closeWithIncarnation(look);
             return;
         }
-        this.#life ??= look.life;
-        this.#ends.noteAnswer();
-        const isFirst = !this.#lease.hasClock;
-        this.#lease.readClock(reading);
+        this.#incarnation ??= look.life;
+        this.#endedRuns.noteAnswer();
+        const isFirst = !this.#lease.hasReading;
+        this.#lease.noteReading(reading);
         const wasSilent = this.#isSilent;
         this.#isSilent = false;
         if (look.running.length + look.ended.length > 0) {
-            this.#activeAt = now;
+            this.#lastActiveAt = now;
         }
-        const fresh = this.#ends.report(look.ended);
-        const isDue = now - this.#progressAt >= progressInterval;
+        const fresh = this.#endedRuns.takeUnreported(look.ended);
+        const isDue = now - this.#lastProgressAt >= progressInterval;
         if (isFirst || wasSilent || isDue || isWhole) {
-            this.#progressAt = now;
+            this.#lastProgressAt = now;
             send({ kind: "looked", worker: this.worker, look: { ...look, ended: fresh }, age: now - sentAt });
         }
         else if (fresh.length > 0) {
             send({ kind: "ends", worker: this.worker, ended: fresh });
         }
-        const starts = this.#waitingStarts;
-        this.#waitingStarts = [];
+        const starts = this.#queuedStarts;
+        this.#queuedStarts = [];
         starts.forEach(start => void this.#start(start));
     }
 
     /** Whether another life answered than the one that the link is for. An answer without a name tells it by a clock that went back. */
-    #isOtherLife({ life }: Look, reading: ClockReading): boolean {
-        const isNamed = life !== undefined && this.#life !== undefined;
-        return isNamed && life !== this.#life || this.#lease.isOfOtherLife(reading);
+    #isOtherIncarnation({ life }: PollResult, reading: ClockReading): boolean {
+        const isNamed = life !== undefined && this.#incarnation !== undefined;
+        return isNamed && life !== this.#incarnation || this.#lease.isOtherIncarnation(reading);
     }
 
-    #endWithLife({ life, clock, running, ended }: Look): void {
+    #closeWithIncarnation({ life, clock, running, ended }: PollResult): void {
         this.options.logger.log(logEvents.workerAnswersAnew, {
             worker: this.worker,
-            former: this.#life,
+            former: this.#incarnation,
             life,
             clock,
             running: running.length,
             ended: ended.length,
-            forgottenThrough: this.#ends.keptThrough,
-            lapsesIn: Math.round(this.#lease.lapsesIn()),
+            forgottenThrough: this.#endedRuns.committedThrough,
+            lapsesIn: Math.round(this.#lease.expiresIn()),
         });
-        const doubtfulFor = Math.max(0, this.#doubtfulUntil - this.options.clock.monotonic());
+        const doubtfulFor = Math.max(0, this.#lateOrdersUntil - this.options.clock.monotonic());
         this.options.send({
             kind: "restarted",
             worker: this.worker,
             ...(life === undefined ? {} : { life }),
             ...(doubtfulFor > 0 ? { doubtfulFor } : {}),
         });
-        this.end();
+        this.close();
     }
 
-    #takeRefusal(refusal: OrderRefusal, token: FencingToken): boolean {
-        if (refusal === OrderRefusal.OtherLife) {
+    #handleRefusal(refusal: OrderRefusal, token: FencingToken): boolean {
+        if (refusal === OrderRefusal.WrongWorker) {
             this.options.send({ kind: "other-life", worker: this.worker });
-            this.end();
+            this.close();
             return true;
         }
         if (refusal === OrderRefusal.Fenced) {
@@ -341,24 +343,24 @@
             }
             return false;
         }
-        this.#noteSilence(refusal);
+        this.#reportSilence(refusal);
         return false;
     }
 
-    #noteSilence(cause: string): void {
-        if (this.#ended.signal.aborted) {
+    #reportSilence(cause: string): void {
+        if (this.#closed.signal.aborted) {
             return;
         }
         if (!this.#isSilent) {
             this.#isSilent = true;
             this.#mayLease = false;
-            const heardAgo = this.#heardAt === undefined
+            const heardAgo = this.#lastHeardAt === undefined
                 ? {}
-                : { heardAgo: this.options.clock.monotonic() - this.#heardAt };
+                : { heardAgo: this.options.clock.monotonic() - this.#lastHeardAt };
             this.options.send({
                 kind: "silent",
                 worker: this.worker,
-                lapsesIn: this.#lease.lapsesIn(),
+                lapsesIn: this.#lease.expiresIn(),
                 cause,
                 ...heardAgo,
             });
@@ -367,11 +369,11 @@
 
     async #start(command: StartCommand): Promise<void> {
         const { client, clock, send } = this.options;
-        this.#activeAt = clock.monotonic();
+        this.#lastActiveAt = clock.monotonic();
         const { worker, task, run } = command;
         const token = this.#token;
-        const isAllowed = this.#mayLease && this.options.mayOrder?.() !== false;
-        const leaseUntil = isAllowed ? this.#lease.next() : undefined;
+        const isAllowed = this.#mayLease && this.options.mayForwardOrders?.() !== false;
+        const leaseUntil = isAllowed ? this.#lease.grant() : undefined;
         if (leaseUntil === undefined) {
             send({ kind: "started", worker, task, run, refusal: "not-delivered" });
             return;
@@ -379,15 +381,15 @@
         const sentAt = clock.monotonic();
         try {
             const order = { ...command, token, leaseUntil };
-            const answer = await client.start(order, this.#answerTimes.limit, this.#ended.signal);
+            const answer = await client.start(order, this.#answerTimes.timeout, this.#closed.signal);
             this.#noteAnswerTime(clock.monotonic() - sentAt);
             if (answer.kind === "taken") {
-                this.#heardAt = clock.monotonic();
+                this.#lastHeardAt = clock.monotonic();
                 send({ kind: "started", worker, task, run });
                 return;
             }
-            if (answer.refusal === OrderRefusal.OtherLife) {
-                this.#takeRefusal(answer.refusal, token);
+            if (answer.refusal === OrderRefusal.WrongWorker) {
+                this.#handleRefusal(answer.refusal, token);
                 return;
             }
             if (answer.refusal === OrderRefusal.Fenced && token === this.#token) {
@@ -396,38 +398,38 @@
             send({ kind: "started", worker, task, run, refusal: answer.refusal });
         }
         catch (cause) {
-            if (!this.#ended.signal.aborted) {
-                this.#ends.noteLost();
-                this.#doubtfulUntil = clock.monotonic() + lateOrderTime;
-                this.#sideOrders.noteUnanswered(command, cause);
+            if (!this.#closed.signal.aborted) {
+                this.#endedRuns.noteLost();
+                this.#lateOrdersUntil = clock.monotonic() + lateOrderWindow;
+                this.#bestEffortOrders.logUnanswered(command, cause);
                 this.#noteLost();
-                this.#uncertain.push(command);
-                this.#settle();
+                this.#uncertainStarts.push(command);
+                this.#resolveUncertainStarts();
             }
         }
     }
 
     /** Finds out what became of starts without an answer. */
-    #settle(): void {
-        this.#settling ??= this.#settleAll().finally(() => {
-            this.#settling = undefined;
-            if (this.#uncertain.length > 0 && !this.#ended.signal.aborted) {
-                this.#settle();
+    #resolveUncertainStarts(): void {
+        this.#resolving ??= this.#resolveAll().finally(() => {
+            this.#resolving = undefined;
+            if (this.#uncertainStarts.length > 0 && !this.#closed.signal.aborted) {
+                this.#resolveUncertainStarts();
             }
         });
     }
 
-    async #settleAll(): Promise<void> {
-        const doubtful = this.#uncertain;
-        this.#uncertain = [];
+    async #resolveAll(): Promise<void> {
+        const doubtful = this.#uncertainStarts;
+        this.#uncertainStarts = [];
         this.#token = fencingToken(this.#token + 1);
-        while (!this.#ended.signal.aborted) {
-            if (this.options.mayRenew() && await this.#lookOnce(true)) {
+        while (!this.#closed.signal.aborted) {
+            if (this.options.mayPoll() && await this.#pollOnce(true)) {
                 break;
             }
-            await this.options.clock.sleep(retryDelay, this.#ended.signal);
+            await this.options.clock.sleep(retryDelay, this.#closed.signal);
         }
-        if (this.#ended.signal.aborted) {
+        if (this.#closed.signal.aborted) {
             return;
         }
         // The look was sent first on the same channel, so the owner has seen which of these run or ended.
@@ -438,8 +440,8 @@
 
     async #untilAcknowledged(): Promise<void> {
         const waited = createAbortController();
-        this.#acknowledged = () => waited.abort();
-        await this.options.clock.sleep(acknowledgeWait, waited.signal);
-        this.#acknowledged = undefined;
+        this.#onAcknowledged = () => waited.abort();
+        await this.options.clock.sleep(acknowledgementTimeout, waited.signal);
+        this.#onAcknowledged = undefined;
     }
 }
--- a/packages/entry/src/membership/followed-keys.ts
+++ b/packages/entry/src/membership/followed-keys.ts
@@ -1,32 +1,32 @@
 /** Keys of the store that are followed by prefix. */
 import type { ChangeFeed, KeyChanges, KeysAtCursor, Milliseconds } from "@pebbledale/core";
-import type { Followed, FollowedNews } from "../following/index.js";
+import type { FollowedUpdate, FollowSource } from "../following/index.js";
 
 /** Takes in what is followed. */
-export interface KeyFollower {
+export interface KeyReplica {
     /** All keys as they stand. */
     replace(keys: KeysAtCursor): void;
     /** Changes since. */
-    change(changes: KeyChanges): void;
+    apply(changes: KeyChanges): void;
 }
 
 /** See the module's comment. */
-export class FollowedKeys implements Followed {
+export class KeyFollowSource implements FollowSource {
     constructor(
         private readonly feed: ChangeFeed,
         private readonly prefix: string,
-        private readonly follower: KeyFollower,
+        private readonly follower: KeyReplica,
     ) {}
 
-    /** See {@link Followed.readAll}. */
-    async readAll(signal: AbortSignal): Promise<FollowedNews> {
+    /** See {@link FollowSource.readAll}. */
+    async readAll(signal: AbortSignal): Promise<FollowedUpdate> {
         const keys = await this.feed.readAll(this.prefix, signal);
-        return { cursor: keys.cursor, take: () => this.follower.replace(keys) };
+        return { cursor: keys.cursor, apply: () => this.follower.replace(keys) };
     }
 
-    /** See {@link Followed.changes}. */
-    async changes(cursor: string, wait: Milliseconds, signal: AbortSignal): Promise<FollowedNews | undefined> {
+    /** See {@link FollowSource.changes}. */
+    async changes(cursor: string, wait: Milliseconds, signal: AbortSignal): Promise<FollowedUpdate | undefined> {
         const changes = await this.feed.changes(this.prefix, cursor, wait, signal);
-        return changes && { cursor: changes.cursor, take: () => this.follower.change(changes) };
+        return changes && { cursor: changes.cursor, apply: () => this.follower.apply(changes) };
     }
 }
--- a/packages/entry/src/membership/registration.ts
+++ b/packages/entry/src/membership/registration.ts
@@ -9,10 +9,10 @@
     type PlatformStore,
 } from "@pebbledale/core";
 import { type EventLogger, unlessAborted } from "@pebbledale/runtime";
-import { DependencyWatch } from "../observation/index.js";
+import { DependencyMonitor } from "../observation/index.js";
 
 /** What a registration needs. */
-export interface RegistrationOptions {
+export interface VmRegistrationOptions {
     readonly logger: EventLogger;
     readonly store: PlatformStore;
     readonly clock: Clock;
@@ -23,21 +23,21 @@
 }
 
 /** Longest wait for the end of a lease when a VM stops; without an answer it runs out by itself. */
-export const revokeLimit: Milliseconds = 400;
+export const revokeTimeout: Milliseconds = 400;
 /** Wait after a call without an answer: no owner finds a VM whose key has run out. */
 const retryDelay: Milliseconds = 250;
 /** A lease is renewed this many times in its length. */
 const renewalsPerLease = 3;
 
 /** See the module's comment. */
-export class Registration {
-    readonly #watch: DependencyWatch;
+export class VmRegistration {
+    readonly #watch: DependencyMonitor;
     #lease: PlatformLeaseId | undefined;
 
-    constructor(private readonly options: RegistrationOptions) {
+    constructor(private readonly options: VmRegistrationOptions) {
         const { logger, clock } = options;
         const { registrationFailed: lost, registrationRestored: regained } = logEvents;
-        this.#watch = new DependencyWatch({ logger, clock, lost, regained });
+        this.#watch = new DependencyMonitor({ logger, clock, lostEvent: lost, recoveredEvent: regained });
     }
 
     /** The lease, while it is thought to stand. */
@@ -50,29 +50,29 @@
         const { store, clock, leaseLength } = this.options;
         while (!signal.aborted) {
             let isKept = false;
-            const kept = this.#keep().then(
+            const kept = this.#maintain().then(
                 () => {
                     isKept = true;
-                    this.#watch.noteAnswer();
+                    this.#watch.recordSuccess();
                 },
-                cause => this.#watch.noteFailure(cause),
+                cause => this.#watch.recordFailure(cause),
             );
             await unlessAborted(kept, signal);
             await clock.sleep(isKept ? leaseLength / renewalsPerLease : retryDelay, signal);
         }
         if (this.#lease !== undefined) {
-            const revoked = store.revokeLease(this.#lease).catch((cause: unknown) => this.#watch.noteFailure(cause));
+            const revoked = store.revokeLease(this.#lease).catch((cause: unknown) => this.#watch.recordFailure(cause));
             // Without an answer the lease runs out by itself.
-            await Promise.race([revoked, clock.sleep(revokeLimit)]);
+            await Promise.race([revoked, clock.sleep(revokeTimeout)]);
         }
     }
 
     /** This VM's key is gone though its lease may stand: the lease is made anew at the next renewal. */
-    renew(): void {
+    invalidateLease(): void {
         this.#lease = undefined;
     }
 
-    async #keep(): Promise<void> {
+    async #maintain(): Promise<void> {
         const { store } = this.options;
         if (this.#lease !== undefined && await store.renewLease(this.#lease)) {
             return;
--- a/packages/entry/src/membership/view.ts
+++ b/packages/entry/src/membership/view.ts
@@ -42,7 +42,7 @@
     /** When the present owner's key was first seen, by the monotonic clock. */
     ownerSince: Milliseconds = -Infinity;
     /** When a VM was last seen for the first time, by the monotonic clock. */
-    grownAt: Milliseconds = -Infinity;
+    lastVmAddedAt: Milliseconds = -Infinity;
 
     constructor(private readonly clock: Clock) {}
 
@@ -57,7 +57,7 @@
     }
 
     /** Takes in changes. */
-    change({ changed, removed }: KeyChanges): void {
+    apply({ changed, removed }: KeyChanges): void {
         changed.forEach(entry => this.#put(entry));
         for (const key of removed) {
             if (key === ownerKey) {
@@ -103,7 +103,7 @@
             this.vms.delete(name);
             return;
         }
-        this.grownAt = this.vms.has(name) ? this.grownAt : this.clock.monotonic();
+        this.lastVmAddedAt = this.vms.has(name) ? this.lastVmAddedAt : this.clock.monotonic();
         this.vms.set(name, vm);
     }
 }
--- a/packages/entry/src/observation/dependency-watch.ts
+++ b/packages/entry/src/observation/dependency-watch.ts
@@ -3,23 +3,23 @@
 import type { EventLogger } from "@pebbledale/runtime";
 
 /** What a watch needs. */
-export interface DependencyWatchOptions {
+export interface DependencyMonitorOptions {
     readonly logger: EventLogger;
     readonly clock: Clock;
-    readonly lost: LogEvent;
-    readonly regained: LogEvent;
+    readonly lostEvent: LogEvent;
+    readonly recoveredEvent: LogEvent;
 }
 
 /** See the module's comment. */
-export class DependencyWatch {
+export class DependencyMonitor {
     #lostAt: Milliseconds | undefined;
     #failures = 0;
 
-    constructor(private readonly options: DependencyWatchOptions) {}
+    constructor(private readonly options: DependencyMonitorOptions) {}
 
     /** A call was answered. */
-    noteAnswer(): void {
-        const { logger, clock, regained } = this.options;
+    recordSuccess(): void {
+        const { logger, clock, recoveredEvent: regained } = this.options;
         if (this.#lostAt !== undefined) {
             const lasted = Math.round(clock.monotonic() - this.#lostAt);
             logger.log(regained, { lasted, failures: this.#failures });
@@ -29,11 +29,11 @@
     }
 
     /** A call failed. `age`: how long ago the last answer came, where that is known. */
-    noteFailure(cause: unknown, age?: Milliseconds): void {
+    recordFailure(cause: unknown, age?: Milliseconds): void {
         this.#failures++;
         if (this.#lostAt === undefined) {
             this.#lostAt = this.options.clock.monotonic();
-            this.options.logger.log(this.options.lost, {
+            this.options.logger.log(this.options.lostEvent, {
                 cause: String(cause),
                 ...(age === undefined ? {} : { age: Math.round(age) }),
             });
--- a/packages/entry/src/observation/entry-metrics.ts
+++ b/packages/entry/src/observation/entry-metrics.ts
@@ -6,16 +6,16 @@
 const millisecondsPerSecond = 1_000;
 
 /** How the cell stands at its owner. */
-export interface CellFigures {
+export interface CellStatistics {
     readonly summary: CellSummary & CrashSummary;
     /** How long the oldest record has waited to be kept. */
     readonly journalWait: Milliseconds;
     /** How long ago the store last told of the workers' entries. */
-    readonly entriesAge: Milliseconds;
+    readonly workerEntriesAge: Milliseconds;
 }
 
 /** How long ago the store last told of what each VM follows; undefined before it first did. */
-export interface FollowedAges {
+export interface AgeSources {
     readonly configuration: () => Milliseconds | undefined;
     readonly members: () => Milliseconds | undefined;
 }
@@ -46,8 +46,8 @@
     );
     readonly #adviceTime = this.metrics.waiting("pebbledale_advice_seconds", "Time of an answer to a question", []);
     readonly #jobTime = this.metrics.waiting("pebbledale_job_seconds", "Time from acceptance to the end", ["state"]);
-    #cell: CellFigures | undefined;
-    #ages: FollowedAges | undefined;
+    #cell: CellStatistics | undefined;
+    #ages: AgeSources | undefined;
 
     constructor() {
         const ofCell = (name: string, help: string, read: (summary: CellSummary & CrashSummary) => number) =>
@@ -83,50 +83,50 @@
                 `How long ago the store last told of the ${followed}`,
                 () => (read() ?? 0) / millisecondsPerSecond,
             );
-        age("worker_entries", () => this.#cell?.entriesAge);
+        age("worker_entries", () => this.#cell?.workerEntriesAge);
         age("configuration", () => this.#ages?.configuration());
         age("members", () => this.#ages?.members());
     }
 
     /** A caller was answered. */
-    noteRequest(request: string, outcome: string, took: Milliseconds): void {
+    recordRequest(request: string, outcome: string, took: Milliseconds): void {
         this.#requests.inc({ request, outcome });
         this.#requestTime.observe({ request }, took / millisecondsPerSecond);
     }
 
     /** A worker answered a call, or did not. */
-    noteWorkerCall(call: string, outcome: string, took: Milliseconds): void {
+    recordWorkerCall(call: string, outcome: string, took: Milliseconds): void {
         this.#workerCalls.inc({ call, outcome });
         this.#workerCallTime.observe({ call }, took / millisecondsPerSecond);
     }
 
     /** An event was logged. */
-    noteEvent(event: number): void {
+    recordEvent(event: number): void {
         this.#events.inc({ event: String(event) });
     }
 
     /** Tasks of a queue of a priority were ordered. */
-    noteTaskWait(priority: number, waited: Milliseconds): void {
+    recordTaskWait(priority: number, waited: Milliseconds): void {
         this.#taskWait.observe({ priority: String(priority) }, waited / millisecondsPerSecond);
     }
 
     /** The advice service answered. */
-    noteAdvice(took: Milliseconds): void {
+    recordAdvice(took: Milliseconds): void {
         this.#adviceTime.observe(took / millisecondsPerSecond);
     }
 
     /** A job ended. */
-    noteJobEnd(state: string, took: Milliseconds): void {
+    recordJobEnd(state: string, took: Milliseconds): void {
         this.#jobTime.observe({ state }, took / millisecondsPerSecond);
     }
 
     /** How the cell stands; undefined once this VM no longer owns it. */
-    noteCell(cell: CellFigures | undefined): void {
+    setCellStatistics(cell: CellStatistics | undefined): void {
         this.#cell = cell;
     }
 
     /** Where to read how old what this VM follows is. */
-    noteAges(ages: FollowedAges): void {
+    setAgeSources(ages: AgeSources): void {
         this.#ages = ages;
     }
 }
--- a/packages/entry/src/observation/measured-logger.ts
+++ b/packages/entry/src/observation/measured-logger.ts
@@ -4,25 +4,25 @@
 import type { EntryMetrics } from "./entry-metrics.js";
 
 /** See the module's comment. The log may leave lines out under overload; the counters are complete. */
-export class MeasuredLogger implements EventLogger {
+export class InstrumentedLogger implements EventLogger {
     constructor(private readonly logger: EventLogger, private readonly metrics: EntryMetrics) {}
 
     /** See {@link EventLogger.log}. */
     log(event: LogEvent, fields?: Readonly<Record<string, unknown>>): void {
-        this.metrics.noteEvent(event.number);
+        this.metrics.recordEvent(event.number);
         this.#measure(event, fields ?? {});
         this.logger.log(event, fields);
     }
 
     #measure(event: LogEvent, { waited, priority, took, state }: Readonly<Record<string, unknown>>): void {
         if (event === logEvents.runsOrdered && typeof waited === "number" && typeof priority === "number") {
-            this.metrics.noteTaskWait(priority, waited);
+            this.metrics.recordTaskWait(priority, waited);
         }
         else if (event === logEvents.stepAdvised && typeof took === "number") {
-            this.metrics.noteAdvice(took);
+            this.metrics.recordAdvice(took);
         }
         else if (event === logEvents.jobEnded && typeof took === "number") {
-            this.metrics.noteJobEnd(String(state), took);
+            this.metrics.recordJobEnd(String(state), took);
         }
     }
 }
--- a/packages/entry/src/observation/measured-workers.ts
+++ b/packages/entry/src/observation/measured-workers.ts
@@ -1,9 +1,9 @@
 /** Measures calls of workers. */
 import type {
-    LookAnswer,
-    LookRequest,
     OrderAnswer,
     PaceOrder,
+    PollAnswer,
+    PollRequest,
     StartOrder,
     StopOrder,
     TaskWorkerClient,
@@ -13,7 +13,7 @@
 import type { EntryMetrics } from "./entry-metrics.js";
 
 /** See the module's comment. */
-export class MeasuredWorkers implements TaskWorkerClients {
+export class InstrumentedWorkerClients implements TaskWorkerClients {
     constructor(
         private readonly clients: TaskWorkerClients,
         private readonly metrics: EntryMetrics,
@@ -22,20 +22,20 @@
 
     /** See {@link TaskWorkerClients.clientOf}. */
     clientOf(worker: WorkerId, address: string): TaskWorkerClient {
-        return new MeasuredWorker(this.clients.clientOf(worker, address), this.metrics, this.clock);
+        return new InstrumentedWorkerClient(this.clients.clientOf(worker, address), this.metrics, this.clock);
     }
 }
 
-class MeasuredWorker implements TaskWorkerClient {
+class InstrumentedWorkerClient implements TaskWorkerClient {
     constructor(
         private readonly client: TaskWorkerClient,
         private readonly metrics: EntryMetrics,
         private readonly clock: Clock,
     ) {}
 
-    look(request: LookRequest, limit: Milliseconds, signal: AbortSignal): Promise<LookAnswer> {
+    poll(request: PollRequest, limit: Milliseconds, signal: AbortSignal): Promise<PollAnswer> {
         const call = request.wait === undefined ? "look" : "waiting-look";
-        return this.#measure(call, this.client.look(request, limit, signal));
+        return this.#measure(call, this.client.poll(request, limit, signal));
     }
 
     start(order: StartOrder, limit: Milliseconds, signal: AbortSignal): Promise<OrderAnswer> {
@@ -54,9 +54,10 @@
         return this.client.close();
     }
 
-    async #measure<Answer extends LookAnswer | OrderAnswer>(call: string, answer: Promise<Answer>): Promise<Answer> {
+    async #measure<Answer extends PollAnswer | OrderAnswer>(call: string, answer: Promise<Answer>): Promise<Answer> {
         const begunAt = this.clock.monotonic();
-        const note = (outcome: string) => this.metrics.noteWorkerCall(call, outcome, this.clock.monotonic() - begunAt);
+        const note = (outcome: string) =>
+            this.metrics.recordWorkerCall(call, outcome, this.clock.monotonic() - begunAt);
         try {
             const given = await answer;
             note(given.kind === "refused" ? given.refusal : given.kind);
--- a/packages/entry/src/owner/assignments.ts
+++ b/packages/entry/src/owner/assignments.ts
@@ -3,7 +3,7 @@
 import { type Epoch, type FencingToken, fencingToken, type Milliseconds, type WorkerId } from "@pebbledale/core";
 import type { AssignMessage } from "../protocol/index.js";
 import { assignmentsPerEpoch, tokensPerAssignment } from "./constants.js";
-import { RestartPauses } from "./restart-pauses.js";
+import { RestartBackoff } from "./restart-pauses.js";
 import type { VmLink } from "./vm-link.js";
 
 /** One worker's link. */
@@ -14,76 +14,76 @@
     /** The token that the link was given; names the assignment in what the VM reports. */
     readonly token: FencingToken;
     /** When it was assigned, by the owner's monotonic clock: what was ordered before is settled by its first look. */
-    readonly since: Milliseconds;
+    readonly assignedAt: Milliseconds;
     /** Whether its first look was taken in. */
-    hasLooked: boolean;
+    hasPolled: boolean;
 }
 
 /** A VM may have this many more links than another, for each share of a core, before some are moved. */
-const imbalance = 2;
+const allowedImbalance = 2;
 /** The owner's own VM counts as loaded with this many links more: it also decides. */
-const ownerLoad = 4;
+const ownerLoadOffset = 4;
 
 /** See the module's comment. */
 export class Assignments {
-    readonly #assigned = new Map<WorkerId, Assignment>();
-    readonly #counts = new Map<WorkerId, number>();
-    readonly #pauses: RestartPauses;
+    readonly #assignments = new Map<WorkerId, Assignment>();
+    readonly #assignmentCounts = new Map<WorkerId, number>();
+    readonly #restartBackoff: RestartBackoff;
     /** Until when orders to former lives of a worker may be carried out, where any may. */
-    readonly #doubtfulUntil = new Map<WorkerId, Milliseconds>();
+    readonly #lateOrdersUntil = new Map<WorkerId, Milliseconds>();
 
     constructor(
         private readonly epoch: Epoch,
         private readonly ownVm: string,
         private readonly now: () => Milliseconds,
     ) {
-        this.#pauses = new RestartPauses(now);
+        this.#restartBackoff = new RestartBackoff(now);
     }
 
     /** The VM that has the link to a worker. */
     vmOf(worker: WorkerId): VmLink | undefined {
-        return this.#assigned.get(worker)?.vm;
+        return this.#assignments.get(worker)?.vm;
     }
 
     /** A worker was started again: its next link may have to wait. */
     noteRestart(worker: WorkerId): void {
-        this.#pauses.note(worker);
+        this.#restartBackoff.noteRestart(worker);
     }
 
     /** For so long an order that got no answer may still be carried out by any life of a worker. */
-    noteDoubt(worker: WorkerId, duration: Milliseconds): void {
+    extendLateOrderWindow(worker: WorkerId, duration: Milliseconds): void {
         const until = this.now() + duration;
-        if (duration > 0 && until > (this.#doubtfulUntil.get(worker) ?? 0)) {
-            this.#doubtfulUntil.set(worker, until);
+        if (duration > 0 && until > (this.#lateOrdersUntil.get(worker) ?? 0)) {
+            this.#lateOrdersUntil.set(worker, until);
         }
     }
 
     /** Whether a worker's link calls another address than this. */
-    isElsewhere(worker: WorkerId, address: string): boolean {
-        const assignment = this.#assigned.get(worker);
+    hasOtherAddress(worker: WorkerId, address: string): boolean {
+        const assignment = this.#assignments.get(worker);
         return assignment !== undefined && assignment.address !== address;
     }
 
     /** The assignment under which a VM reports of a worker; undefined when the worker has another one by now. */
-    under(token: FencingToken, worker: WorkerId, vm: VmLink): Assignment | undefined {
-        const assignment = this.#assigned.get(worker);
+    find(token: FencingToken, worker: WorkerId, vm: VmLink): Assignment | undefined {
+        const assignment = this.#assignments.get(worker);
         return assignment?.vm === vm && assignment.token === token ? assignment : undefined;
     }
 
     /** Gives workers without a link to VMs, those of their data hall first, and evens VMs out. */
-    balance(workers: Iterable<WorkerState>, vms: readonly VmLink[]): void {
+    assignUnlinked(workers: Iterable<WorkerState>, vms: readonly VmLink[]): void {
         if (vms.length === 0) {
             return;
         }
         for (const worker of workers) {
-            if (!this.#assigned.has(worker.id)) {
+            if (!this.#assignments.has(worker.id)) {
                 this.#assign(worker, this.#leastLoaded(vms, worker));
             }
         }
     }
 
     /** Moves links to a VM that has just joined, as long as others of its data hall have many more. */
-    even(workers: ReadonlyMap<WorkerId, WorkerState>, joined: VmLink, vms: readonly VmLink[]): void {
+    rebalanceTo(workers: ReadonlyMap<WorkerId, WorkerState>, joined: VmLink, vms: readonly VmLink[]): void {
         const near = vms.filter(vm => vm.vm.dataHall === joined.vm.dataHall && vm !== joined);
         for (;;) {
             const fullest = near.reduce<VmLink | undefined>(
@@ -94,7 +94,7 @@
             const worker = moved === undefined ? undefined : workers.get(moved);
             if (
                 fullest === undefined || worker === undefined
-                || this.#loadOf(fullest) - this.#loadOf(joined) < imbalance / joined.vm.processorShare
+                || this.#loadOf(fullest) - this.#loadOf(joined) < allowedImbalance / joined.vm.processorShare
             ) {
                 return;
             }
@@ -106,8 +106,8 @@
 
     /** A worker has no link any more. */
     remove(worker: WorkerId): void {
-        this.#assigned.get(worker)?.vm.workers.delete(worker);
-        this.#assigned.delete(worker);
+        this.#assignments.get(worker)?.vm.workers.delete(worker);
+        this.#assignments.delete(worker);
     }
 
     /** Takes all links of a VM away. */
@@ -124,38 +124,44 @@
     }
 
     #loadOf(vm: VmLink): number {
-        return vm.load + (vm.vm.name === this.ownVm ? ownerLoad / vm.vm.processorShare : 0);
+        return vm.loadWithOneMore + (vm.vm.name === this.ownVm ? ownerLoadOffset / vm.vm.processorShare : 0);
     }
 
     #assign(worker: WorkerState, vm: VmLink): void {
-        const count = (this.#counts.get(worker.id) ?? 0) + 1;
-        this.#counts.set(worker.id, count);
+        const count = (this.#assignmentCounts.get(worker.id) ?? 0) + 1;
+        this.#assignmentCounts.set(worker.id, count);
         vm.workers.add(worker.id);
         const token = this.#tokenOf(count);
-        this.#assigned.set(worker.id, { vm, address: worker.address, token, since: this.now(), hasLooked: false });
+        this.#assignments.set(worker.id, {
+            vm,
+            address: worker.address,
+            token,
+            assignedAt: this.now(),
+            hasPolled: false,
+        });
         vm.channel.send({
             kind: "assign",
             worker: worker.id,
             address: worker.address,
-            ...(worker.life === undefined ? {} : { life: worker.life }),
+            ...(worker.incarnation === undefined ? {} : { life: worker.incarnation }),
             token,
             isLeaving: worker.entry?.isDraining === true,
-            ...this.#doubtOf(worker.id),
-            ...this.#pauseOf(worker.id),
+            ...this.#lateOrderWindowOf(worker.id),
+            ...this.#restartDelayOf(worker.id),
         });
     }
 
-    #pauseOf(worker: WorkerId): Pick<AssignMessage, "pause"> {
-        const pause = this.#pauses.of(worker);
+    #restartDelayOf(worker: WorkerId): Pick<AssignMessage, "pause"> {
+        const pause = this.#restartBackoff.delayOf(worker);
         return pause > 0 ? { pause } : {};
     }
 
-    #doubtOf(worker: WorkerId): Pick<AssignMessage, "doubtfulFor"> {
-        const doubtfulFor = (this.#doubtfulUntil.get(worker) ?? 0) - this.now();
+    #lateOrderWindowOf(worker: WorkerId): Pick<AssignMessage, "doubtfulFor"> {
+        const doubtfulFor = (this.#lateOrdersUntil.get(worker) ?? 0) - this.now();
         if (doubtfulFor > 0) {
             return { doubtfulFor };
         }
-        this.#doubtfulUntil.delete(worker);
+        this.#lateOrdersUntil.delete(worker);
         return {};
     }
 
--- a/packages/entry/src/owner/owner-session.ts
+++ b/packages/entry/src/owner/owner-session.ts
@@ -8,7 +8,7 @@
     type UpkeepWave,
 } from "@pebbledale/cell";
 import { fencingToken, JournalFencedError, logEvents, type Milliseconds } from "@pebbledale/core";
-import { configurationGrace } from "../configuration/index.js";
+import { configurationFetchDelay } from "../configuration/index.js";
 import { FollowLoop } from "../following/index.js";
 import type { EntryVm } from "../membership/index.js";
 import {
@@ -21,28 +21,28 @@
 import type { StoreRelay } from "../store-relay/index.js";
 import { Assignments } from "./assignments.js";
 import {
-    confirmationHorizon,
-    longestFreeze,
-    muchLarger,
-    offerAfter,
-    ownerBeatInterval,
-    storeAnswerLook,
-    storeWaitBeforeHandOver,
+    confirmationValidity,
+    handOverCommitTimeout,
+    handOverSizeRatio,
+    handOverStoreTimeout,
+    minConnectedTimeBeforeHandOver,
+    ownerHeartbeatInterval,
+    storeAnswerPollInterval,
     summaryInterval,
     tickInterval,
-    vmSilence,
+    vmSilenceTimeout,
 } from "./constants.js";
-import { FollowedWorkers } from "./followed-workers.js";
-import { Interval } from "./interval.js";
-import { OutageLog } from "./outage-log.js";
+import { WorkerEntryFollowSource } from "./followed-workers.js";
+import { IntervalTimer } from "./interval.js";
+import { JournalOutageLog } from "./outage-log.js";
 import { relayOrder } from "./relay-order.js";
-import { RequestDesk } from "./request-desk.js";
+import { RequestHandler } from "./request-desk.js";
 import { chooseSuccessor } from "./successor.js";
 import { TurnRunner } from "./turn-runner.js";
 import { HandOverOutcome, type OwnerSessionOptions } from "./types.js";
-import { UpkeepKeeper } from "./upkeep-keeper.js";
+import { UpkeepController } from "./upkeep-keeper.js";
 import { VmLink } from "./vm-link.js";
-import { WorkerInbox } from "./worker-inbox.js";
+import { WorkerReportHandler } from "./worker-inbox.js";
 
 /** See the module's comment. */
 export class OwnerSession {
@@ -50,17 +50,17 @@
     readonly #vms = new Map<string, VmLink>();
     readonly #assignments: Assignments;
     readonly #advice: AdviceDispatcher;
-    readonly #requests: RequestDesk;
-    readonly #outages: OutageLog;
-    readonly #upkeep: UpkeepKeeper | undefined;
+    readonly #requestHandler: RequestHandler;
+    readonly #outageLog: JournalOutageLog;
+    readonly #upkeepController: UpkeepController | undefined;
     #configuration: CellConfiguration | undefined;
-    readonly #turns: TurnRunner;
-    readonly #beat: Interval;
-    readonly #summary: Interval;
-    readonly #workerEntries: FollowLoop;
-    readonly #workerInbox: WorkerInbox;
+    readonly #turnRunner: TurnRunner;
+    readonly #heartbeatTimer: IntervalTimer;
+    readonly #summaryTimer: IntervalTimer;
+    readonly #workerFollowLoop: FollowLoop;
+    readonly #reportHandler: WorkerReportHandler;
     /** Whether the cell is given up, at once or when the store answers. */
-    #isOffered = false;
+    #isCellOffered = false;
     /** Whether it is being handed over: nothing is answered any more. */
     #isHandingOver = false;
     #nextRelay = 0;
@@ -70,7 +70,7 @@
         this.cell = new CellScheduler({
             clock,
             log: logger,
-            onWorkerLeaves: worker => this.#assignments.vmOf(worker)?.channel.send({ kind: "worker-leaves", worker }),
+            onWorkerDraining: worker => this.#assignments.vmOf(worker)?.channel.send({ kind: "worker-leaves", worker }),
         });
         this.cell.recover(
             contents.snapshot as CellSnapshot | undefined,
@@ -78,17 +78,17 @@
         );
         journal.setSnapshotSource(() => this.cell.snapshot());
         this.#assignments = new Assignments(journal.epoch, name, () => clock.monotonic());
-        this.#workerInbox = new WorkerInbox({
+        this.#reportHandler = new WorkerReportHandler({
             cell: this.cell,
             assignments: this.#assignments,
             clock,
-            formerLeasesOverAt: clock.monotonic() + options.formerLeases,
+            formerLeasesExpireAt: clock.monotonic() + options.formerLeaseLength,
             onFenced: worker => this.stepDown(`worker ${worker} has seen a later owner`),
         });
-        this.#beat = new Interval(clock, ownerBeatInterval);
-        this.#summary = new Interval(clock, summaryInterval);
+        this.#heartbeatTimer = new IntervalTimer(clock, ownerHeartbeatInterval);
+        this.#summaryTimer = new IntervalTimer(clock, summaryInterval);
         this.#advice = new AdviceDispatcher(() => clock.monotonic(), this.cell);
-        this.#turns = new TurnRunner({
+        this.#turnRunner = new TurnRunner({
             cell: this.cell,
             journal,
             clock,
@@ -97,32 +97,32 @@
             advice: this.#advice,
             assignments: this.#assignments,
             lost: options.lost,
-            onNewWorkers: () => this.#balance(),
+            onNewWorkers: () => this.#assignUnlinkedWorkers(),
         });
-        this.#workerEntries = new FollowLoop({
-            followed: new FollowedWorkers(options.directory, this.cell),
+        this.#workerFollowLoop = new FollowLoop({
+            source: new WorkerEntryFollowSource(options.directory, this.cell),
             clock,
             limits: options.followLimits,
-            onAnswer: () => this.#turns.request(),
-            onFailure: (cause, age) => this.#noteEntriesUnheard(cause, age),
+            onAnswer: () => this.#turnRunner.schedule(),
+            onFailure: (cause, age) => this.#noteEntriesUnavailable(cause, age),
         });
-        this.#outages = new OutageLog({ journal, clock, logger });
-        this.#requests = new RequestDesk({
+        this.#outageLog = new JournalOutageLog({ journal, clock, logger });
+        this.#requestHandler = new RequestHandler({
             cell: this.cell,
             journal,
             clock,
             lost: options.lost.signal,
-            turn: () => this.#turns.run(),
-            isConfirmed: () => this.#doesKeyStand,
-            outages: this.#outages,
+            runTurn: () => this.#turnRunner.run(),
+            isConfirmed: () => this.#isKeyValid,
+            outageLog: this.#outageLog,
         });
-        this.#upkeep = options.upkeep && new UpkeepKeeper({
+        this.#upkeepController = options.upkeep && new UpkeepController({
             ...options.upkeep,
             clock,
             logger,
             orderer: { holder: name, token: fencingToken(journal.epoch) },
             workerOf: worker => this.cell.plannedWorkerOf(worker),
-            closeWorkers: closed => this.cell.closeWorkers(closed),
+            closeWorkers: closed => this.cell.setClosedWorkers(closed),
             signal: options.lost.signal,
         });
         if (options.configuration !== undefined) {
@@ -143,60 +143,60 @@
     /** Serves until `lost` fires. */
     async run(): Promise<void> {
         const { lost, clock, metrics } = this.options;
-        const following = this.#workerEntries.run(lost.signal);
+        const following = this.#workerFollowLoop.run(lost.signal);
         while (!lost.signal.aborted) {
             this.cell.tick();
             this.#dropSilentVms();
-            this.#lookForLarger();
-            this.#outages.look();
-            this.#beat.runIfDue(() => this.#sendBeats());
-            this.#summary.runIfDue(() => this.#tellSummary());
-            this.#turns.request();
+            this.#checkForLargerVm();
+            this.#outageLog.check();
+            this.#heartbeatTimer.runIfDue(() => this.#sendHeartbeats());
+            this.#summaryTimer.runIfDue(() => this.#reportSummary());
+            this.#turnRunner.schedule();
             await clock.sleep(tickInterval, lost.signal);
         }
-        metrics.noteCell(undefined);
+        metrics.setCellStatistics(undefined);
         await following;
         this.#vms.forEach(vm => vm.channel.close());
         this.#vms.clear();
     }
 
-    #sendBeats(): void {
+    #sendHeartbeats(): void {
         const mayLease = this.#isConfirmed;
         this.#vms.forEach(vm => vm.channel.send({ kind: "beat", mayLease }));
     }
 
     /** Whether the store has confirmed lately that this VM owns the cell. */
     get #isConfirmed(): boolean {
-        return this.#isWithin(this.options.confirmedAt(), confirmationHorizon);
+        return this.#isRecent(this.options.confirmedAt(), confirmationValidity);
     }
 
     /** Whether nobody else can have claimed the cell: its key has surely not run out. */
-    get #doesKeyStand(): boolean {
-        return this.#isWithin(this.options.keyConfirmedAt(), this.options.ownerLease);
+    get #isKeyValid(): boolean {
+        return this.#isRecent(this.options.keyConfirmedAt(), this.options.ownerLease);
     }
 
     /** Whether less than a time, all of which was counted, has passed since a moment. */
-    #isWithin(moment: Milliseconds, time: Milliseconds): boolean {
+    #isRecent(moment: Milliseconds, time: Milliseconds): boolean {
         const { clock } = this.options;
-        return clock.monotonic() - moment < time && moment >= clock.countedSince();
+        return clock.monotonic() - moment < time && moment >= clock.uninterruptedSince();
     }
 
-    #tellSummary(): void {
+    #reportSummary(): void {
         const { logger, journal, metrics } = this.options;
         const summary = this.cell.summary();
         const journalWait = Math.round(journal.waitingFor());
-        const entriesAge = this.#workerEntries.age;
+        const entriesAge = this.#workerFollowLoop.age;
         const age = entriesAge === undefined ? {} : { entriesAge: Math.round(entriesAge) };
         logger.log(logEvents.cellSummary, { ...summary, journalWait, ...age });
-        metrics.noteCell({ summary, journalWait, entriesAge: entriesAge ?? 0 });
+        metrics.setCellStatistics({ summary, journalWait, workerEntriesAge: entriesAge ?? 0 });
     }
 
-    #noteEntriesUnheard(cause: unknown, age: Milliseconds | undefined): void {
+    #noteEntriesUnavailable(cause: unknown, age: Milliseconds | undefined): void {
         this.options.logger.log(logEvents.workerListUnavailable, {
             cause: String(cause),
             ...(age === undefined ? {} : { age: Math.round(age) }),
         });
-        this.#turns.request();
+        this.#turnRunner.schedule();
     }
 
     /** Takes a newer configuration and passes it on. */
@@ -207,12 +207,12 @@
         this.#configuration = configuration;
         this.cell.configure(configuration);
         this.#vms.forEach(vm => vm.channel.send({ kind: "configuration-version", version: configuration.version }));
-        this.#turns.request();
+        this.#turnRunner.schedule();
     }
 
     /** Takes waves of upkeep in. */
     addWaves(waves: readonly UpkeepWave[]): void {
-        this.#upkeep?.add(waves);
+        this.#upkeepController?.add(waves);
     }
 
     /** Whether a VM is connected. */
@@ -223,7 +223,7 @@
     /** How long a connected VM has not been heard. */
     silenceOf(name: string): Milliseconds {
         const { clock } = this.options;
-        return clock.monotonic() - (this.#vms.get(name)?.heardAt ?? clock.monotonic());
+        return clock.monotonic() - (this.#vms.get(name)?.lastHeardAt ?? clock.monotonic());
     }
 
     /** Takes a connection to a VM into use. */
@@ -232,7 +232,7 @@
         const link = new VmLink(vm, channel, clock.monotonic());
         this.#drop(this.#vms.get(vm.name));
         this.#vms.set(vm.name, link);
-        channel.onMessage = message => this.#take(link, message);
+        channel.onMessage = message => this.#handle(link, message);
         channel.onClose = () => this.#drop(link);
         channel.send({ kind: "welcome", epoch: journal.epoch, owner: name });
         if (this.#configuration !== undefined) {
@@ -242,8 +242,8 @@
             vm.name,
             (question, { step, workers }, duration) => channel.send({ kind: "ask", question, step, workers, duration }),
         );
-        this.#balance();
-        this.#assignments.even(this.cell.workers, link, [...this.#vms.values()]);
+        this.#assignUnlinkedWorkers();
+        this.#assignments.rebalanceTo(this.cell.workers, link, [...this.#vms.values()]);
     }
 
     /** VMs that can make calls of the store for this one, those first whose last call was answered. */
@@ -257,35 +257,35 @@
      * is served on for some time, and nothing has changed where the store stays silent.
      */
     async handOver(): Promise<HandOverOutcome> {
-        this.#isOffered = true;
-        if (!await this.#doesStoreAnswer(storeWaitBeforeHandOver)) {
-            this.#isOffered = false;
+        this.#isCellOffered = true;
+        if (!await this.#waitForStoreAnswer(handOverStoreTimeout)) {
+            this.#isCellOffered = false;
             return HandOverOutcome.StoreSilent;
         }
         const successor = chooseSuccessor(this.#vms.values(), this.options.name);
         this.#isHandingOver = true;
-        this.#turns.freeze();
+        this.#turnRunner.freeze();
         // A record that is not kept by then may be found by the next owner; no caller was told that it is.
-        const kept = this.#turns.untilKept().catch((cause: unknown) => this.options.lost.abort(cause));
-        await Promise.race([kept, this.options.clock.sleep(longestFreeze, this.options.lost.signal)]);
+        const kept = this.#turnRunner.untilCommitted().catch((cause: unknown) => this.options.lost.abort(cause));
+        await Promise.race([kept, this.options.clock.sleep(handOverCommitTimeout, this.options.lost.signal)]);
         successor?.channel.send({ kind: "hand-over" });
         return successor === undefined ? HandOverOutcome.NoSuccessor : HandOverOutcome.Offered;
     }
 
     /** Whether the store answers a call that is made from now on, waited for up to a limit. */
-    async #doesStoreAnswer(limit: Milliseconds): Promise<boolean> {
+    async #waitForStoreAnswer(limit: Milliseconds): Promise<boolean> {
         const { clock, lost, confirm, confirmedAt } = this.options;
         const since = clock.monotonic();
         confirm();
         while (confirmedAt() < since && clock.monotonic() - since < limit && !lost.signal.aborted) {
-            await clock.sleep(storeAnswerLook, lost.signal);
+            await clock.sleep(storeAnswerPollInterval, lost.signal);
         }
         return confirmedAt() >= since;
     }
 
     /** A VM knows a newer configuration: it is asked for it, unless the store shows it meanwhile. */
-    async #wantConfiguration(link: VmLink, version: number): Promise<void> {
-        await this.options.clock.sleep(configurationGrace, this.options.lost.signal);
+    async #requestNewerConfiguration(link: VmLink, version: number): Promise<void> {
+        await this.options.clock.sleep(configurationFetchDelay, this.options.lost.signal);
         if (version > (this.#configuration?.version ?? 0)) {
             link.channel.send({ kind: "want-configuration" });
         }
@@ -298,21 +298,21 @@
     }
 
     /** A VM is about to stop: its links and questions go to others. */
-    #takeLeave(link: VmLink): void {
+    #handleLeaving(link: VmLink): void {
         link.isLeaving = true;
         this.#advice.leave(link.vm.name);
         for (const worker of link.workers) {
             link.channel.send({ kind: "unassign", worker });
         }
         this.#assignments.removeAll(link);
-        this.#balance();
+        this.#assignUnlinkedWorkers();
     }
 
     /** Gives workers without a link to VMs that stay. */
-    #balance(): void {
+    #assignUnlinkedWorkers(): void {
         const staying = [...this.#vms.values()].filter(link => !link.isLeaving);
         const vms = staying.length > 0 ? staying : [...this.#vms.values()];
-        this.#assignments.balance(this.cell.workers.values(), vms);
+        this.#assignments.assignUnlinked(this.cell.workers.values(), vms);
     }
 
     #drop(link: VmLink | undefined): void {
@@ -321,19 +321,20 @@
         }
         this.#vms.delete(link.vm.name);
         link.channel.close();
-        link.dropCalls();
+        link.failPendingCalls();
         this.#advice.leave(link.vm.name);
         this.#assignments.removeAll(link);
-        this.#balance();
+        this.#assignUnlinkedWorkers();
     }
 
     /** Offers the cell to a VM that can do much more of its work. */
-    #lookForLarger(): void {
+    #checkForLargerVm(): void {
         const now = this.options.clock.monotonic();
         const own = this.#vms.get(this.options.name)?.vm.processorShare ?? Infinity;
         const isLarger = (link: VmLink) =>
-            !link.isLeaving && link.vm.processorShare >= own * muchLarger && now - link.connectedAt > offerAfter;
-        if (!this.#isOffered && this.#isConfirmed && [...this.#vms.values()].some(isLarger)) {
+            !link.isLeaving && link.vm.processorShare >= own * handOverSizeRatio
+            && now - link.connectedAt > minConnectedTimeBeforeHandOver;
+        if (!this.#isCellOffered && this.#isConfirmed && [...this.#vms.values()].some(isLarger)) {
             this.options.onLargerVm();
         }
     }
@@ -341,19 +342,19 @@
     #dropSilentVms(): void {
         const now = this.options.clock.monotonic();
         for (const link of [...this.#vms.values()]) {
-            if (now - link.heardAt > vmSilence) {
+            if (now - link.lastHeardAt > vmSilenceTimeout) {
                 this.options.onSilentVm(link.vm.name);
                 this.#drop(link);
             }
         }
-        if (this.options.isCutOff()) {
+        if (this.options.isIsolated()) {
             // Others that reach each other serve better; without a claim of theirs this VM comes back.
             this.stepDown("this VM is cut off from most of the others");
         }
     }
 
-    #take(link: VmLink, message: VmMessage): void {
-        link.heardAt = this.options.clock.monotonic();
+    #handle(link: VmLink, message: VmMessage): void {
+        link.lastHeardAt = this.options.clock.monotonic();
         switch (message.kind) {
             case "request":
                 void this.#answer(link, message.request, message.body);
@@ -362,37 +363,37 @@
                 this.options.onConfiguration(message.configuration);
                 break;
             case "configuration-version":
-                void this.#wantConfiguration(link, message.version);
+                void this.#requestNewerConfiguration(link, message.version);
                 return;
             case "want-configuration":
                 this.#sendConfiguration(link);
                 return;
             case "advised": {
-                const command = this.#advice.answered(message.question);
+                const command = this.#advice.complete(message.question);
                 if (command !== undefined) {
-                    this.cell.takeAdvice(command.step, command.workers, message.answer, message.cause);
+                    this.cell.applyAdvice(command.step, command.workers, message.answer, message.cause);
                 }
                 break;
             }
             case "store-answer":
-                link.takeStoreAnswer(message.call, message.isAnswered, message.answer, message.cause);
+                link.settleStoreCall(message.call, message.isAnswered, message.answer, message.cause);
                 return;
             case "leaving":
-                this.#takeLeave(link);
+                this.#handleLeaving(link);
                 break;
             case "beat":
             case "owner-heard":
                 return;
             default:
-                this.#workerInbox.take(link, message);
+                this.#reportHandler.handle(link, message);
         }
-        this.#turns.request();
+        this.#turnRunner.schedule();
     }
 
     async #answer(link: VmLink, request: number, body: OwnerRequest): Promise<void> {
         const reply: OwnerReply = this.#isHandingOver
             ? { kind: "handing-over" }
-            : await this.#requests.reply(body);
+            : await this.#requestHandler.reply(body);
         // What is uncertain as the cell is handed over meanwhile is asked of the next owner again by the front.
         if (!this.#isHandingOver || reply.kind !== "uncertain") {
             link.channel.send({ kind: "reply", request, reply });
--- a/packages/entry/src/owner/turn-runner.ts
+++ b/packages/entry/src/owner/turn-runner.ts
@@ -2,17 +2,17 @@
  * Carries out what the owner's decisions led to, turn by turn: records are kept, then orders, questions and
  * acknowledgements leave. Passes over what waits are paced.
  */
-import type { AdviceDispatcher, CellScheduler, StartCommand, Turn, WorkerCommand } from "@pebbledale/cell";
-import type { GapClock, Journal, Milliseconds } from "@pebbledale/core";
+import type { AdviceDispatcher, CellScheduler, StartCommand, TurnOutput, WorkerCommand } from "@pebbledale/cell";
+import type { Journal, Milliseconds, SuspensionAwareClock } from "@pebbledale/core";
 import type { Assignments } from "./assignments.js";
-import { confirmationPause } from "./constants.js";
-import { PassPacer } from "./pass-pacer.js";
+import { confirmationPollInterval } from "./constants.js";
+import { CyclePacer } from "./pass-pacer.js";
 
 /** What turns need. */
 export interface TurnRunnerOptions {
     readonly cell: CellScheduler;
     readonly journal: Journal;
-    readonly clock: GapClock;
+    readonly clock: SuspensionAwareClock;
     /** When the store last confirmed that this VM owns the cell, by the monotonic clock. */
     readonly confirmedAt: () => Milliseconds;
     /** Has the store asked whether this VM owns the cell. */
@@ -27,18 +27,18 @@
 
 /** See the module's comment. */
 export class TurnRunner {
-    readonly #pacer: PassPacer;
-    #isTurnDue = false;
+    readonly #pacer: CyclePacer;
+    #isTurnScheduled = false;
     /** Whether a turn is planned for when the next pass may be made. */
-    #isPassPlanned = false;
+    #isCycleScheduled = false;
     #isFrozen = false;
     /** Whether the store has been asked, since the last doubt, whether this VM owns the cell. */
-    #isConfirming = false;
+    #isConfirmationRequested = false;
     /** Resolves once all records so far are kept. */
-    #kept: Promise<void> = Promise.resolve();
+    #committed: Promise<void> = Promise.resolve();
 
     constructor(private readonly options: TurnRunnerOptions) {
-        this.#pacer = new PassPacer(options.clock);
+        this.#pacer = new CyclePacer(options.clock);
     }
 
     /**
@@ -50,20 +50,20 @@
     }
 
     /** Resolves once all records so far are kept. */
-    untilKept(): Promise<void> {
-        return this.#kept;
+    untilCommitted(): Promise<void> {
+        return this.#committed;
     }
 
     /** Plans a turn, with a pass where one is wanted, for when what is ready has run. */
-    request(): void {
-        if (this.#isTurnDue) {
+    schedule(): void {
+        if (this.#isTurnScheduled) {
             return;
         }
-        this.#isTurnDue = true;
+        this.#isTurnScheduled = true;
         setImmediate(() => {
-            this.#isTurnDue = false;
-            if (this.options.cell.wantsPass && !this.#isFrozen && !this.#isInDoubt) {
-                this.#pass();
+            this.#isTurnScheduled = false;
+            if (this.options.cell.needsCycle && !this.#isFrozen && !this.#isOwnershipInDoubt) {
+                this.#runOrScheduleCycle();
             }
             void this.run();
         });
@@ -75,8 +75,8 @@
      */
     async run(): Promise<boolean> {
         const { cell, advice, journal, assignments, lost } = this.options;
-        if (this.#isInDoubt) {
-            await this.#untilCertain();
+        if (this.#isOwnershipInDoubt) {
+            await this.#untilOwnershipConfirmed();
         }
         const turn = cell.drain();
         if (this.#isFrozen) {
@@ -85,22 +85,22 @@
         }
         turn.commands.filter(command => command.kind !== "start").forEach(command => this.#send(command));
         advice.ask(...turn.questions);
-        this.#tidyLinks(turn);
+        this.#updateLinks(turn);
         try {
             if (turn.records.length > 0) {
-                this.#kept = journal.append(turn.records);
+                this.#committed = journal.append(turn.records);
             }
             // What this turn acknowledges may hang on records of an earlier one.
-            await this.#kept;
+            await this.#committed;
         }
         catch (cause) {
             lost.abort(cause);
             return false;
         }
-        if (this.#isInDoubt) {
-            await this.#untilCertain();
+        if (this.#isOwnershipInDoubt) {
+            await this.#untilOwnershipConfirmed();
         }
-        cell.kept(turn);
+        cell.turnCommitted(turn);
         turn.commands.filter(command => command.kind === "start").forEach(command => this.#sendStart(command));
         for (const [worker, through] of turn.acknowledgements) {
             // Numbers of ends are those of one life: the next one counts its own from 1.
@@ -109,8 +109,8 @@
                 assignments.vmOf(id)?.channel.send({ kind: "acknowledge", worker: id, through });
             }
         }
-        if (cell.wantsPass && !this.#isFrozen && !this.#isPassPlanned) {
-            this.request();
+        if (cell.needsCycle && !this.#isFrozen && !this.#isCycleScheduled) {
+            this.schedule();
         }
         return !lost.signal.aborted;
     }
@@ -119,34 +119,34 @@
      * Whether this process may have been suspended since the store last confirmed that it owns the cell: another VM may own it by
      * now, and nothing tells how long ago the last confirmation was.
      */
-    get #isInDoubt(): boolean {
-        return this.options.confirmedAt() < this.options.clock.countedSince();
+    get #isOwnershipInDoubt(): boolean {
+        return this.options.confirmedAt() < this.options.clock.uninterruptedSince();
     }
 
-    async #untilCertain(): Promise<void> {
+    async #untilOwnershipConfirmed(): Promise<void> {
         const { clock, confirm, lost } = this.options;
-        while (this.#isInDoubt && !lost.signal.aborted) {
-            if (!this.#isConfirming) {
-                this.#isConfirming = true;
+        while (this.#isOwnershipInDoubt && !lost.signal.aborted) {
+            if (!this.#isConfirmationRequested) {
+                this.#isConfirmationRequested = true;
                 confirm();
             }
-            await clock.sleep(confirmationPause, lost.signal);
+            await clock.sleep(confirmationPollInterval, lost.signal);
         }
-        this.#isConfirming = false;
+        this.#isConfirmationRequested = false;
     }
 
     /** A pass now, or a turn when the next one may be made. */
-    #pass(): void {
+    #runOrScheduleCycle(): void {
         const { cell, clock, lost } = this.options;
-        const { wait } = this.#pacer;
-        if (wait === 0) {
+        const { delay: delay } = this.#pacer;
+        if (delay === 0) {
             this.#pacer.run(() => cell.place());
         }
-        else if (!this.#isPassPlanned) {
-            this.#isPassPlanned = true;
-            void clock.sleep(wait, lost.signal).then(() => {
-                this.#isPassPlanned = false;
-                this.request();
+        else if (!this.#isCycleScheduled) {
+            this.#isCycleScheduled = true;
+            void clock.sleep(delay, lost.signal).then(() => {
+                this.#isCycleScheduled = false;
+                this.schedule();
             });
         }
     }
@@ -156,7 +156,7 @@
         const { cell, assignments } = this.options;
         const { worker, task, run } = command;
         const hasLink = assignments.vmOf(worker) !== undefined;
-        if (hasLink && cell.sendStart(worker, task, run)) {
+        if (hasLink && cell.prepareStart(worker, task, run)) {
             this.#send(command);
         }
         else {
@@ -169,13 +169,13 @@
     }
 
     /** Workers that came get a link, those that are gone lose it, and those that are elsewhere get another. */
-    #tidyLinks(turn: Turn): void {
+    #updateLinks(turn: TurnOutput): void {
         const { assignments, onNewWorkers } = this.options;
         let hasNew = false;
         for (const record of turn.records) {
             const isGone = record.kind === "worker-gone";
             hasNew ||= record.kind === "worker";
-            if (isGone || record.kind === "worker" && assignments.isElsewhere(record.worker, record.address)) {
+            if (isGone || record.kind === "worker" && assignments.hasOtherAddress(record.worker, record.address)) {
                 assignments.vmOf(record.worker)?.channel.send({ kind: "unassign", worker: record.worker });
                 assignments.remove(record.worker);
             }
--- a/packages/entry/src/owner/types.ts
+++ b/packages/entry/src/owner/types.ts
@@ -1,6 +1,6 @@
 /** What an owner is made from. */
-import type { CellConfiguration, VmService, WaveBoard, WorkerDirectory } from "@pebbledale/cell";
-import type { GapClock, Journal, JournalContents, Milliseconds } from "@pebbledale/core";
+import type { CellConfiguration, VmService, WaveStatusReporter, WorkerDirectory } from "@pebbledale/cell";
+import type { Journal, JournalContents, Milliseconds, SuspensionAwareClock } from "@pebbledale/core";
 import type { EventLogger } from "@pebbledale/runtime";
 import type { FollowLimits } from "../following/index.js";
 import type { EntryMetrics } from "../observation/index.js";
@@ -12,13 +12,13 @@
     readonly directory: WorkerDirectory;
     /** How long the workers' entries may go unheard. */
     readonly followLimits: FollowLimits;
-    readonly clock: GapClock;
+    readonly clock: SuspensionAwareClock;
     readonly logger: EventLogger;
     readonly metrics: EntryMetrics;
     readonly name: string;
     readonly configuration: CellConfiguration | undefined;
     /** How long after a take-over an earlier owner's leases may run at a worker that nobody reaches. */
-    readonly formerLeases: Milliseconds;
+    readonly formerLeaseLength: Milliseconds;
     /** When the store last confirmed that this VM owns the cell, by the monotonic clock. */
     readonly confirmedAt: () => Milliseconds;
     /**
@@ -37,7 +37,7 @@
     /** Told once when a much larger VM has been connected for a while. */
     readonly onLargerVm: () => void;
     /** Whether this VM has been cut off from most of the others. */
-    readonly isCutOff: () => boolean;
+    readonly isIsolated: () => boolean;
     /** Told of a configuration that a VM saw. */
     readonly onConfiguration: (configuration: CellConfiguration) => void;
     /** The platform's service of VMs; undefined where there is none. */
@@ -47,7 +47,7 @@
 /** What an owner needs for waves of upkeep. */
 export interface OwnerUpkeep {
     readonly vms: VmService;
-    readonly board: WaveBoard;
+    readonly board: WaveStatusReporter;
     readonly upkeepTime: Milliseconds;
     readonly turnLength: Milliseconds;
 }
--- a/packages/entry/src/owner/upkeep-keeper.ts
+++ b/packages/entry/src/owner/upkeep-keeper.ts
@@ -4,22 +4,22 @@
     type UpkeepWave,
     type VmId,
     type VmOrderAnswer,
-    type VmOrderer,
+    type VmOrderIssuer,
     type VmService,
-    type WaveBoard,
     WavePlanner,
     WaveState,
+    type WaveStatusReporter,
 } from "@pebbledale/cell";
 import { type Clock, logEvents, type Milliseconds, type WorkerId } from "@pebbledale/core";
 import type { EventLogger } from "@pebbledale/runtime";
 
 /** What a keeper needs. */
-export interface UpkeepKeeperOptions {
+export interface UpkeepControllerOptions {
     readonly vms: VmService;
-    readonly board: WaveBoard;
+    readonly board: WaveStatusReporter;
     readonly clock: Clock;
     readonly logger: EventLogger;
-    readonly orderer: VmOrderer;
+    readonly orderer: VmOrderIssuer;
     /** How long a VM is down. */
     readonly upkeepTime: Milliseconds;
     /** How long after a take-over the former owner's orders count as its turn. */
@@ -30,15 +30,15 @@
 }
 
 /** Time between two looks at the VMs while a wave runs, in milliseconds: two readings a second of the sixty allowed. */
-const lookInterval: Milliseconds = 500;
+const pollInterval: Milliseconds = 500;
 
 /** See the module's comment. */
-export class UpkeepKeeper {
+export class UpkeepController {
     readonly #planner: WavePlanner;
-    readonly #told = new Map<number, WaveState>();
+    readonly #reportedStates = new Map<number, WaveState>();
     #isRunning = false;
 
-    constructor(private readonly options: UpkeepKeeperOptions) {
+    constructor(private readonly options: UpkeepControllerOptions) {
         const { clock, workerOf, upkeepTime } = options;
         this.#planner = new WavePlanner({ now: () => clock.monotonic(), workerOf, upkeepTime });
     }
@@ -59,12 +59,12 @@
         while (this.#planner.isBusy && !signal.aborted) {
             try {
                 hasRead ||= await this.#readCompleted();
-                await this.#round();
+                await this.#runRound();
             }
             catch (cause) {
                 logger.log(logEvents.upkeepFailed, { cause: String(cause) });
             }
-            await clock.sleep(lookInterval, signal);
+            await clock.sleep(pollInterval, signal);
         }
         closeWorkers(new Set());
         this.#isRunning = false;
@@ -75,14 +75,14 @@
         return true;
     }
 
-    async #round(): Promise<void> {
+    async #runRound(): Promise<void> {
         const { vms, signal, closeWorkers } = this.options;
-        this.#planner.takeList(await vms.list(signal));
+        this.#planner.applyList(await vms.list(signal));
         const { closed, begin, states } = this.#planner.plan();
         closeWorkers(closed);
         await Promise.all(begin.map(({ wave, vm }) => this.#begin(wave, vm)));
         for (const [wave, state] of states) {
-            await this.#tell(wave, state);
+            await this.#reportState(wave, state);
         }
     }
 
@@ -91,10 +91,10 @@
         this.#planner.noteOrdered(wave, vm);
         const answer = await vms.beginUpkeep(vm, wave, orderer, signal).catch((): undefined => undefined);
         logger.log(logEvents.upkeepOrdered, { wave, vm, answer: answer?.kind ?? "none" });
-        this.#takeAnswer(wave, vm, answer);
+        this.#handleAnswer(wave, vm, answer);
     }
 
-    #takeAnswer(wave: number, vm: VmId, answer: VmOrderAnswer | undefined): void {
+    #handleAnswer(wave: number, vm: VmId, answer: VmOrderAnswer | undefined): void {
         if (answer?.kind === "done") {
             this.#planner.noteConfirmed(wave, vm);
         }
@@ -103,12 +103,12 @@
         }
     }
 
-    async #tell(wave: number, state: WaveState): Promise<void> {
-        if (this.#told.get(wave) === state) {
+    async #reportState(wave: number, state: WaveState): Promise<void> {
+        if (this.#reportedStates.get(wave) === state) {
             return;
         }
-        await this.options.board.tell(wave, state);
-        this.#told.set(wave, state);
+        await this.options.board.report(wave, state);
+        this.#reportedStates.set(wave, state);
         if (state === WaveState.Completed) {
             this.#planner.noteCompleted(wave);
         }
--- a/packages/entry/src/owner/vm-link.ts
+++ b/packages/entry/src/owner/vm-link.ts
@@ -5,9 +5,9 @@
 import type { StoreOperation } from "../store-relay/index.js";
 
 /** Added to a watch's wait before a call through a VM has failed, and the limit of other calls. */
-const storeCallLimit: Milliseconds = 1_000;
+const storeCallTimeout: Milliseconds = 1_000;
 
-interface StoreCall {
+interface PendingStoreCall {
     readonly resolve: (answer: unknown) => void;
     readonly reject: (cause: Error) => void;
     readonly timer: NodeJS.Timeout;
@@ -16,12 +16,12 @@
 /** See the module's comment. */
 export class VmLink {
     readonly workers = new Set<WorkerId>();
-    heardAt: Milliseconds;
+    lastHeardAt: Milliseconds;
     /** Whether it is about to stop: it gets no links and no questions. */
     isLeaving = false;
     /** Whether its last call of the store for the owner had no answer. */
     isStoreDoubtful = false;
-    readonly #calls = new Map<number, StoreCall>();
+    readonly #pendingCalls = new Map<number, PendingStoreCall>();
     #nextCall = 1;
 
     constructor(
@@ -30,32 +30,32 @@
         /** When it was connected, by the owner's monotonic clock. */
         readonly connectedAt: Milliseconds,
     ) {
-        this.heardAt = connectedAt;
+        this.lastHeardAt = connectedAt;
     }
 
     /** Links for each share of a core, were one more added: VMs with less take fewer. */
-    get load(): number {
+    get loadWithOneMore(): number {
         return (this.workers.size + 1) / this.vm.processorShare;
     }
 
     /** Has the VM make a call of the store. */
     callStore(operation: StoreOperation): Promise<unknown> {
         const call = this.#nextCall++;
-        const limit = storeCallLimit + (operation.kind === "changes" ? operation.duration : 0);
+        const limit = storeCallTimeout + (operation.kind === "changes" ? operation.duration : 0);
         return new Promise((resolve, reject) => {
-            const timer = setTimeout(() => this.takeStoreAnswer(call, false, undefined), limit);
-            this.#calls.set(call, { resolve, reject, timer });
+            const timer = setTimeout(() => this.settleStoreCall(call, false, undefined), limit);
+            this.#pendingCalls.set(call, { resolve, reject, timer });
             this.channel.send({ kind: "store-call", call, operation });
         });
     }
 
     /** Takes the answer to a call of the store. */
-    takeStoreAnswer(number: number, isAnswered: boolean, answer: unknown, cause = "no answer"): void {
-        const call = this.#calls.get(number);
+    settleStoreCall(number: number, isAnswered: boolean, answer: unknown, cause = "no answer"): void {
+        const call = this.#pendingCalls.get(number);
         if (call === undefined) {
             return;
         }
-        this.#calls.delete(number);
+        this.#pendingCalls.delete(number);
         clearTimeout(call.timer);
         this.isStoreDoubtful = !isAnswered;
         if (isAnswered) {
@@ -67,7 +67,7 @@
     }
 
     /** The connection has ended: no call gets an answer any more. */
-    dropCalls(): void {
-        [...this.#calls.keys()].forEach(call => this.takeStoreAnswer(call, false, undefined));
+    failPendingCalls(): void {
+        [...this.#pendingCalls.keys()].forEach(call => this.settleStoreCall(call, false, undefined));
     }
 }
--- a/packages/entry/src/owner/worker-inbox.ts
+++ b/packages/entry/src/owner/worker-inbox.ts
@@ -3,28 +3,28 @@
 import type { Clock, Milliseconds, WorkerId } from "@pebbledale/core";
 import type { WorkerMessage } from "../protocol/index.js";
 import type { Assignment, Assignments } from "./assignments.js";
-import { lookAgeMargin } from "./constants.js";
+import { pollAgeMargin } from "./constants.js";
 import type { VmLink } from "./vm-link.js";
 
 /** What an inbox needs. */
-export interface WorkerInboxOptions {
+export interface WorkerReportHandlerOptions {
     readonly cell: CellScheduler;
     readonly assignments: Assignments;
     readonly clock: Clock;
     /** When leases that an earlier owner gave are over, also at a worker that nobody reaches, by the monotonic clock. */
-    readonly formerLeasesOverAt: Milliseconds;
+    readonly formerLeasesExpireAt: Milliseconds;
     /** Told of a worker that has seen a later owner. */
     readonly onFenced: (worker: WorkerId) => void;
 }
 
 /** See the module's comment. */
-export class WorkerInbox {
-    constructor(private readonly options: WorkerInboxOptions) {}
+export class WorkerReportHandler {
+    constructor(private readonly options: WorkerReportHandlerOptions) {}
 
     /** Takes a message of a VM in. */
-    take(link: VmLink, message: WorkerMessage): void {
+    handle(link: VmLink, message: WorkerMessage): void {
         const { cell, assignments, onFenced } = this.options;
-        const assignment = assignments.under(message.assignment, message.worker, link);
+        const assignment = assignments.find(message.assignment, message.worker, link);
         if (assignment === undefined) {
             // Another link, at this VM or another, has the worker by now; its first look tells all that is known here. A look of
             // the former one would settle orders that may still reach the worker.
@@ -32,28 +32,28 @@
         }
         switch (message.kind) {
             case "looked":
-                this.#takeLook(link, assignment, message);
+                this.#handlePoll(link, assignment, message);
                 break;
             case "ends":
-                cell.takeEnds(message.worker, message.ended);
+                cell.applyEnds(message.worker, message.ended);
                 break;
             case "started":
-                this.#takeStarted(message);
+                this.#handleStartResult(message);
                 break;
             case "silent":
-                cell.takeSilence(message.worker, this.#lapsesAt(message.worker, message.lapsesIn), {
+                cell.applySilence(message.worker, this.#leasesExpireAt(message.worker, message.lapsesIn), {
                     cause: message.cause,
                     heardAgo: message.heardAgo,
                 });
                 break;
             case "restarted":
-                cell.takeRestart(message.worker, message.life);
+                cell.applyRestart(message.worker, message.life);
                 assignments.noteRestart(message.worker);
-                assignments.noteDoubt(message.worker, message.doubtfulFor ?? 0);
+                assignments.extendLateOrderWindow(message.worker, message.doubtfulFor ?? 0);
                 this.#endLink(link, message.worker);
                 break;
             case "other-life":
-                cell.takeOtherLife(message.worker);
+                cell.applyReplacement(message.worker);
                 this.#endLink(link, message.worker);
                 break;
             case "fenced":
@@ -68,12 +68,16 @@
         this.options.assignments.remove(worker);
     }
 
-    #takeLook(link: VmLink, assignment: Assignment, { worker, look, age }: WorkerMessage & { kind: "looked"; }): void {
+    #handlePoll(
+        link: VmLink,
+        assignment: Assignment,
+        { worker, look, age }: WorkerMessage & { kind: "looked"; },
+    ): void {
         const { cell, clock } = this.options;
-        const settledBefore = assignment.hasLooked ? -Infinity : assignment.since;
-        assignment.hasLooked = true;
+        const settledBefore = assignment.hasPolled ? -Infinity : assignment.assignedAt;
+        assignment.hasPolled = true;
         this.#resumeIfSilent(link, worker);
-        cell.takeLook(worker, look, clock.monotonic() - age - lookAgeMargin, settledBefore);
+        cell.applyPoll(worker, look, clock.monotonic() - age - pollAgeMargin, settledBefore);
     }
 
     /** A worker that answers again may be given leases from now on: what lapsed meanwhile was taken in. */
@@ -83,18 +87,18 @@
         }
     }
 
-    #takeStarted({ worker, task, run, refusal }: WorkerMessage & { kind: "started"; }): void {
+    #handleStartResult({ worker, task, run, refusal }: WorkerMessage & { kind: "started"; }): void {
         const { cell } = this.options;
         if (refusal === undefined) {
-            cell.startTaken(worker, task, run);
+            cell.startAccepted(worker, task, run);
             return;
         }
         cell.startRefused(worker, task, run, refusal === "not-delivered" ? undefined : refusal);
     }
 
     /** Until the first look of this owner, an earlier one's leases may run longer than this link's own. */
-    #lapsesAt(worker: WorkerId, lapsesIn: Milliseconds): Milliseconds {
-        const { cell, clock, formerLeasesOverAt } = this.options;
+    #leasesExpireAt(worker: WorkerId, lapsesIn: Milliseconds): Milliseconds {
+        const { cell, clock, formerLeasesExpireAt: formerLeasesOverAt } = this.options;
         const lapsesAt = clock.monotonic() + lapsesIn;
         return cell.workers.get(worker)?.isClaimed === true ? lapsesAt : Math.max(lapsesAt, formerLeasesOverAt);
     }
--- a/packages/entry/src/ownership/campaign.ts
+++ b/packages/entry/src/ownership/campaign.ts
@@ -3,12 +3,12 @@
 import type { CellView, EntryVm } from "../membership/index.js";
 import {
     equalCandidateDelay,
-    firstWordLimit,
-    gatheringPause,
+    firstMessageTimeout,
+    formationQuietTime,
     largerCandidateDelay,
-    ownerHeardLately,
-    ownerKeyBack,
-    ownerSuspectedAfter,
+    ownerKeyRestoreTimeout,
+    ownerRecentlyHeardWindow,
+    ownerSuspicionTimeout,
 } from "./constants.js";
 
 /** What is known at a moment. */
@@ -46,7 +46,7 @@
 };
 
 /** The reason of a claim that holds only if the other VMs do not hear the owner either. */
-export const ownerIsSilent = "the owner is silent";
+export const ownerSilentReason = "the owner is silent";
 
 const reasonToSuspect = ({ view, now, heardSilence }: CampaignInput): string | undefined => {
     if (heardSilence === undefined) {
@@ -54,26 +54,26 @@
     }
     // What was heard before this owner's claim was an earlier one: a new owner reads the journal before it speaks.
     const hasSpoken = now - heardSilence > view.ownerSince;
-    const isSilent = hasSpoken ? heardSilence > ownerSuspectedAfter : now - view.ownerSince > firstWordLimit;
-    return isSilent ? ownerIsSilent : undefined;
+    const isSilent = hasSpoken ? heardSilence > ownerSuspicionTimeout : now - view.ownerSince > firstMessageTimeout;
+    return isSilent ? ownerSilentReason : undefined;
 };
 
 const reasonWithoutOwner = ({ view, ownerSilence, now }: CampaignInput): string | undefined => {
     if (view.ownerMissingSince === undefined) {
         return undefined;
     }
-    if (ownerSilence > ownerHeardLately) {
+    if (ownerSilence > ownerRecentlyHeardWindow) {
         return "there is no owner";
     }
-    return now - view.ownerMissingSince > ownerKeyBack ? "the owner does not put its key back" : undefined;
+    return now - view.ownerMissingSince > ownerKeyRestoreTimeout ? "the owner does not put its key back" : undefined;
 };
 
 /** Whether VMs have just begun to show up, as in a start of all: larger ones may follow. */
-export const isGathering = ({ view, now, isAsked }: CampaignInput): boolean =>
-    !isAsked && now - view.grownAt < gatheringPause;
+export const isCellForming = ({ view, now, isAsked }: CampaignInput): boolean =>
+    !isAsked && now - view.lastVmAddedAt < formationQuietTime;
 
 /** Whether a claim can only become due by something that is told: no time that passes makes it so. */
-export const isCalm = ({ view, heardSilence }: CampaignInput): boolean =>
+export const isOwnershipStable = ({ view, heardSilence }: CampaignInput): boolean =>
     view.owner !== undefined && heardSilence === undefined;
 
 /** How long a VM leaves the claim to those before it: larger ones first, then by name. */
--- a/packages/entry/src/ownership/candidate.ts
+++ b/packages/entry/src/ownership/candidate.ts
@@ -2,7 +2,6 @@
 import type { CellConfiguration, UpkeepWave, WorkerDirectory } from "@pebbledale/cell";
 import {
     absentVersion,
-    type GapClock,
     JournalFencedError,
     type KeyVersion,
     logEvents,
@@ -12,6 +11,7 @@
     processId,
     type Random,
     shardId,
+    type SuspensionAwareClock,
 } from "@pebbledale/core";
 import { createAbortController, type EventLogger, unlessAborted } from "@pebbledale/runtime";
 import type { FollowLimits } from "../following/index.js";
@@ -19,26 +19,33 @@
 import type { EntryMetrics } from "../observation/index.js";
 import {
     commitInterval,
-    journalLargestBytes,
-    journalMostOnTheirWay,
-    journalRepeatAfter,
+    journalMaxInFlight,
+    journalMaxValueBytes,
+    journalResendDelay,
     journalRetryDelay,
     journalRingSize,
-    journalSnapshotEvery,
+    journalSnapshotInterval,
 } from "../owner/constants.js";
 import { HandOverOutcome, OwnerSession, type OwnerUpkeep } from "../owner/index.js";
 import { VmDialer } from "../peers/index.js";
-import { type CampaignInput, claimDelay, isCalm, isGathering, ownerIsSilent, reasonToClaim } from "./campaign.js";
 import {
-    agreedSilence,
-    calmCampaignInterval,
+    type CampaignInput,
+    claimDelay,
+    isCellForming,
+    isOwnershipStable,
+    ownerSilentReason,
+    reasonToClaim,
+} from "./campaign.js";
+import {
+    agreedSilenceThreshold,
     campaignInterval,
     claimRetryDelay,
-    firstMessagesTime,
-    handOverWait,
-    isolationLimit,
-    reachLimit,
-    suspicionPause,
+    firstMessagesDelay,
+    handOverTimeout,
+    isolationTimeout,
+    reachTimeout,
+    stableCampaignInterval,
+    suspicionCooldown,
 } from "./constants.js";
 import { ClaimAbandonedError } from "./errors.js";
 import { OwnerKey } from "./owner-key.js";
@@ -47,7 +54,7 @@
 export interface CandidateOptions {
     readonly store: PlatformStore;
     readonly directory: WorkerDirectory;
-    readonly clock: GapClock;
+    readonly clock: SuspensionAwareClock;
     readonly random: Random;
     readonly logger: EventLogger;
     readonly metrics: EntryMetrics;
@@ -59,14 +66,14 @@
     readonly followLimits: FollowLimits;
     readonly configuration: () => CellConfiguration | undefined;
     readonly onConfiguration: (configuration: CellConfiguration) => void;
-    readonly formerLeases: Milliseconds;
+    readonly formerLeaseLength: Milliseconds;
     /** Waves of upkeep that are known. */
     readonly waves: () => readonly UpkeepWave[];
     readonly upkeep: OwnerUpkeep | undefined;
     /** What is known of the present owner. */
-    readonly knownOwner: () => Pick<CampaignInput, "ownerSilence" | "heardSilence" | "deadOwner" | "isAsked">;
+    readonly ownerStatus: () => Pick<CampaignInput, "ownerSilence" | "heardSilence" | "deadOwner" | "isAsked">;
     /** Connects this VM itself to its own work as owner. */
-    readonly connectOwn: (session: OwnerSession) => void;
+    readonly connectSelf: (session: OwnerSession) => void;
 }
 
 /** A claim that is on its way. */
@@ -83,13 +90,13 @@
 /** See the module's comment. */
 export class Candidate {
     #session: OwnerSession | undefined;
-    #wantsSince: Milliseconds | undefined;
+    #eligibleSince: Milliseconds | undefined;
     /** Since when this VM wants the cell and reaches too few of the others. */
     #isolatedSince: Milliseconds | undefined;
     /** Suspicions are not followed before this: the other VMs did not share the last one. */
-    #trustsOwnerUntil = -Infinity;
+    #suspicionsIgnoredUntil = -Infinity;
 
-    #poked = createAbortController();
+    #wakeUp = createAbortController();
 
     constructor(private readonly options: CandidateOptions) {}
 
@@ -99,7 +106,7 @@
     }
 
     /** Another owner with a higher epoch speaks: what this VM still does as owner is over. */
-    noteOwner(epoch: number): void {
+    noteOwnerEpoch(epoch: number): void {
         if (this.#session !== undefined && epoch > this.#session.epoch) {
             this.#session.stepDown("another owner speaks");
         }
@@ -111,40 +118,40 @@
         while (!stop.aborted) {
             const input = this.#input();
             const reason = reasonToClaim(input);
-            if (reason === undefined || !this.#hasWaited(input) || isGathering(input)) {
-                this.#wantsSince = reason === undefined ? undefined : this.#wantsSince;
-                await this.#pause(
-                    reason === undefined && isCalm(input) ? calmCampaignInterval : campaignInterval,
+            if (reason === undefined || !this.#hasWaited(input) || isCellForming(input)) {
+                this.#eligibleSince = reason === undefined ? undefined : this.#eligibleSince;
+                await this.#waitForChange(
+                    reason === undefined && isOwnershipStable(input) ? stableCampaignInterval : campaignInterval,
                     stop,
                 );
                 continue;
             }
-            this.#wantsSince = undefined;
+            this.#eligibleSince = undefined;
             try {
                 await this.#claimAndServe(reason, stop);
             }
             catch (cause) {
-                await clock.sleep(this.#pauseAfter(cause), stop);
+                await clock.sleep(this.#retryDelayAfter(cause), stop);
             }
         }
     }
 
     /** What may lead to a claim has changed. */
-    poke(): void {
-        this.#poked.abort();
+    wake(): void {
+        this.#wakeUp.abort();
     }
 
     /** Waits until something changes, or for `duration`. */
-    async #pause(duration: Milliseconds, stop: AbortSignal): Promise<void> {
-        this.#poked = createAbortController();
-        const end = () => this.poke();
+    async #waitForChange(duration: Milliseconds, stop: AbortSignal): Promise<void> {
+        this.#wakeUp = createAbortController();
+        const end = () => this.wake();
         stop.addEventListener("abort", end, { once: true });
-        await this.options.clock.sleep(stop.aborted ? 0 : duration, this.#poked.signal);
+        await this.options.clock.sleep(stop.aborted ? 0 : duration, this.#wakeUp.signal);
         stop.removeEventListener("abort", end);
     }
 
     /** How long to wait after a claim that came to nothing. */
-    #pauseAfter(cause: unknown): Milliseconds {
+    #retryDelayAfter(cause: unknown): Milliseconds {
         if (cause instanceof ClaimAbandonedError) {
             // Who was faster is seen by then; a claim that is tried again before that takes three calls of the store.
             return campaignInterval;
@@ -154,7 +161,7 @@
     }
 
     #input(): CampaignInput {
-        const { view, self, clock, knownOwner } = this.options;
+        const { view, self, clock, ownerStatus: knownOwner } = this.options;
         const now = clock.monotonic();
         const known = knownOwner();
         return {
@@ -162,14 +169,14 @@
             self,
             now,
             ...known,
-            heardSilence: now < this.#trustsOwnerUntil ? undefined : known.heardSilence,
+            heardSilence: now < this.#suspicionsIgnoredUntil ? undefined : known.heardSilence,
         };
     }
 
     #hasWaited(input: CampaignInput): boolean {
         const now = this.options.clock.monotonic();
-        this.#wantsSince ??= now;
-        return now - this.#wantsSince >= claimDelay(input);
+        this.#eligibleSince ??= now;
+        return now - this.#eligibleSince >= claimDelay(input);
     }
 
     async #claimAndServe(reason: string, stop: AbortSignal): Promise<void> {
@@ -180,10 +187,10 @@
         const dialer = new VmDialer(view, self, clock);
         const dialing = dialer.run(released.signal);
         let keeping: Promise<void> | undefined;
-        const reached = this.#reach(dialer, key, reason);
+        const reached = this.#checkPreconditions(dialer, key, reason);
         const claimed = reached.then(expected => this.#claim(key, expected)).then(() => {
             logger.log(logEvents.ownershipClaimed, { reason });
-            keeping = key.keep(released.signal);
+            keeping = key.keepAlive(released.signal);
         });
         try {
             // Candidates that come after another one find its claim by now, and need not read the journal: in a start of 30 VMs each of them
@@ -199,10 +206,10 @@
     }
 
     /** Reaches the other VMs; resolves to the version of the owner's key that is to be replaced, rejects when this VM is not to have it. */
-    async #reach(dialer: VmDialer, key: OwnerKey, reason: string): Promise<KeyVersion> {
+    async #checkPreconditions(dialer: VmDialer, key: OwnerKey, reason: string): Promise<KeyVersion> {
         const expected = this.options.view.ownerVersion ?? absentVersion;
         key.prepare();
-        if (reason === ownerIsSilent && !await this.#othersAgree(dialer)) {
+        if (reason === ownerSilentReason && !await this.#doOthersAgreeOnSilence(dialer)) {
             throw new ClaimAbandonedError("the other VMs hear the owner");
         }
         if (!await this.#reachesOthers(dialer)) {
@@ -222,12 +229,12 @@
     }
 
     /** Whether the other VMs do not hear the owner either. */
-    async #othersAgree(dialer: VmDialer): Promise<boolean> {
+    async #doOthersAgreeOnSilence(dialer: VmDialer): Promise<boolean> {
         const { view, clock, logger } = this.options;
-        const agrees = await dialer.untilSilenceAgreed(view.owner?.name ?? "", agreedSilence, reachLimit);
+        const agrees = await dialer.untilSilenceAgreed(view.owner?.name ?? "", agreedSilenceThreshold, reachTimeout);
         logger.log(logEvents.ownerSuspected, { owner: view.owner?.name, agrees });
         if (!agrees) {
-            this.#trustsOwnerUntil = clock.monotonic() + suspicionPause;
+            this.#suspicionsIgnoredUntil = clock.monotonic() + suspicionCooldown;
         }
         return agrees;
     }
@@ -235,14 +242,14 @@
     /** Whether this VM reaches others, or nobody has claimed the cell for so long that it does not matter. */
     async #reachesOthers(dialer: VmDialer): Promise<boolean> {
         const { clock, logger } = this.options;
-        await dialer.untilReached(reachLimit);
+        await dialer.untilReached(reachTimeout);
         if (!dialer.isIsolated) {
             this.#isolatedSince = undefined;
             return true;
         }
         const now = clock.monotonic();
         this.#isolatedSince ??= now;
-        if (now - this.#isolatedSince > isolationLimit) {
+        if (now - this.#isolatedSince > isolationTimeout) {
             return true;
         }
         logger.log(logEvents.claimAbandoned, { isolatedFor: now - this.#isolatedSince });
@@ -270,12 +277,12 @@
                 signal: lost.signal,
                 options: {
                     ringSize: journalRingSize,
-                    snapshotEvery: journalSnapshotEvery,
+                    snapshotEvery: journalSnapshotInterval,
                     commitInterval,
                     retryDelay: journalRetryDelay,
-                    repeatAfter: journalRepeatAfter,
-                    mostOnTheirWay: journalMostOnTheirWay,
-                    largestBytes: journalLargestBytes,
+                    repeatAfter: journalResendDelay,
+                    maxInFlight: journalMaxInFlight,
+                    maxValueBytes: journalMaxValueBytes,
                 },
             }, claimed);
             // A silent store would keep a process that stops for as long as its calls take.
@@ -293,23 +300,23 @@
                 metrics: this.options.metrics,
                 name: self.name,
                 configuration: this.options.configuration(),
-                formerLeases: this.options.formerLeases,
+                formerLeaseLength: this.options.formerLeaseLength,
                 lost,
                 confirmedAt: () => Math.max(journal.lastContact, key.confirmedAt),
                 keyConfirmedAt: () => key.confirmedAt,
                 confirm: () => key.confirm(lost.signal),
                 ownerLease: this.options.leaseLength,
                 onSilentVm: name => dialer.noteSilence(name),
-                isCutOff: () => dialer.hasBeenCutOff,
+                isIsolated: () => dialer.hasBecomeIsolated,
                 onConfiguration: this.options.onConfiguration,
                 upkeep: this.options.upkeep,
                 onLargerVm: () => void this.#handOver(lost, "a much larger VM is connected", stop),
             });
             session.addWaves(this.options.waves());
-            dialer.use(session);
-            await clock.sleep(firstMessagesTime, lost.signal);
+            dialer.attach(session);
+            await clock.sleep(firstMessagesDelay, lost.signal);
             this.#session = session;
-            this.options.connectOwn(session);
+            this.options.connectSelf(session);
             await session.run();
         }
         finally {
@@ -334,7 +341,7 @@
         if (outcome === HandOverOutcome.StoreSilent && !stop.aborted) {
             return;
         }
-        await clock.sleep(outcome === HandOverOutcome.Offered ? handOverWait : 0, lost.signal);
+        await clock.sleep(outcome === HandOverOutcome.Offered ? handOverTimeout : 0, lost.signal);
         lost.abort(new Error(reason));
     }
 }
--- a/packages/entry/src/ownership/owner-key.ts
+++ b/packages/entry/src/ownership/owner-key.ts
@@ -9,8 +9,8 @@
     type PlatformStore,
 } from "@pebbledale/core";
 import type { EventLogger } from "@pebbledale/runtime";
-import { ownerKey, revokeLimit } from "../membership/index.js";
-import { DependencyWatch } from "../observation/index.js";
+import { ownerKey, revokeTimeout } from "../membership/index.js";
+import { DependencyMonitor } from "../observation/index.js";
 import { renewalsPerLease } from "./constants.js";
 
 /** What an owner's key needs. */
@@ -31,18 +31,18 @@
 
 /** See the module's comment. */
 export class OwnerKey {
-    readonly #watch: DependencyWatch;
+    readonly #watch: DependencyMonitor;
     #lease: PlatformLeaseId | undefined;
     #confirmedAt = -Infinity;
     /** A lease that was asked for ahead of a claim. */
     #prepared: PreparedLease | undefined;
     /** The claim of a key whose lease has ended, while it is on its way. */
-    #claiming: Promise<unknown> | undefined;
+    #reclaim: Promise<unknown> | undefined;
 
     constructor(private readonly options: OwnerKeyOptions) {
         const { logger, clock } = options;
         const { ownerKeyFailed: lost, ownerKeyRestored: regained } = logEvents;
-        this.#watch = new DependencyWatch({ logger, clock, lost, regained });
+        this.#watch = new DependencyMonitor({ logger, clock, lostEvent: lost, recoveredEvent: regained });
     }
 
     /**
@@ -55,7 +55,7 @@
 
     /** Asks for the lease of a claim that may follow: a slow store answers meanwhile. */
     prepare(): void {
-        this.#prepared = this.#askForLease();
+        this.#prepared = this.#requestLease();
         // A failure counts once the lease is used.
         this.#prepared.granted.catch(() => undefined);
     }
@@ -63,7 +63,7 @@
     /** Claims the key if its version is still `expected`; false when another process was faster. */
     async claim(expected: KeyVersion): Promise<boolean> {
         const { store, value } = this.options;
-        const { sentAt, granted } = this.#prepared ?? this.#askForLease();
+        const { sentAt, granted } = this.#prepared ?? this.#requestLease();
         this.#prepared = undefined;
         const lease = await granted;
         const outcome = await store.compareAndSwap(ownerKey, expected, value, lease);
@@ -77,7 +77,7 @@
     }
 
     /** Keeps the key until `signal` fires, then gives it up. */
-    async keep(signal: AbortSignal): Promise<void> {
+    async keepAlive(signal: AbortSignal): Promise<void> {
         const { clock, leaseLength } = this.options;
         while (!signal.aborted) {
             await clock.sleep(leaseLength / renewalsPerLease, signal);
@@ -87,23 +87,23 @@
             }
         }
         // Without an answer the lease runs out by itself.
-        await Promise.race([this.#giveUp(), clock.sleep(revokeLimit)]);
+        await Promise.race([this.#release(), clock.sleep(revokeTimeout)]);
     }
 
-    async #giveUp(): Promise<void> {
+    async #release(): Promise<void> {
         const { store } = this.options;
-        await this.#claiming?.catch((cause: unknown) => this.#watch.noteFailure(cause));
+        await this.#reclaim?.catch((cause: unknown) => this.#watch.recordFailure(cause));
         if (this.#lease !== undefined) {
-            await store.revokeLease(this.#lease).catch((cause: unknown) => this.#watch.noteFailure(cause));
+            await store.revokeLease(this.#lease).catch((cause: unknown) => this.#watch.recordFailure(cause));
         }
     }
 
     /** Has the store asked at once. */
     confirm(signal: AbortSignal): void {
-        void this.#renew(signal).then(() => this.#watch.noteAnswer(), cause => this.#watch.noteFailure(cause));
+        void this.#renew(signal).then(() => this.#watch.recordSuccess(), cause => this.#watch.recordFailure(cause));
     }
 
-    #askForLease(): PreparedLease {
+    #requestLease(): PreparedLease {
         const { store, clock, leaseLength } = this.options;
         return { sentAt: clock.monotonic(), granted: store.grantLease(leaseLength) };
     }
@@ -119,8 +119,8 @@
         if (lease === this.#lease && !signal.aborted) {
             this.#lease = undefined;
             this.#confirmedAt = -Infinity;
-            this.#claiming ??= this.claim(absentVersion).finally(() => this.#claiming = undefined);
+            this.#reclaim ??= this.claim(absentVersion).finally(() => this.#reclaim = undefined);
         }
-        await this.#claiming;
+        await this.#reclaim;
     }
 }
--- a/packages/entry/src/peers/server.ts
+++ b/packages/entry/src/peers/server.ts
@@ -6,12 +6,12 @@
 import { type Channel, type OwnerMessage, SocketChannel, type VmMessage } from "../protocol/index.js";
 
 /** Largest bundle that is taken, in bytes. */
-const largestBundle = 16 * 1_048_576;
+const maxBatchBytes = 16 * 1_048_576;
 
 /** Options of both ends: bundles are small and frequent, so compressing them costs more than it saves. */
-const common = { perMessageDeflate: false, maxPayload: largestBundle };
+const socketOptions = { perMessageDeflate: false, maxPayload: maxBatchBytes };
 
-const split = (address: string): { host: string; port: number; } => {
+const parseAddress = (address: string): { host: string; port: number; } => {
     const [host, port] = address.split(":");
     return { host, port: Number(port) };
 };
@@ -22,7 +22,7 @@
     attach: (channel: Channel<VmMessage, OwnerMessage>) => void,
     signal: AbortSignal,
 ): Promise<void> => {
-    const server = new WebSocketServer({ ...split(address), ...common });
+    const server = new WebSocketServer({ ...parseAddress(address), ...socketOptions });
     server.on("connection", socket => attach(new SocketChannel(socket)));
     await once(server, "listening");
     signal.addEventListener("abort", () => {
@@ -41,7 +41,7 @@
 
 /** Dials a VM. */
 export const dialVm = async (address: string, limit: Milliseconds): Promise<DialOutcome> => {
-    const socket = new WebSocket(`ws://${address}`, { ...common, handshakeTimeout: limit });
+    const socket = new WebSocket(`ws://${address}`, { ...socketOptions, handshakeTimeout: limit });
     // Made before it opens: a first message may come with the answer to the handshake.
     const channel = new SocketChannel<OwnerMessage, VmMessage>(socket);
     try {
@@ -61,9 +61,9 @@
 };
 
 /** Whether nothing listens at an address: its VM lives and refuses. Silence is no such sign. */
-export const isRefused = (address: string, limit: Milliseconds): Promise<boolean> =>
+export const refusesConnections = (address: string, limit: Milliseconds): Promise<boolean> =>
     new Promise(resolve => {
-        const socket = connectTcp(split(address));
+        const socket = connectTcp(parseAddress(address));
         const finish = (refused: boolean) => {
             clearTimeout(timer);
             socket.destroy();
--- a/packages/entry/src/peers/vm-dialer.ts
+++ b/packages/entry/src/peers/vm-dialer.ts
@@ -5,7 +5,7 @@
  */
 import type { Clock, Milliseconds } from "@pebbledale/core";
 import type { CellView, EntryVm } from "../membership/index.js";
-import { dialDelay, dialLimit, rememberVm } from "../owner/constants.js";
+import { dialRetryDelay, dialTimeout, vmRetention } from "../owner/constants.js";
 import type { Channel, OwnerMessage, VmMessage } from "../protocol/index.js";
 import { dialVm } from "./server.js";
 
@@ -21,8 +21,8 @@
 
 interface KnownVm {
     vm: EntryVm;
-    seenAt: Milliseconds;
-    triedAt: Milliseconds;
+    lastSeenAt: Milliseconds;
+    lastDialledAt: Milliseconds;
     /** Whether the way to it is open: it answered, or refused. Undefined before the first dial ended. */
     isReachable: boolean | undefined;
     /** How long it had not heard the owner when it was dialled; undefined before it said so. */
@@ -30,9 +30,9 @@
 }
 
 /** Time between two looks at which VMs are to be dialled, in milliseconds. */
-const lookInterval: Milliseconds = 50;
+const dialInterval: Milliseconds = 50;
 /** Time between two looks at whether enough VMs were reached, in milliseconds. */
-const reachInterval: Milliseconds = 10;
+const reachPollInterval: Milliseconds = 10;
 /**
  * A connected VM that was not heard for this long, two beats and some, is dialled again: its connection may have fallen silent while
  * new ones work. With the limit of that dial it is known before the connection is dropped whether the VM is reached. An owner all of
@@ -40,19 +40,22 @@
  */
 const redialAfter: Milliseconds = 600;
 /** Limit of that dial. */
-const redialLimit: Milliseconds = 350;
+const redialTimeout: Milliseconds = 350;
 /** A VM that was only slow is heard on its former connection within this time of the dial's success. */
 const redialGrace: Milliseconds = 30;
 /** A VM that reaches fewer of the others than this share is cut off: others serve better as owner. */
-const leastReachable = 0.25;
+const minReachableShare = 0.25;
 
 /** See the module's comment. */
 export class VmDialer {
     readonly #known = new Map<string, KnownVm>();
     /** Connections that opened before there was anyone to use them. */
-    readonly #open = new Map<string, { readonly vm: EntryVm; readonly channel: Channel<OwnerMessage, VmMessage>; }>();
+    readonly #unusedConnections = new Map<
+        string,
+        { readonly vm: EntryVm; readonly channel: Channel<OwnerMessage, VmMessage>; }
+    >();
     #connections: VmConnections | undefined;
-    #hasReached = false;
+    #hasReachedEnough = false;
 
     constructor(
         private readonly view: CellView,
@@ -61,24 +64,24 @@
     ) {}
 
     /** Hands the connections that are open, and those that will be, to the owner's work. */
-    use(connections: VmConnections): void {
+    attach(connections: VmConnections): void {
         this.#connections = connections;
-        this.#open.forEach(({ vm, channel }) => connections.connect(vm, channel));
-        this.#open.clear();
+        this.#unusedConnections.forEach(({ vm, channel }) => connections.connect(vm, channel));
+        this.#unusedConnections.clear();
     }
 
     /** Whether this VM reaches so few of the VMs that the store shows that it is the one cut off. */
     get isIsolated(): boolean {
-        return !this.#reachesEnoughOf(this.#others());
+        return !this.#reachesEnoughOf(this.#otherVms());
     }
 
     /** Whether this VM reached others and no longer does. One that never did may own the cell for want of another. */
-    get hasBeenCutOff(): boolean {
+    get hasBecomeIsolated(): boolean {
         // VMs that have just shown up and were not dialled yet say nothing: in a start of all they are most of them.
-        const dialled = this.#others().filter(vm => this.#known.get(vm.name)?.isReachable !== undefined);
+        const dialled = this.#otherVms().filter(vm => this.#known.get(vm.name)?.isReachable !== undefined);
         const reachesEnough = this.#reachesEnoughOf(dialled);
-        this.#hasReached ||= reachesEnough;
-        return this.#hasReached && !reachesEnough;
+        this.#hasReachedEnough ||= reachesEnough;
+        return this.#hasReachedEnough && !reachesEnough;
     }
 
     /**
@@ -96,7 +99,7 @@
     async untilReached(limit: Milliseconds): Promise<void> {
         const until = this.clock.monotonic() + limit;
         while (this.isIsolated && this.clock.monotonic() < until) {
-            await this.clock.sleep(reachInterval);
+            await this.clock.sleep(reachPollInterval);
         }
     }
 
@@ -107,13 +110,13 @@
     async untilSilenceAgreed(owner: string, silence: Milliseconds, limit: Milliseconds): Promise<boolean> {
         const until = this.clock.monotonic() + limit;
         while (!this.#agreesOnSilence(owner, silence) && this.clock.monotonic() < until) {
-            await this.clock.sleep(reachInterval);
+            await this.clock.sleep(reachPollInterval);
         }
         return this.#agreesOnSilence(owner, silence);
     }
 
     #agreesOnSilence(owner: string, silence: Milliseconds): boolean {
-        const others = this.#others().filter(vm => vm.name !== owner);
+        const others = this.#otherVms().filter(vm => vm.name !== owner);
         const agreeing = others.filter(vm => (this.#known.get(vm.name)?.ownerSilence ?? 0) >= silence);
         return (agreeing.length + 1) * 2 > others.length + 1;
     }
@@ -121,39 +124,39 @@
     /** Dials until `signal` fires. */
     async run(signal: AbortSignal): Promise<void> {
         while (!signal.aborted) {
-            this.#dialDue(signal);
-            await this.clock.sleep(lookInterval, signal);
+            this.#dialDueVms(signal);
+            await this.clock.sleep(dialInterval, signal);
         }
-        this.#open.forEach(({ channel }) => channel.close());
+        this.#unusedConnections.forEach(({ channel }) => channel.close());
     }
 
-    #dialDue(signal: AbortSignal): void {
+    #dialDueVms(signal: AbortSignal): void {
         const now = this.clock.monotonic();
         for (const vm of this.view.vms.values()) {
             const former = this.#known.get(vm.name);
             const isSame = former?.vm.process === vm.process;
             this.#known.set(vm.name, {
                 vm,
-                seenAt: now,
-                triedAt: former?.triedAt ?? -Infinity,
+                lastSeenAt: now,
+                lastDialledAt: former?.lastDialledAt ?? -Infinity,
                 isReachable: isSame ? former.isReachable : undefined,
                 ownerSilence: isSame ? former.ownerSilence : undefined,
             });
         }
         for (const [name, known] of this.#known) {
-            if (now - known.seenAt > rememberVm) {
+            if (now - known.lastSeenAt > vmRetention) {
                 this.#known.delete(name);
             }
             else if (this.#isDue(known, now)) {
-                known.triedAt = now;
+                known.lastDialledAt = now;
                 void this.#dial(known.vm, signal);
             }
         }
     }
 
-    #isDue({ vm, triedAt }: KnownVm, now: Milliseconds): boolean {
+    #isDue({ vm, lastDialledAt: triedAt }: KnownVm, now: Milliseconds): boolean {
         const isWanted = !this.#isConnected(vm.name) || this.#isSilent(vm.name);
-        return vm.name !== this.self.name && now - triedAt >= dialDelay && isWanted;
+        return vm.name !== this.self.name && now - triedAt >= dialRetryDelay && isWanted;
     }
 
     /** Whether a VM is connected and was not heard for a while. */
@@ -161,12 +164,12 @@
         return this.#connections?.isConnected(name) === true && this.#connections.silenceOf(name) >= redialAfter;
     }
 
-    #others(): EntryVm[] {
+    #otherVms(): EntryVm[] {
         return [...this.view.vms.values()].filter(vm => vm.name !== this.self.name);
     }
 
     #reachesEnoughOf(vms: readonly EntryVm[]): boolean {
-        return vms.filter(vm => this.#isReachable(vm.name)).length >= vms.length * leastReachable;
+        return vms.filter(vm => this.#isReachable(vm.name)).length >= vms.length * minReachableShare;
     }
 
     #isReachable(name: string): boolean {
@@ -174,10 +177,11 @@
     }
 
     #isConnected(name: string): boolean {
-        return this.#open.get(name)?.channel.isOpen === true || this.#connections?.isConnected(name) === true;
+        return this.#unusedConnections.get(name)?.channel.isOpen === true
+            || this.#connections?.isConnected(name) === true;
     }
 
-    #noteHeard(name: string, message: VmMessage): void {
+    #handleMessage(name: string, message: VmMessage): void {
         const known = this.#known.get(name);
         if (known !== undefined && message.kind === "owner-heard") {
             known.ownerSilence = message.silence;
@@ -185,7 +189,7 @@
     }
 
     async #dial(vm: EntryVm, signal: AbortSignal): Promise<void> {
-        const outcome = await dialVm(vm.address, this.#isSilent(vm.name) ? redialLimit : dialLimit);
+        const outcome = await dialVm(vm.address, this.#isSilent(vm.name) ? redialTimeout : dialTimeout);
         const known = this.#known.get(vm.name);
         if (known !== undefined) {
             known.isReachable = outcome.kind !== "silent";
@@ -194,7 +198,7 @@
             return;
         }
         const { channel } = outcome;
-        channel.onMessage = message => this.#noteHeard(vm.name, message);
+        channel.onMessage = message => this.#handleMessage(vm.name, message);
         if (this.#isSilent(vm.name)) {
             await this.clock.sleep(redialGrace, signal);
         }
@@ -202,7 +206,7 @@
             channel.close();
         }
         else if (this.#connections === undefined) {
-            this.#open.set(vm.name, { vm, channel });
+            this.#unusedConnections.set(vm.name, { vm, channel });
         }
         else {
             this.#connections.connect(vm, channel);
--- a/packages/entry/src/protocol/channel.ts
+++ b/packages/entry/src/protocol/channel.ts
@@ -19,12 +19,12 @@
     onClose: () => void = () => undefined;
     isOpen = true;
     other: MemoryChannel<Received, Sent> | undefined;
-    #bundle: Sent[] = [];
+    #batch: Sent[] = [];
 
     /** See {@link Channel.send}. */
     send(message: Sent): void {
-        this.#bundle.push(message);
-        if (this.#bundle.length === 1) {
+        this.#batch.push(message);
+        if (this.#batch.length === 1) {
             setImmediate(() => this.#flush());
         }
     }
@@ -40,8 +40,8 @@
     }
 
     #flush(): void {
-        const bundle = this.#bundle;
-        this.#bundle = [];
+        const bundle = this.#batch;
+        this.#batch = [];
         const other = this.other;
         if (this.isOpen && other !== undefined) {
             bundle.forEach(message => other.onMessage(message));
--- a/packages/entry/src/protocol/messages.ts
+++ b/packages/entry/src/protocol/messages.ts
@@ -5,8 +5,8 @@
     CellJobState,
     EndedRun,
     JobDefinition,
-    Look,
     OrderRefusal,
+    PollResult,
     WorkerCommand,
 } from "@pebbledale/cell";
 import type {
@@ -18,7 +18,7 @@
     RunNumber,
     TaskAddress,
     WorkerId,
-    WorkerLife,
+    WorkerIncarnation,
 } from "@pebbledale/core";
 import type { Milliseconds } from "@pebbledale/core";
 import type { StoreOperation } from "../store-relay/index.js";
@@ -36,7 +36,7 @@
     readonly worker: WorkerId;
     readonly address: string;
     /** The life that the link is for; left out while it is not known, which is then the first that answers. */
-    readonly life?: WorkerLife;
+    readonly life?: WorkerIncarnation;
     /** Orders of this link carry this token or one a little higher, as it settles what got no answer. */
     readonly token: FencingToken;
     /** Whether the worker has said that it leaves. */
@@ -48,7 +48,7 @@
 }
 
 /** A worker says that it leaves: its leases are short from now on. */
-export interface WorkerLeavesMessage {
+export interface WorkerLeavingMessage {
     readonly kind: "worker-leaves";
     readonly worker: WorkerId;
 }
@@ -73,7 +73,7 @@
 }
 
 /** A question to put to the advice service. */
-export interface AskMessage {
+export interface AdviceQuestionMessage {
     readonly kind: "ask";
     readonly question: number;
     readonly step: string;
@@ -96,7 +96,7 @@
 }
 
 /** Asks for the newest configuration. */
-export interface WantConfigurationMessage {
+export interface ConfigurationRequestMessage {
     readonly kind: "want-configuration";
 }
 
@@ -125,14 +125,14 @@
 }
 
 /** Says that the owner lives. */
-export interface OwnerBeatMessage {
+export interface OwnerHeartbeatMessage {
     readonly kind: "beat";
     /** Whether leases may be given in its name: the store confirmed lately that it owns the cell. */
     readonly mayLease: boolean;
 }
 
 /** Says that the VM lives. */
-export interface BeatMessage {
+export interface HeartbeatMessage {
     readonly kind: "beat";
 }
 
@@ -141,18 +141,18 @@
     | WelcomeMessage
     | AssignMessage
     | UnassignMessage
-    | WorkerLeavesMessage
+    | WorkerLeavingMessage
     | CommandMessage
     | AcknowledgeMessage
-    | AskMessage
+    | AdviceQuestionMessage
     | ReplyMessage
     | ConfigurationVersionMessage
-    | WantConfigurationMessage
+    | ConfigurationRequestMessage
     | ConfigurationMessage
     | StoreCallMessage
     | HandOverMessage
     | ResumeMessage
-    | OwnerBeatMessage;
+    | OwnerHeartbeatMessage;
 
 /** First message to whoever dials the VM: what it knows of the owner. Candidates dial all VMs before they claim. */
 export interface OwnerHeardMessage {
@@ -164,23 +164,23 @@
 }
 
 /** A whole look at a worker. */
-export interface LookedMessage {
+export interface PollResultMessage {
     readonly kind: "looked";
     readonly worker: WorkerId;
-    readonly look: Look;
+    readonly look: PollResult;
     /** How long ago the look was sent. */
     readonly age: Milliseconds;
 }
 
 /** Ends that a worker lists and that were not reported on this link yet. */
-export interface EndsMessage {
+export interface EndedRunsMessage {
     readonly kind: "ends";
     readonly worker: WorkerId;
     readonly ended: readonly EndedRun[];
 }
 
 /** What became of a start. */
-export interface StartedMessage {
+export interface StartResultMessage {
     readonly kind: "started";
     readonly worker: WorkerId;
     readonly task: TaskAddress;
@@ -190,7 +190,7 @@
 }
 
 /** A worker does not answer. */
-export interface SilentMessage {
+export interface WorkerSilentMessage {
     readonly kind: "silent";
     readonly worker: WorkerId;
     /** Time until every lease given on this link is over. */
@@ -201,29 +201,29 @@
 }
 
 /** The worker was started again under its id: another life of it has answered, and the link has ended. */
-export interface RestartedMessage {
+export interface WorkerRestartedMessage {
     readonly kind: "restarted";
     readonly worker: WorkerId;
     /** Left out where lives have no names. */
-    readonly life?: WorkerLife;
+    readonly life?: WorkerIncarnation;
     /** See {@link AssignMessage}; for the next link. */
     readonly doubtfulFor?: Milliseconds;
 }
 
 /** A worker of another id answers at its address. */
-export interface OtherLifeMessage {
+export interface WrongWorkerMessage {
     readonly kind: "other-life";
     readonly worker: WorkerId;
 }
 
 /** A worker has seen a higher fencing token than this owner's. */
-export interface FencedMessage {
+export interface WorkerFencedMessage {
     readonly kind: "fenced";
     readonly worker: WorkerId;
 }
 
 /** Answer of the advice service; left out when there was none. */
-export interface AdvisedMessage {
+export interface AdviceAnswerMessage {
     readonly kind: "advised";
     readonly question: number;
     readonly answer?: AdviceAnswer;
@@ -242,7 +242,7 @@
 }
 
 /** The VM is about to stop: its links and questions go to others. */
-export interface LeavingMessage {
+export interface VmLeavingMessage {
     readonly kind: "leaving";
 }
 
@@ -255,13 +255,13 @@
 
 /** What a link to a worker reports. */
 export type WorkerReport =
-    | LookedMessage
-    | EndsMessage
-    | StartedMessage
-    | SilentMessage
-    | RestartedMessage
-    | OtherLifeMessage
-    | FencedMessage;
+    | PollResultMessage
+    | EndedRunsMessage
+    | StartResultMessage
+    | WorkerSilentMessage
+    | WorkerRestartedMessage
+    | WrongWorkerMessage
+    | WorkerFencedMessage;
 
 /** A report, and under which assignment of the link it was made: the token that came with it. */
 export type WorkerMessage = WorkerReport & { readonly assignment: FencingToken; };
@@ -269,15 +269,15 @@
 /** What an entry VM says. */
 export type VmMessage =
     | WorkerMessage
-    | AdvisedMessage
+    | AdviceAnswerMessage
     | RequestMessage
     | StoreAnswerMessage
-    | LeavingMessage
+    | VmLeavingMessage
     | ConfigurationVersionMessage
-    | WantConfigurationMessage
+    | ConfigurationRequestMessage
     | ConfigurationMessage
     | OwnerHeardMessage
-    | BeatMessage;
+    | HeartbeatMessage;
 
 /** What a front asks of the owner for a caller. */
 export type OwnerRequest =
@@ -287,13 +287,13 @@
     | { readonly kind: "pending"; readonly queue: QueueName; };
 
 /** Why an owner does nothing for a request now. */
-export enum NotNowReason {
+export enum RetryLaterReason {
     /** The store has not confirmed the journal's last write for too long. */
     JournalStalled = "journal-stalled",
     /** The front knows a newer configuration than the owner. */
     QueueUnknown = "queue-unknown",
     /** The job was handed in and its record is on its way. */
-    NotKeptYet = "not-kept-yet",
+    NotCommittedYet = "not-kept-yet",
     /** The owner does not know the job, and the store has not confirmed lately that it owns the cell. */
     OwnerUnconfirmed = "owner-unconfirmed",
 }
@@ -310,7 +310,7 @@
     /** Its organisation's limit can never hold one of its steps; nothing was taken. */
     | { readonly kind: "beyond-limit"; }
     /** Nothing was done; come back after a while. */
-    | { readonly kind: "not-now"; readonly retryAfter: Milliseconds; readonly reason: NotNowReason; }
+    | { readonly kind: "not-now"; readonly retryAfter: Milliseconds; readonly reason: RetryLaterReason; }
     /** Nothing was done: the cell is handed over, and the next owner is to be asked. */
     | { readonly kind: "handing-over"; }
     /** Whether it was done is not known. */
--- a/packages/entry/src/protocol/socket-channel.ts
+++ b/packages/entry/src/protocol/socket-channel.ts
@@ -4,33 +4,33 @@
 import type { Channel } from "./channel.js";
 
 /** Messages of this long are gathered into one bundle, in milliseconds: a wake-up costs more than a message. */
-const bundleDelay: Milliseconds = 2;
+const batchDelay: Milliseconds = 2;
 
 /** See the module's comment. */
 export class SocketChannel<Sent, Received> implements Channel<Sent, Received> {
     onClose: () => void = () => undefined;
-    #bundle: Sent[] = [];
+    #batch: Sent[] = [];
     #isClosed = false;
-    #take: ((message: Received) => void) | undefined;
+    #handler: ((message: Received) => void) | undefined;
     /** What arrived before there was anyone to take it: a first bundle may come with the answer to the handshake. */
-    #early: Received[] = [];
+    #undelivered: Received[] = [];
 
     constructor(private readonly socket: WebSocket) {
         socket.on("message", data => this.#receive(String(data)));
-        socket.on("close", () => this.#ended());
+        socket.on("close", () => this.#markClosed());
         socket.on("error", () => this.close());
     }
 
     /** See {@link Channel.onMessage}. */
     get onMessage(): (message: Received) => void {
-        return message => this.#take?.(message);
+        return message => this.#handler?.(message);
     }
 
     /** */
     set onMessage(take: (message: Received) => void) {
-        this.#take = take;
-        const early = this.#early;
-        this.#early = [];
+        this.#handler = take;
+        const early = this.#undelivered;
+        this.#undelivered = [];
         early.forEach(message => take(message));
     }
 
@@ -41,21 +41,21 @@
 
     /** See {@link Channel.send}. */
     send(message: Sent): void {
-        this.#bundle.push(message);
-        if (this.#bundle.length === 1) {
-            setTimeout(() => this.#flush(), bundleDelay);
+        this.#batch.push(message);
+        if (this.#batch.length === 1) {
+            setTimeout(() => this.#flush(), batchDelay);
         }
     }
 
     /** See {@link Channel.close}. */
     close(): void {
         this.socket.terminate();
-        this.#ended();
+        this.#markClosed();
     }
 
     #flush(): void {
-        const bundle = this.#bundle;
-        this.#bundle = [];
+        const bundle = this.#batch;
+        this.#batch = [];
         if (this.socket.readyState === WebSocket.OPEN) {
             this.socket.send(JSON.stringify(bundle));
         }
@@ -63,16 +63,16 @@
 
     #receive(text: string): void {
         for (const message of JSON.parse(text) as Received[]) {
-            if (this.#take === undefined) {
-                this.#early.push(message);
+            if (this.#handler === undefined) {
+                this.#undelivered.push(message);
             }
             else {
-                this.#take(message);
+                this.#handler(message);
             }
         }
     }
 
-    #ended(): void {
+    #markClosed(): void {
         if (!this.#isClosed) {
             this.#isClosed = true;
             this.onClose();
--- a/packages/entry/src/settings/reload.ts
+++ b/packages/entry/src/settings/reload.ts
@@ -5,10 +5,10 @@
 import type { EntrySettings } from "./types.js";
 
 /** Time between two readings without a sign, in milliseconds. */
-const rereadInterval: Milliseconds = 2_000;
+const reloadInterval: Milliseconds = 2_000;
 
 /** What a reload needs. */
-export interface SettingsReloadOptions {
+export interface SettingsReloaderOptions {
     readonly settings: EntrySettings;
     /** Reads the file; undefined, after it has logged why, when it cannot be read. */
     readonly read: () => EntrySettings | undefined;
@@ -17,10 +17,10 @@
 }
 
 /** See the module's comment. A file that cannot be read changes nothing. */
-export class SettingsReload {
+export class SettingsReloader {
     #settings: EntrySettings;
 
-    constructor(private readonly options: SettingsReloadOptions) {
+    constructor(private readonly options: SettingsReloaderOptions) {
         this.#settings = options.settings;
     }
 
@@ -44,7 +44,7 @@
     /** Reads the file now and then until `signal` fires. */
     async run(signal: AbortSignal): Promise<void> {
         while (!signal.aborted) {
-            await this.options.clock.sleep(rereadInterval, signal);
+            await this.options.clock.sleep(reloadInterval, signal);
             this.reload("interval");
         }
     }
--- a/packages/entry/src/settings/types.ts
+++ b/packages/entry/src/settings/types.ts
@@ -1,9 +1,9 @@
 /** What an entry VM's program is told at its start. */
 import type { Milliseconds } from "@pebbledale/core";
-import type { NewsBounds } from "../following/index.js";
+import type { FreshnessBounds } from "../following/index.js";
 
 /** Bounds that the users set. */
-export interface EntryBounds extends NewsBounds {
+export interface EntryBounds extends FreshnessBounds {
     /** Longest lease that a worker grants. */
     readonly longestLease: Milliseconds;
     /** The process is killed this long after it was asked to stop. */
--- a/packages/entry/src/stop-times.ts
+++ b/packages/entry/src/stop-times.ts
@@ -2,27 +2,27 @@
 import type { Milliseconds } from "@pebbledale/core";
 
 /** New connections are taken for so long: the platform asks once a second whether a VM is ready, and two misses take it out. */
-const unreadyFor: Milliseconds = 2_300;
+const unreadyPeriod: Milliseconds = 2_300;
 /** New connections are taken for this share of the time at most, however short that is. */
-const mostUnreadyShare = 0.5;
+const maxUnreadyShare = 0.5;
 /** Kept back from the time after which the process is killed: open requests have their answers by then. */
 const answerReserve: Milliseconds = 900;
 /** The same for the end of the process, which must come by itself. */
-const endReserve: Milliseconds = 300;
+const exitReserve: Milliseconds = 300;
 
 /** Times after the word to stop, in milliseconds. */
-export interface StopTimes {
+export interface ShutdownTimes {
     /** New connections are taken until then. */
-    readonly closesAfter: Milliseconds;
+    readonly stopAcceptingAfter: Milliseconds;
     /** Every request has its answer by then. */
-    readonly answersWithin: Milliseconds;
+    readonly answerWithin: Milliseconds;
     /** The process ends by then, whatever still waits. */
-    readonly endsWithin: Milliseconds;
+    readonly exitWithin: Milliseconds;
 }
 
 /** The times of a VM that is killed after `stopWithin`. */
-export const stopTimesOf = (stopWithin: Milliseconds): StopTimes => ({
-    closesAfter: Math.min(unreadyFor, stopWithin * mostUnreadyShare),
-    answersWithin: Math.max(0, stopWithin - answerReserve),
-    endsWithin: Math.max(0, stopWithin - endReserve),
+export const shutdownTimesOf = (stopWithin: Milliseconds): ShutdownTimes => ({
+    stopAcceptingAfter: Math.min(unreadyPeriod, stopWithin * maxUnreadyShare),
+    answerWithin: Math.max(0, stopWithin - answerReserve),
+    exitWithin: Math.max(0, stopWithin - exitReserve),
 });
--- a/packages/entry/src/store-relay/relayed-store.ts
+++ b/packages/entry/src/store-relay/relayed-store.ts
@@ -5,7 +5,6 @@
  * through another VM; the first answer counts. Each call may be made twice without harm: writes carry conditions.
  */
 import {
-    AnswerTimes,
     type ChangeFeed,
     type Clock,
     type KeyChanges,
@@ -17,6 +16,7 @@
     type PlatformLeaseId,
     type PlatformStore,
     PlatformUnavailableError,
+    ResponseTimeEstimator,
     type SwapOutcome,
     type WatchEvents,
 } from "@pebbledale/core";
@@ -39,25 +39,25 @@
  * A direct call is also made through another VM once its answer is late by what answers take, within these bounds. The store
  * answers in about 4 ms; a slow one in up to 0.4 s, and turns calls away where all are made several times.
  */
-const shortestRelayAfter: Milliseconds = 250;
-const longestRelayAfter: Milliseconds = 600;
+const minRelayDelay: Milliseconds = 250;
+const maxRelayDelay: Milliseconds = 600;
 /** After a call that only another VM could make, direct ones are not tried for this long; twice as long each time. */
-const avoidDirectFor: Milliseconds = 1_000;
-const avoidDirectAtMost: Milliseconds = 4_000;
+const initialDirectBackoff: Milliseconds = 1_000;
+const maxDirectBackoff: Milliseconds = 4_000;
 /** Another VM is asked too when the one before has no answer for this long: it may be turned away as well. */
-const nextRelayAfter: Milliseconds = 80;
+const nextRelayDelay: Milliseconds = 80;
 /** Most VMs that are asked for one call. */
-const mostRelays = 3;
+const maxRelays = 3;
 /** Longest wait in one watch that another VM makes. */
-const relayedWatch: Milliseconds = 2_000;
+const maxRelayedWait: Milliseconds = 2_000;
 
 /** See the module's comment. */
 export class RelayedStore implements PlatformStore, ChangeFeed {
-    #avoidDirectUntil = -Infinity;
-    #avoidNext = avoidDirectFor;
+    #directBackoffUntil = -Infinity;
+    #nextDirectBackoff = initialDirectBackoff;
     /** Fires when the way to the store changes, so that long waits begin anew on the other way. */
-    #wayChanged = createAbortController();
-    readonly #answerTimes = new AnswerTimes({ shortest: shortestRelayAfter, longest: longestRelayAfter });
+    #routeChanged = createAbortController();
+    readonly #answerTimes = new ResponseTimeEstimator({ min: minRelayDelay, max: maxRelayDelay });
 
     constructor(private readonly options: RelayedStoreOptions) {}
 
@@ -83,13 +83,13 @@
         duration: Milliseconds,
         signal: AbortSignal,
     ): Promise<KeyChanges | undefined> {
-        const relay = this.#avoidsDirect() ? this.options.relays()[0] : undefined;
+        const relay = this.#isDirectAvoided() ? this.options.relays()[0] : undefined;
         if (relay !== undefined) {
-            const wait = Math.min(duration, relayedWatch);
+            const wait = Math.min(duration, maxRelayedWait);
             // One VM alone: a watch waits, so that another's turn would always come.
             return await relay({ kind: "changes", prefix, cursor, duration: wait }) as KeyChanges | undefined;
         }
-        const sources = [signal, this.#wayChanged.signal];
+        const sources = [signal, this.#routeChanged.signal];
         return withLinkedSignal(
             sources,
             undefined,
@@ -132,23 +132,23 @@
         await this.#perform({ kind: "revoke", lease });
     }
 
-    #avoidsDirect(): boolean {
-        return this.options.clock.monotonic() < this.#avoidDirectUntil;
+    #isDirectAvoided(): boolean {
+        return this.options.clock.monotonic() < this.#directBackoffUntil;
     }
 
     #perform(operation: StoreOperation): Promise<unknown> {
-        return this.#avoidsDirect() && this.options.relays().length > 0
-            ? this.#throughOthers(operation)
-            : this.#directFirst(operation);
+        return this.#isDirectAvoided() && this.options.relays().length > 0
+            ? this.#performRelayed(operation)
+            : this.#performHedged(operation);
     }
 
     /** Before the first answer nothing is known of the store, and a call is not left alone for long. */
-    get #relayAfter(): Milliseconds {
-        return this.#answerTimes.hasAny ? this.#answerTimes.limit : shortestRelayAfter;
+    get #relayDelay(): Milliseconds {
+        return this.#answerTimes.hasSamples ? this.#answerTimes.timeout : minRelayDelay;
     }
 
     /** The direct call; when it fails or stays out, another VM's as well. */
-    #directFirst(operation: StoreOperation): Promise<unknown> {
+    #performHedged(operation: StoreOperation): Promise<unknown> {
         const { direct, relays, clock } = this.options;
         const { signal } = createAbortController();
         const sentAt = clock.monotonic();
@@ -164,32 +164,32 @@
                 resolve(value);
             };
             const answerDirect = (value: unknown) => {
-                this.#answerTimes.note(clock.monotonic() - sentAt);
-                this.#avoidNext = isAnswered ? this.#avoidNext : avoidDirectFor;
+                this.#answerTimes.recordResponse(clock.monotonic() - sentAt);
+                this.#nextDirectBackoff = isAnswered ? this.#nextDirectBackoff : initialDirectBackoff;
                 answer(value);
             };
             const alsoRelay = (): Promise<void> =>
-                relayed ??= this.#throughOthers(operation).then(value => {
+                relayed ??= this.#performRelayed(operation).then(value => {
                     if (!isAnswered) {
-                        this.#avoidDirect();
+                        this.#backOffDirect();
                         answer(value);
                     }
                 });
             called.then(answerDirect, cause => alsoRelay().catch(() => reject(cause)));
-            void clock.sleep(this.#relayAfter).then(() => isAnswered ? undefined : alsoRelay().catch(() => undefined));
+            void clock.sleep(this.#relayDelay).then(() => isAnswered ? undefined : alsoRelay().catch(() => undefined));
         });
     }
 
     /** Asks VMs one after the other, each a little later than the one before; the first answer counts. */
-    #throughOthers(operation: StoreOperation): Promise<unknown> {
-        const relays = this.options.relays().slice(0, mostRelays);
+    #performRelayed(operation: StoreOperation): Promise<unknown> {
+        const relays = this.options.relays().slice(0, maxRelays);
         if (relays.length === 0) {
             return Promise.reject(new PlatformUnavailableError("no other VM is connected"));
         }
         const answered = createAbortController();
         const asked = relays.map(async (relay, index) => {
             if (index > 0) {
-                await this.options.clock.sleep(index * nextRelayAfter, answered.signal);
+                await this.options.clock.sleep(index * nextRelayDelay, answered.signal);
             }
             if (answered.signal.aborted) {
                 throw new PlatformUnavailableError("another VM answered");
@@ -203,14 +203,14 @@
             .finally(() => answered.abort());
     }
 
-    #avoidDirect(): void {
-        const wasAvoided = this.#avoidsDirect();
-        this.#avoidDirectUntil = this.options.clock.monotonic() + this.#avoidNext;
-        this.#avoidNext = Math.min(this.#avoidNext * 2, avoidDirectAtMost);
+    #backOffDirect(): void {
+        const wasAvoided = this.#isDirectAvoided();
+        this.#directBackoffUntil = this.options.clock.monotonic() + this.#nextDirectBackoff;
+        this.#nextDirectBackoff = Math.min(this.#nextDirectBackoff * 2, maxDirectBackoff);
         if (!wasAvoided) {
             this.options.logger.log(logEvents.storeRelayed);
-            const former = this.#wayChanged;
-            this.#wayChanged = createAbortController();
+            const former = this.#routeChanged;
+            this.#routeChanged = createAbortController();
             former.abort();
         }
     }
--- a/packages/entry/test/explorer/explore-until-found.ts
+++ b/packages/entry/test/explorer/explore-until-found.ts
@@ -4,10 +4,10 @@
 import { scenarios } from "./scenarios.js";
 
 /** Time for a scenario before the next one has its turn, in milliseconds. */
-const turnTime = 3_000;
+const scenarioTime = 3_000;
 const seed = 1;
 /** Most broken rules that are told. */
-const mostTold = 5;
+const maxReported = 5;
 
 /** What was found, and how much was seen up to then. */
 export interface Finding {
@@ -29,19 +29,19 @@
     let states = 0;
     for (let turn = 1; performance.now() < endsAt; turn++) {
         for (const scenario of chosen) {
-            const turnEndsAt = chosen.length === 1 ? endsAt : Math.min(endsAt, performance.now() + turnTime * turn);
+            const turnEndsAt = chosen.length === 1 ? endsAt : Math.min(endsAt, performance.now() + scenarioTime * turn);
             const exploration = await new Explorer(scenario, {
-                mostDeviations: 2,
+                maxDeviations: 2,
                 seed: seed + turn,
                 isTimeLeft: () => performance.now() < turnEndsAt,
-                mostCounterexamples: 1,
+                maxCounterexamples: 1,
             }).run();
             walks += exploration.walks;
             states += exploration.states;
             const [found] = exploration.counterexamples;
             if (found !== undefined) {
                 const { story, broken } = await shorten(found);
-                return { scenario: scenario.name, walks, states, story, broken: broken.slice(0, mostTold) };
+                return { scenario: scenario.name, walks, states, story, broken: broken.slice(0, maxReported) };
             }
         }
     }
--- a/packages/entry/test/explorer/explorer.test.ts
+++ b/packages/entry/test/explorer/explorer.test.ts
@@ -36,10 +36,10 @@
         it(`breaks no rule: ${scenario.name}`, async () => {
             const endsAt = performance.now() + seconds * 1_000;
             const { counterexamples, walks } = await new Explorer(scenario, {
-                mostDeviations: 2,
+                maxDeviations: 2,
                 seed,
                 isTimeLeft: () => performance.now() < endsAt,
-                mostCounterexamples: 1,
+                maxCounterexamples: 1,
             }).run();
             expect(counterexamples.map(({ story, broken }) => [...broken, ...story])).toEqual([]);
             expect(walks).toBeGreaterThan(0);
--- a/packages/entry/test/explorer/explorer.ts
+++ b/packages/entry/test/explorer/explorer.ts
@@ -25,19 +25,19 @@
 /** How far an exploration goes. */
 export interface ExplorationLimits {
     /** Most things that are amiss in one walk. */
-    readonly mostDeviations: number;
+    readonly maxDeviations: number;
     readonly seed: number;
     /** Whether to go on; asked before each walk. */
     readonly isTimeLeft: () => boolean;
     /** Ends after so many counterexamples. */
-    readonly mostCounterexamples: number;
+    readonly maxCounterexamples: number;
 }
 
 /** See the module's comment. */
 export class Explorer {
     readonly #states = new Set<string>();
     /** By state, how much may still be amiss in the walks that went on from it. */
-    readonly #goneOnFrom = new Map<string, number>();
+    readonly #expandedFrom = new Map<string, number>();
     readonly #counterexamples: Walk[] = [];
     readonly #random: SeededRandom;
     #walks = 0;
@@ -52,9 +52,9 @@
     async run(): Promise<Exploration> {
         let level: (readonly Deviation[])[] = [[]];
         let exhaustedThrough = -1;
-        for (let depth = 0; depth <= this.limits.mostDeviations && level.length > 0; depth++) {
+        for (let depth = 0; depth <= this.limits.maxDeviations && level.length > 0; depth++) {
             const next: (readonly Deviation[])[] = [];
-            if (!await this.#playAll(level, this.limits.mostDeviations - depth, next)) {
+            if (!await this.#playAll(level, this.limits.maxDeviations - depth, next)) {
                 break;
             }
             exhaustedThrough = depth;
@@ -74,14 +74,14 @@
     /** Plays walks and gathers those with one thing more amiss; whether all were played. */
     async #playAll(level: (readonly Deviation[])[], left: number, next: (readonly Deviation[])[]): Promise<boolean> {
         for (const deviations of level) {
-            const isDue = this.limits.isTimeLeft() && this.#counterexamples.length < this.limits.mostCounterexamples;
+            const isDue = this.limits.isTimeLeft() && this.#counterexamples.length < this.limits.maxCounterexamples;
             if (!isDue) {
                 return false;
             }
             const walk = await playWalk(this.scenario, deviations);
             this.#note(walk);
             if (walk.broken.length === 0 && left > 0) {
-                this.#goOn(walk, left, next);
+                this.#expand(walk, left, next);
             }
         }
         return true;
@@ -97,15 +97,15 @@
         }
     }
 
-    #goOn({ points, deviations }: Walk, left: number, next: (readonly Deviation[])[]): void {
+    #expand({ points, deviations }: Walk, left: number, next: (readonly Deviation[])[]): void {
         const first = (deviations.at(-1)?.[0] ?? -1) + 1;
         for (let number = first; number < points.length; number++) {
             const { state, options, label } = points[number];
             const name = `${label} ${state}`;
-            if ((this.#goneOnFrom.get(name) ?? 0) >= left) {
+            if ((this.#expandedFrom.get(name) ?? 0) >= left) {
                 continue;
             }
-            this.#goneOnFrom.set(name, left);
+            this.#expandedFrom.set(name, left);
             for (let option = 1; option < options.length; option++) {
                 next.push([...deviations, [number, option]]);
             }
--- a/packages/entry/test/explorer/main.ts
+++ b/packages/entry/test/explorer/main.ts
@@ -47,10 +47,10 @@
     const startedAt = performance.now();
     const elapsed = () => (performance.now() - startedAt) / 1_000;
     const exploration = await new Explorer(scenario, {
-        mostDeviations: Number(values.deviations),
+        maxDeviations: Number(values.deviations),
         seed: Number(values.seed),
         isTimeLeft: () => elapsed() < Number(values.seconds),
-        mostCounterexamples: Number(values.most),
+        maxCounterexamples: Number(values.most),
     }).run();
     print(exploration, elapsed());
     hasBroken ||= exploration.counterexamples.length > 0;
