--- a/packages/core/src/journal/journal.ts
+++ b/packages/core/src/journal/journal.ts
@@ -4,7 +4,7 @@
 import type { Random } from "../random/index.js";
 import type { Clock, Milliseconds } from "../time/index.js";
 import { JournalDamagedError, JournalFencedError } from "./errors.js";
-import { HedgedWriter } from "./repeated-swap.js";
+import { HedgedWriter } from "./hedged-writer.js";
 import { parseSegment, ringKey } from "./segments.js";
 import { removeSnapshot, snapshotKey, snapshotName, splitText } from "./snapshots.js";
 import type { JournalOptions, Segment, SnapshotPointer } from "./types.js";
--- a/packages/core/src/journal/open.ts
+++ b/packages/core/src/journal/open.ts
@@ -1,5 +1,5 @@
 /** Opening of a shard's journal by a new owner. */
-import { readSegmentChain } from "./chain.js";
+import { readSegmentChain } from "./segment-chain.js";
 import { JournalDamagedError } from "./errors.js";
 import { Journal, type JournalDependencies } from "./journal.js";
 import { readSnapshot } from "./snapshots.js";
--- a/packages/core/src/shard/index.ts
+++ b/packages/core/src/shard/index.ts
@@ -1,7 +1,7 @@
 /** Scheduling logic of a shard's owner: jobs, queue, workers, leases and service slots. Performs no I/O and sets no timers. */
 export * from "./constants.js";
-export * from "./job-book.js";
-export * from "./lease-terms.js";
+export * from "./job-registry.js";
+export * from "./lease-policy.js";
 export * from "./pending-queue.js";
 export * from "./records.js";
 export * from "./settings.js";
--- a/packages/core/src/shard/job-lifecycle.ts
+++ b/packages/core/src/shard/job-lifecycle.ts
@@ -9,7 +9,7 @@
 import { finalStateOf, isEnding } from "./job-view.js";
 import { type PendingUnit } from "./pending-queue.js";
 import { sizeOf } from "./size.js";
-import { TransitionBuilder } from "./step-builder.js";
+import { TransitionBuilder } from "./transition-builder.js";
 import { type JobEntry, type TaskEntry, TaskPhase } from "./types.js";
 import { type WorkerEntry } from "./worker-table.js";
 
--- a/packages/core/src/shard/job-book.ts
+++ b/packages/core/src/shard/job-registry.ts
@@ -3,7 +3,7 @@
 import { ExecutionStatus, isFinalState, JobState } from "../jobs/index.js";
 import { EndKind } from "../worker/index.js";
 import { maxHistoryEntries } from "./constants.js";
-import type { LeaseTerms } from "./lease-terms.js";
+import type { LeaseTerms } from "./lease-policy.js";
 import type {
     EndedRecord,
     FinishedRecord,
--- a/packages/core/src/shard/placement-pass.ts
+++ b/packages/core/src/shard/placement-cycle.ts
@@ -7,9 +7,9 @@
 import type { PendingUnit } from "./pending-queue.js";
 import type { RecordedPlacement } from "./records.js";
 import type { ShardContext } from "./shard-context.js";
-import type { TransitionBuilder } from "./step-builder.js";
+import type { TransitionBuilder } from "./transition-builder.js";
 import type { JobEntry, Transition } from "./types.js";
-import { type WorkerSelection, WorkerSelector } from "./worker-chooser.js";
+import { type WorkerSelection, WorkerSelector } from "./worker-selector.js";
 
 /** Runs placement cycles over the queue, and estimates waits from the rate at which tasks are placed. */
 export class PlacementCycle {
--- a/packages/core/src/shard/records.ts
+++ b/packages/core/src/shard/records.ts
@@ -3,7 +3,7 @@
 import type { ExecutionStatus, JobState, JobSubmission } from "../jobs/index.js";
 import type { Resources } from "../resources/index.js";
 import type { EndKind } from "../worker/index.js";
-import type { LeaseTerms } from "./lease-terms.js";
+import type { LeaseTerms } from "./lease-policy.js";
 
 /** Assignment of one task to one worker. The start request is sent only once this is committed. */
 export interface RecordedPlacement {
--- a/packages/core/src/shard/shard-scheduler.ts
+++ b/packages/core/src/shard/shard-scheduler.ts
@@ -11,18 +11,18 @@
     type WorkerReport,
 } from "../worker/index.js";
 import { checkAdmission } from "./admission.js";
-import { JobRegistry } from "./job-book.js";
 import { JobLifecycle } from "./job-lifecycle.js";
+import { JobRegistry } from "./job-registry.js";
 import { describeJob, repeatedOutcome } from "./job-view.js";
 import { PendingQueue } from "./pending-queue.js";
-import { PlacementCycle } from "./placement-pass.js";
+import { PlacementCycle } from "./placement-cycle.js";
 import { jobOfRecord, type ShardRecord } from "./records.js";
 import { ShardContext, type ShardSchedulerOptions } from "./shard-context.js";
 import { type SlotGrant, type SlotRequest } from "./slot-ledger.js";
-import { StartRequests } from "./start-orders.js";
-import { emptyTransition } from "./step-builder.js";
+import { StartRequests } from "./start-requests.js";
+import { emptyTransition } from "./transition-builder.js";
 import { type ShardSnapshot, type SubmitOutcome, type Transition, type UnrepeatableRequest } from "./types.js";
-import { WorkerController } from "./worker-reports.js";
+import { WorkerController } from "./worker-controller.js";
 import { WorkerTable } from "./worker-table.js";
 
 /** A validated submission. Equal request bodies have equal digests. */
--- a/packages/core/src/shard/start-orders.ts
+++ b/packages/core/src/shard/start-requests.ts
@@ -5,9 +5,9 @@
 import type { JobLifecycle } from "./job-lifecycle.js";
 import { isEnding } from "./job-view.js";
 import type { ShardContext } from "./shard-context.js";
-import { emptyTransition } from "./step-builder.js";
+import { emptyTransition } from "./transition-builder.js";
 import { TaskPhase, type Transition } from "./types.js";
-import type { WorkerController } from "./worker-reports.js";
+import type { WorkerController } from "./worker-controller.js";
 
 /** Builds the messages that start attempts, and applies the workers' answers. */
 export class StartRequests {
--- a/packages/core/src/shard/step-builder.ts
+++ b/packages/core/src/shard/transition-builder.ts
@@ -1,6 +1,6 @@
 /** Construction of transitions. */
 import type { JobId } from "../ids/index.js";
-import type { JobRegistry } from "./job-book.js";
+import type { JobRegistry } from "./job-registry.js";
 import { jobOfRecord, type ShardRecord } from "./records.js";
 import type { Effect, Transition } from "./types.js";
 
--- a/packages/core/src/shard/types.ts
+++ b/packages/core/src/shard/types.ts
@@ -4,7 +4,7 @@
 import type { Resources } from "../resources/index.js";
 import type { Milliseconds } from "../time/index.js";
 import type { EndKind, StopMessage, ThrottleMessage } from "../worker/index.js";
-import type { LeaseTerms } from "./lease-terms.js";
+import type { LeaseTerms } from "./lease-policy.js";
 import type { ShardRecord } from "./records.js";
 
 /** Lifecycle phase of a task. */
--- a/packages/core/src/shard/worker-reports.ts
+++ b/packages/core/src/shard/worker-controller.ts
@@ -11,7 +11,7 @@
     StopMode,
     type WorkerReport,
 } from "../worker/index.js";
-import { emptyTransition, TransitionBuilder } from "./step-builder.js";
+import { emptyTransition, TransitionBuilder } from "./transition-builder.js";
 import { type JobEntry, type TaskEntry, TaskPhase, type Transition } from "./types.js";
 import { isLeaving, type WorkerEntry } from "./worker-table.js";
 
--- a/packages/core/src/shard/worker-chooser.ts
+++ b/packages/core/src/shard/worker-selector.ts
@@ -2,8 +2,8 @@
 import type { WorkerId } from "../ids/index.js";
 import { noWorker, policyOf, type WorkerSlot } from "../placement/index.js";
 import type { Milliseconds } from "../time/index.js";
+import type { GangReservation } from "./gang-reservation.js";
 import type { PendingUnit } from "./pending-queue.js";
-import type { GangReservation } from "./room-saver.js";
 import type { ShardSettings } from "./settings.js";
 import type { JobEntry } from "./types.js";
 import type { WorkerEntry, WorkerTable } from "./worker-table.js";
--- a/packages/core/src/time/clock.ts
+++ b/packages/core/src/time/clock.ts
@@ -1,6 +1,6 @@
 /** Clock interfaces. Code takes a clock as a dependency instead of reading the process's clock. */
-import { SuspensionDetector } from "./gap-watch.js";
 import type { Milliseconds } from "./milliseconds.js";
+import { SuspensionDetector } from "./suspension-detector.js";
 
 /** Source of time and timers. */
 export interface Clock {
--- a/packages/core/src/time/index.ts
+++ b/packages/core/src/time/index.ts
@@ -1,5 +1,5 @@
 /** Clocks, and estimates based on them. */
-export * from "./answer-times.js";
 export * from "./clock.js";
-export * from "./gap-watch.js";
 export * from "./milliseconds.js";
+export * from "./response-time-estimator.js";
+export * from "./suspension-detector.js";
--- a/packages/core/test/journal/repeated-swap.test.ts
+++ b/packages/core/test/journal/hedged-writer.test.ts
@@ -5,7 +5,7 @@
 import { expect } from "earl";
 import { describe, it } from "node:test";
 import { absentVersion, ManualClock, type Milliseconds, PlatformUnavailableError } from "../../src/index.js";
-import { HedgedWriter } from "../../src/journal/repeated-swap.js";
+import { HedgedWriter } from "../../src/journal/hedged-writer.js";
 
 const onTheirWay = 16;
 const retryDelay: Milliseconds = 60;
