--- a/packages/core/src/journal/journal.ts
+++ b/packages/core/src/journal/journal.ts
@@ -175,8 +175,8 @@
     }
 
     /** Waits for a condition that can only become true when a segment is committed. */
-    async #until(isTrue: () => boolean): Promise<void> {
-        while (!isTrue()) {
+    async #until(condition: () => boolean): Promise<void> {
+        while (!condition()) {
             await new Promise<void>(resolve => this.#progressListeners.push(resolve));
             if (this.#fenced !== undefined) {
                 throw this.#fenced;
--- a/packages/core/src/placement/fleet-index.ts
+++ b/packages/core/src/placement/fleet-index.ts
@@ -6,7 +6,7 @@
 const levelCount = 32;
 /** A search stops after this many feasible workers. */
 const maxFeasible = 8;
-const initialCapacity = 64;
+const initialSlots = 64;
 const processorDimension = 0;
 const memoryDimension = 1;
 const slotDimension = 3;
@@ -21,11 +21,11 @@
  * depends on the number of cells rather than on the number of workers.
  */
 export class FleetIndex {
-    #capacity = new Float64Array(initialCapacity * dimensionCount);
-    #free = new Float64Array(initialCapacity * dimensionCount);
-    #next = new Int32Array(initialCapacity).fill(noWorker);
-    #previous = new Int32Array(initialCapacity).fill(noWorker);
-    #cellOf = new Int32Array(initialCapacity).fill(noWorker);
+    #capacity = new Float64Array(initialSlots * dimensionCount);
+    #free = new Float64Array(initialSlots * dimensionCount);
+    #next = new Int32Array(initialSlots).fill(noWorker);
+    #previous = new Int32Array(initialSlots).fill(noWorker);
+    #cellOf = new Int32Array(initialSlots).fill(noWorker);
     readonly #heads = new Int32Array(levelCount * levelCount).fill(noWorker);
     readonly #rowMasks = new Uint32Array(levelCount);
     #largestProcessors = 1;
@@ -100,7 +100,7 @@
     /** Whether a task fits on a worker, without headroom and whether or not it is schedulable. */
     fits(worker: WorkerSlot, size: Resources): boolean {
         this.#setNeeded(size);
-        return this.#hasRoom(worker, 0);
+        return this.hasCapacity(worker, 0);
     }
 
     /** Finds a worker for one task. Reserves nothing. */
@@ -123,7 +123,7 @@
                 let worker = this.#heads[row * levelCount + column];
                 while (worker !== noWorker && feasible < maxFeasible) {
                     considered++;
-                    if (this.#hasRoom(worker, request.headroom) && request.isExcluded?.(worker) !== true) {
+                    if (this.hasCapacity(worker, request.headroom) && request.isExcluded?.(worker) !== true) {
                         feasible++;
                         const score = pack ? this.#leftover(worker) : -this.#leftover(worker);
                         if (score < bestScore) {
@@ -146,10 +146,10 @@
         this.#needed[4] = size.connections;
     }
 
-    #hasRoom(worker: WorkerSlot, headroom: number): boolean {
+    hasCapacity(worker: WorkerSlot, headroom: number): boolean {
         const base = worker * dimensionCount;
-        const kept = headroom * this.#capacity[base];
-        if (this.#free[base] - kept < this.#needed[0]) {
+        const reserved = headroom * this.#capacity[base];
+        if (this.#free[base] - reserved < this.#needed[0]) {
             return false;
         }
         for (let dimension = 1; dimension < dimensionCount; dimension++) {
@@ -270,15 +270,15 @@
         if (worker < this.#next.length) {
             return;
         }
-        const room = this.#next.length * 2;
+        const newLength = this.#next.length * 2;
         const grow = <Values extends Float64Array | Int32Array>(old: Values, fresh: Values): Values => {
             fresh.set(old);
             return fresh;
         };
-        this.#capacity = grow(this.#capacity, new Float64Array(room * dimensionCount));
-        this.#free = grow(this.#free, new Float64Array(room * dimensionCount));
-        this.#next = grow(this.#next, new Int32Array(room).fill(noWorker));
-        this.#previous = grow(this.#previous, new Int32Array(room).fill(noWorker));
-        this.#cellOf = grow(this.#cellOf, new Int32Array(room).fill(noWorker));
+        this.#capacity = grow(this.#capacity, new Float64Array(newLength * dimensionCount));
+        this.#free = grow(this.#free, new Float64Array(newLength * dimensionCount));
+        this.#next = grow(this.#next, new Int32Array(newLength).fill(noWorker));
+        this.#previous = grow(this.#previous, new Int32Array(newLength).fill(noWorker));
+        this.#cellOf = grow(this.#cellOf, new Int32Array(newLength).fill(noWorker));
     }
 }
--- a/packages/core/src/resources/index.ts
+++ b/packages/core/src/resources/index.ts
@@ -43,10 +43,10 @@
 /** Multiplies all dimensions by `count`. */
 export const multiplyResources = (size: Resources, count: number): Resources => combine(size, size, a => a * count);
 /** Whether `size` is at most `room` in every dimension. */
-export const fitsInto = (size: Resources, room: Resources): boolean =>
-    dimensions.every(name => size[name] <= room[name]);
+export const fitsInto = (size: Resources, available: Resources): boolean =>
+    dimensions.every(name => size[name] <= available[name]);
 /** Returns the dimensions in which `size` exceeds `room`. */
-export const lackingDimensions = (size: Resources, room: Resources): Dimension[] =>
-    dimensions.filter(name => size[name] > room[name]);
+export const lackingDimensions = (size: Resources, available: Resources): Dimension[] =>
+    dimensions.filter(name => size[name] > available[name]);
 /** Returns a string that is equal for equal vectors, for use as a map key. */
 export const resourcesKey = (size: Resources): string => dimensions.map(name => size[name]).join(":");
--- a/packages/core/src/settings/definitions.ts
+++ b/packages/core/src/settings/definitions.ts
@@ -106,8 +106,8 @@
 
     read(text: string): Result<readonly string[], string> {
         const parts = text.split(",").map(part => part.trim()).filter(part => part !== "");
-        const wrong = parts.find(part => this.#address.read(part).isErr());
-        return wrong === undefined ? ok(parts) : err(`"${wrong}" is no ${this.#address.description}`);
+        const invalid = parts.find(part => this.#address.read(part).isErr());
+        return invalid === undefined ? ok(parts) : err(`"${invalid}" is no ${this.#address.description}`);
     }
 }
 
--- a/packages/core/src/settings/diff.ts
+++ b/packages/core/src/settings/diff.ts
@@ -20,17 +20,17 @@
 
 /** Returns all keys that differ between two trees, sorted by section and key. */
 export const diffSettings = (before: SettingsTree, after: SettingsTree): readonly SettingsDifference[] => {
-    const places = new Map<string, SettingsDifference>();
-    const placeOf = (section: string, key: string) => `${section}\n${key}`;
+    const differences = new Map<string, SettingsDifference>();
+    const identify = (section: string, key: string) => `${section}\n${key}`;
     for (const { section, key, value } of before.entries()) {
-        places.set(placeOf(section, key), { section, key, before: value, after: undefined });
+        differences.set(identify(section, key), { section, key, before: value, after: undefined });
     }
     for (const { section, key, value } of after.entries()) {
-        const known = places.get(placeOf(section, key));
-        places.set(placeOf(section, key), { section, key, before: known?.before, after: value });
+        const known = differences.get(identify(section, key));
+        differences.set(identify(section, key), { section, key, before: known?.before, after: value });
     }
     return pipe(
-        [...places.values()],
+        [...differences.values()],
         ReadonlyArray.filter(difference => difference.before !== difference.after),
         ReadonlyArray.sortBy([bySection, byKey]),
     );
--- a/packages/core/src/settings/ini-document.ts
+++ b/packages/core/src/settings/ini-document.ts
@@ -33,9 +33,9 @@
         if (content === "" || content.startsWith(";") || content.startsWith("#")) {
             return;
         }
-        const head = sectionPattern.exec(content)?.[1];
-        if (head !== undefined) {
-            section = head.trim();
+        const header = sectionPattern.exec(content)?.[1];
+        if (header !== undefined) {
+            section = header.trim();
             if (sections.has(section)) {
                 const message = `the section stands already at line ${sections.get(section)}`;
                 findings.push({ file, line, section, key: "", message });
--- a/packages/core/src/settings/tree.ts
+++ b/packages/core/src/settings/tree.ts
@@ -101,15 +101,15 @@
 }
 
 const checkEntry = (entry: IniEntry, file: string): Finding[] => {
-    const place = { file, line: entry.line, section: entry.section, key: entry.key };
+    const location = { file, line: entry.line, section: entry.section, key: entry.key };
     const isTeam = entry.section.startsWith("team ");
     const definition = isTeam
         ? (isTeamKey(entry.key) ? teamSchema[entry.key] : undefined)
         : (isTreeKey(entry.key) ? treeSchema[entry.key] : undefined);
     if (definition === undefined) {
-        return [{ ...place, message: "no such key" }];
+        return [{ ...location, message: "no such key" }];
     }
-    return definition.kind.read(entry.value).match(() => [], message => [{ ...place, message }]);
+    return definition.kind.read(entry.value).match(() => [], message => [{ ...location, message }]);
 };
 
 /** Parses and validates a settings text. On failure returns all findings, in the order of lines. */
--- a/packages/core/src/settings/types.ts
+++ b/packages/core/src/settings/types.ts
@@ -19,8 +19,9 @@
 
 /** Formats a finding as `FILE:LINE: [SECTION] KEY: MESSAGE`. */
 export const formatFinding = (finding: Finding): string => {
-    const place = [finding.section === "" ? "" : `[${finding.section}]`, finding.key].filter(part => part !== "").join(
-        " ",
-    );
-    return `${finding.file}:${finding.line}: ${place === "" ? "" : `${place}: `}${finding.message}`;
+    const location = [finding.section === "" ? "" : `[${finding.section}]`, finding.key].filter(part => part !== "")
+        .join(
+            " ",
+        );
+    return `${finding.file}:${finding.line}: ${location === "" ? "" : `${location}: `}${finding.message}`;
 };
--- a/packages/core/src/shard/admission.ts
+++ b/packages/core/src/shard/admission.ts
@@ -63,14 +63,14 @@
         ...shape,
         available: withoutHeadroom(shape.capacity, headroom),
     }));
-    const places = usable.reduce((sum, { available: room, count }) => sum + countFitting(size, room) * count, 0);
-    if (places === 0) {
+    const taskCapacity = usable.reduce((sum, { available: room, count }) => sum + countFitting(size, room) * count, 0);
+    if (taskCapacity === 0) {
         return { error: "fits-nowhere", reason: describeNearestMiss(size, usable) };
     }
     const needed = countPlacedTogether(submission);
-    return places >= needed ? undefined : {
+    return taskCapacity >= needed ? undefined : {
         error: "fits-nowhere",
-        reason: `all ${needed} tasks must run at once and the shard holds at most ${places} of this size`,
+        reason: `all ${needed} tasks must run at once and the shard holds at most ${taskCapacity} of this size`,
     };
 };
 
@@ -109,8 +109,8 @@
     processorThousandths: capacity.processorThousandths * (1 - headroom),
 });
 
-const countFitting = (size: Resources, room: Resources): number =>
-    Math.min(...dimensions.filter(name => size[name] > 0).map(name => Math.floor(room[name] / size[name])));
+const countFitting = (size: Resources, available: Resources): number =>
+    Math.min(...dimensions.filter(name => size[name] > 0).map(name => Math.floor(available[name] / size[name])));
 
 /** Describes the worker that falls short in the fewest dimensions. */
 const describeNearestMiss = (size: Resources, shapes: readonly UsableShape[]): string => {
--- a/packages/core/src/shard/gang-reservation.ts
+++ b/packages/core/src/shard/gang-reservation.ts
@@ -82,10 +82,10 @@
 }
 
 const countFitting = (size: Resources, capacity: Resources, limit: number): number => {
-    let room = capacity;
+    let available = capacity;
     let count = 0;
-    while (count < limit && fitsInto(size, room)) {
-        room = subtractResources(room, size);
+    while (count < limit && fitsInto(size, available)) {
+        available = subtractResources(available, size);
         count++;
     }
     return count;
--- a/packages/core/src/shard/job-lifecycle.ts
+++ b/packages/core/src/shard/job-lifecycle.ts
@@ -82,13 +82,13 @@
         const size = sizeOf(submission);
         const { priority } = submission;
         const groups = policyOf(submission.class).allOrNothing ? [all] : tasks.map(task => [task]);
-        const common = `${submission.class}|${submission.team}|${resourcesKey(size)}`;
+        const commonKey = `${submission.class}|${submission.team}|${resourcesKey(size)}`;
         return groups.map(group => ({
             job,
             tasks: group.map(task => task.task),
             size,
             priority,
-            equivalenceKey: group.length === 1 ? common : `${common}|${group.length}`,
+            equivalenceKey: group.length === 1 ? commonKey : `${commonKey}|${group.length}`,
             sequence: this.#nextSequence++,
             since,
         }));
@@ -277,8 +277,8 @@
 
     /** Removes finished jobs whose retention period is over. */
     purgeExpired(builder: TransitionBuilder): void {
-        const oldest = this.context.options.clock.now().getTime() - this.context.options.settings().retention;
-        while (this.#finished.length > 0 && Date.parse(this.#finished[0].finishedAt ?? "") <= oldest) {
+        const cutoff = this.context.options.clock.now().getTime() - this.context.options.settings().retention;
+        while (this.#finished.length > 0 && Date.parse(this.#finished[0].finishedAt ?? "") <= cutoff) {
             builder.record({ kind: "forgotten", job: this.#finished.shift()!.job });
         }
     }
--- a/packages/core/src/shard/job-registry.ts
+++ b/packages/core/src/shard/job-registry.ts
@@ -23,24 +23,24 @@
  */
 export class JobRegistry {
     readonly jobs = new Map<JobId, JobEntry>();
-    readonly once = new Map<string, UnrepeatableRequest>();
+    readonly unrepeatableRequests = new Map<string, UnrepeatableRequest>();
     /** The lease terms that were journaled last. */
-    terms: LeaseTerms | undefined;
+    leaseTerms: LeaseTerms | undefined;
     readonly #jobsByKey = new Map<string, JobEntry>();
 
     findByKey(key: string): JobEntry | undefined {
         return this.#jobsByKey.get(key);
     }
 
-    task(task: TaskId): TaskEntry | undefined {
+    findTask(task: TaskId): TaskEntry | undefined {
         return this.jobs.get(jobOfTask(task))?.tasks[indexOfTask(task)];
     }
 
     /** Loads a snapshot into an empty registry. */
     restore(snapshot: ShardSnapshot): void {
         snapshot.jobs.forEach(job => this.#insert(structuredClone(job)));
-        snapshot.once.forEach(entry => this.once.set(entry.key, { ...entry }));
-        this.terms = snapshot.terms;
+        snapshot.once.forEach(entry => this.unrepeatableRequests.set(entry.key, { ...entry }));
+        this.leaseTerms = snapshot.terms;
         for (const job of this.jobs.values()) {
             job.unkept = 0;
             job.tasks.forEach(resetVolatileState);
@@ -49,7 +49,7 @@
 
     /** Returns the state as plain data. It shares objects with the registry, so serialise it at once. */
     snapshot(): ShardSnapshot {
-        return { jobs: [...this.jobs.values()], once: [...this.once.values()], terms: this.terms };
+        return { jobs: [...this.jobs.values()], once: [...this.unrepeatableRequests.values()], terms: this.leaseTerms };
     }
 
     /** Applies one record. Records of attempts that are no longer current have no effect. */
@@ -72,10 +72,10 @@
             case "forgotten":
                 return this.#applyForgotten(record.job);
             case "terms":
-                this.terms = record.terms;
+                this.leaseTerms = record.terms;
                 return;
             case "once-began":
-                this.once.set(record.key, {
+                this.unrepeatableRequests.set(record.key, {
                     key: record.key,
                     digest: record.digest,
                     nonce: record.nonce,
@@ -88,9 +88,9 @@
     }
 
     #applyUnrepeatableEnded({ key, status }: UnrepeatableEndedRecord): void {
-        const entry = this.once.get(key);
+        const entry = this.unrepeatableRequests.get(key);
         if (status === undefined) {
-            this.once.delete(key);
+            this.unrepeatableRequests.delete(key);
         }
         else if (entry !== undefined) {
             entry.status = status;
--- a/packages/core/src/shard/pending-queue.ts
+++ b/packages/core/src/shard/pending-queue.ts
@@ -82,19 +82,19 @@
 
     /** Position of a unit in the queue, from 1. */
     positionOf(unit: PendingUnit): number {
-        let ahead = 1;
+        let position = 1;
         for (const group of this.#groups.values()) {
             if (group.first >= group.units.length) {
                 continue;
             }
             if (group.rank < ranks[unit.priority]) {
-                ahead += group.units.length - group.first;
+                position += group.units.length - group.first;
             }
             else if (group.rank === ranks[unit.priority]) {
-                ahead += countBefore(group, unit.sequence);
+                position += countBefore(group, unit.sequence);
             }
         }
-        return ahead;
+        return position;
     }
 
     /**
--- a/packages/core/src/shard/placement-cycle.ts
+++ b/packages/core/src/shard/placement-cycle.ts
@@ -79,26 +79,26 @@
         }
         const settings = this.context.options.settings(job.submission.class);
         const avoided = this.context.health.failedWorkersOf(job.job);
-        const choice = this.#selector.select({ unit, job, settings, avoided, now });
-        if (choice === undefined) {
+        const selection = this.#selector.select({ unit, job, settings, avoided, now });
+        if (selection === undefined) {
             if (unit.tasks.length > 1 && now - unit.since >= settings.gangPatience) {
                 this.context.gangReservation.reserve(job.job, size, unit.tasks.length, now);
             }
             return false;
         }
         this.context.gangReservation.release(unit.job);
-        this.#recordPlacements(job, unit, choice, size, builder);
+        this.#recordPlacements(job, unit, selection, size, builder);
         return true;
     }
 
     #recordPlacements(
         job: JobEntry,
         unit: PendingUnit,
-        choice: WorkerSelection,
+        selection: WorkerSelection,
         grant: Resources,
         builder: TransitionBuilder,
     ): void {
-        const { workers, reason } = choice;
+        const { workers, reason } = selection;
         const tasks = unit.tasks.map(task => job.tasks[indexOfTask(task)]);
         const placements = tasks.map((task, index): RecordedPlacement => ({
             task: task.task,
--- a/packages/core/src/shard/service-directory.ts
+++ b/packages/core/src/shard/service-directory.ts
@@ -56,8 +56,8 @@
         if (ledger === undefined) {
             const { hasFormerOwner, now, slotGrant } = this.options;
             // Counted from the first request, as gateways may only now have discovered the new owner.
-            const settledAt = hasFormerOwner ? now() + Math.min(gatewayRegistrationPeriod, slotGrant()) : -Infinity;
-            ledger = new SlotLedger(settledAt);
+            const reconciledAt = hasFormerOwner ? now() + Math.min(gatewayRegistrationPeriod, slotGrant()) : -Infinity;
+            ledger = new SlotLedger(reconciledAt);
             this.#ledgers.set(service, ledger);
         }
         return ledger;
--- a/packages/core/src/shard/shard-scheduler.ts
+++ b/packages/core/src/shard/shard-scheduler.ts
@@ -76,7 +76,7 @@
             this.registry.restore(snapshot);
         }
         records.forEach(record => this.registry.apply(record));
-        this.#context.leasePolicy.recover(this.registry.terms);
+        this.#context.leasePolicy.recover(this.registry.leaseTerms);
         for (const job of this.registry.jobs.values()) {
             this.#jobs.recover(job);
             this.#workerController.recover(job);
@@ -226,7 +226,7 @@
         digest: string,
         nonce: string,
     ): { readonly transition: Transition; readonly earlier: UnrepeatableRequest | undefined; } {
-        const known = this.registry.once.get(key);
+        const known = this.registry.unrepeatableRequests.get(key);
         if (known !== undefined && known.nonce !== nonce) {
             return { transition: emptyTransition, earlier: known };
         }
@@ -263,7 +263,7 @@
 
     /** Whether this is the task's current attempt and it is assigned to a worker. */
     isCurrent(id: TaskId, attempt: Attempt): boolean {
-        const task = this.registry.task(id);
+        const task = this.registry.findTask(id);
         return task?.attempt === attempt && task.assignment !== undefined;
     }
 }
--- a/packages/core/src/shard/slot-ledger.ts
+++ b/packages/core/src/shard/slot-ledger.ts
@@ -71,13 +71,13 @@
         let wanted = this.#shareOf(gateway, instances);
         const grants: SlotGrant[] = [];
         for (const instance of this.#inPreferenceOrder(gateway, instances, request.dataHall)) {
-            const room = Math.max(0, instance.slots - this.#heldByOthers(gateway, instance.task));
-            const before = gateway.holdings.get(instance.task)?.slots ?? 0;
+            const available = Math.max(0, instance.slots - this.#heldByOthers(gateway, instance.task));
+            const current = gateway.holdings.get(instance.task)?.slots ?? 0;
             const mayGrow = now >= this.reconciledAt && instance.address !== undefined;
-            const slots = Math.min(wanted, room, mayGrow ? room : before);
+            const slots = Math.min(wanted, available, mayGrow ? available : current);
             wanted -= slots;
             if (slots > 0) {
-                gateway.holdings.set(instance.task, { slots: Math.max(slots, before), expiresAt: now + duration });
+                gateway.holdings.set(instance.task, { slots: Math.max(slots, current), expiresAt: now + duration });
                 grants.push({ task: instance.task, worker: instance.worker, address: instance.address, slots });
             }
         }
@@ -125,22 +125,22 @@
         instances: readonly ServiceInstance[],
         dataHall: string,
     ): ServiceInstance[] {
-        const weight = (instance: ServiceInstance): number => {
+        const rank = (instance: ServiceInstance): number => {
             const held = gateway.holdings.has(instance.task) ? 0 : 1_000_000;
             const distance = instance.dataHall === dataHall ? 0 : 1_000;
             return held + distance + this.#sumHeld(instance.task, undefined);
         };
-        return [...instances].sort((left, right) => weight(left) - weight(right));
+        return [...instances].sort((left, right) => rank(left) - rank(right));
     }
 
     #heldByOthers(gateway: GatewayEntry, task: TaskId): number {
         return this.#sumHeld(task, gateway);
     }
 
-    #sumHeld(task: TaskId, without: GatewayEntry | undefined): number {
+    #sumHeld(task: TaskId, excluded: GatewayEntry | undefined): number {
         let sum = 0;
         for (const entry of this.#gateways.values()) {
-            if (entry !== without) {
+            if (entry !== excluded) {
                 sum += entry.holdings.get(task)?.slots ?? 0;
             }
         }
--- a/packages/core/src/shard/start-requests.ts
+++ b/packages/core/src/shard/start-requests.ts
@@ -22,7 +22,7 @@
      * `mayHaveArrived`: a copy was sent before and not answered.
      */
     buildMessage(id: TaskId, attempt: Attempt, mayHaveArrived: boolean): StartMessage | undefined {
-        const task = this.context.registry.task(id);
+        const task = this.context.registry.findTask(id);
         const job = this.context.registry.jobs.get(jobOfTask(id));
         if (job === undefined || task?.attempt !== attempt || task.phase !== TaskPhase.Starting || !task.assignment) {
             return undefined;
@@ -55,7 +55,7 @@
 
     /** Applies a worker's acceptance of a start. */
     accepted(id: TaskId, attempt: Attempt, running: RunningTask): Transition {
-        const task = this.context.registry.task(id);
+        const task = this.context.registry.findTask(id);
         if (task?.attempt !== attempt || task.phase !== TaskPhase.Starting) {
             return emptyTransition;
         }
@@ -68,7 +68,7 @@
 
     /** Applies a worker's refusal, or without `refusal` that the start was never sent: the attempt did not run. */
     refused(id: TaskId, attempt: Attempt, refusal: WorkerRefusal | undefined): Transition {
-        const task = this.context.registry.task(id);
+        const task = this.context.registry.findTask(id);
         if (task?.attempt !== attempt || task.phase !== TaskPhase.Starting || task.assignment === undefined) {
             return emptyTransition;
         }
--- a/packages/core/src/shard/worker-controller.ts
+++ b/packages/core/src/shard/worker-controller.ts
@@ -225,8 +225,8 @@
             this.#throttleIfOverGrant(task, running, builder);
             return;
         }
-        const isOther = task.assignment?.incarnation !== report.incarnation;
-        if (isOther) {
+        const isRestarted = task.assignment?.incarnation !== report.incarnation;
+        if (isRestarted) {
             this.jobs.recordLost(task, "its worker was restarted", builder);
         }
         else if (task.confirmedAt !== undefined && sentAt > task.confirmedAt) {
@@ -243,7 +243,7 @@
     }
 
     #applyEnd(entry: WorkerEntry, ended: EndedTask, builder: TransitionBuilder): void {
-        const task = this.context.registry.task(ended.task);
+        const task = this.context.registry.findTask(ended.task);
         if (task === undefined || task.attempt !== ended.attempt || task.assignment?.worker !== entry.worker) {
             // Acknowledged only once its record is committed. If the worker dropped the end before that, the next owner would
             // conclude that the start had never arrived and run the task again.
--- a/packages/core/src/shard/worker-selector.ts
+++ b/packages/core/src/shard/worker-selector.ts
@@ -53,11 +53,11 @@
         const isGang = unit.tasks.length > 1;
         const chosen: WorkerEntry[] = [];
         let considered = 0;
-        let fitted = 0;
+        let feasible = 0;
         for (let index = 0; index < unit.tasks.length; index++) {
             const decision = this.workers.index.find({ size, preference, headroom, isExcluded });
             considered += decision.considered;
-            fitted += decision.feasible;
+            feasible += decision.feasible;
             if (decision.worker === noWorker) {
                 break;
             }
@@ -74,7 +74,7 @@
             return undefined;
         }
         const waited = Math.round(Math.max(0, now - unit.since));
-        const reason = `${preference}: best of ${fitted} that fit, ${considered} looked at, after ${waited} ms`;
+        const reason = `${preference}: best of ${feasible} that fit, ${considered} looked at, after ${waited} ms`;
         return { workers: chosen, reason };
     }
 }
--- a/packages/core/src/time/response-time-estimator.ts
+++ b/packages/core/src/time/response-time-estimator.ts
@@ -26,15 +26,15 @@
 
     constructor(private readonly bounds: TimeoutBounds) {}
 
-    recordResponse(took: Milliseconds): void {
+    recordResponse(duration: Milliseconds): void {
         this.#consecutiveTimeouts = 0;
         if (this.#smoothed === undefined) {
-            this.#smoothed = took;
-            this.#deviation = took / 2;
+            this.#smoothed = duration;
+            this.#deviation = duration / 2;
             return;
         }
-        this.#deviation += (Math.abs(took - this.#smoothed) - this.#deviation) * deviationWeight;
-        this.#smoothed += (took - this.#smoothed) * smoothedWeight;
+        this.#deviation += (Math.abs(duration - this.#smoothed) - this.#deviation) * deviationWeight;
+        this.#smoothed += (duration - this.#smoothed) * smoothedWeight;
     }
 
     /** Records that a response did not arrive in time. */
