--- a/packages/core/src/placement/fleet-index.ts
+++ b/packages/core/src/placement/fleet-index.ts
@@ -100,7 +100,7 @@
     /** Whether a task fits on a worker, without headroom and whether or not it is schedulable. */
     fits(worker: WorkerSlot, size: Resources): boolean {
         this.#setNeeded(size);
-        return this.hasCapacity(worker, 0);
+        return this.#hasCapacity(worker, 0);
     }
 
     /** Finds a worker for one task. Reserves nothing. */
@@ -123,7 +123,7 @@
                 let worker = this.#heads[row * levelCount + column];
                 while (worker !== noWorker && feasible < maxFeasible) {
                     considered++;
-                    if (this.hasCapacity(worker, request.headroom) && request.isExcluded?.(worker) !== true) {
+                    if (this.#hasCapacity(worker, request.headroom) && request.isExcluded?.(worker) !== true) {
                         feasible++;
                         const score = pack ? this.#leftover(worker) : -this.#leftover(worker);
                         if (score < bestScore) {
@@ -146,7 +146,7 @@
         this.#needed[4] = size.connections;
     }
 
-    hasCapacity(worker: WorkerSlot, headroom: number): boolean {
+    #hasCapacity(worker: WorkerSlot, headroom: number): boolean {
         const base = worker * dimensionCount;
         const reserved = headroom * this.#capacity[base];
         if (this.#free[base] - reserved < this.#needed[0]) {
--- a/packages/core/src/shard/team-usage.ts
+++ b/packages/core/src/shard/team-usage.ts
@@ -11,7 +11,7 @@
 
 /** Sums the granted resources of each team and checks them against its quota. */
 export class TeamUsage {
-    readonly usage = new Map<string, Resources>();
+    readonly #usage = new Map<string, Resources>();
 
     /** Whether a team may hold `count` further tasks of a size. */
     isWithinQuota(team: string, size: Resources, count: number, quotas: ShardSettings["quotas"]): boolean {
@@ -19,19 +19,19 @@
         if (quota === undefined) {
             return true;
         }
-        const after = addResources(this.usageOf(team), multiplyResources(size, count));
+        const after = addResources(this.#usageOf(team), multiplyResources(size, count));
         return dimensions.every(name => after[name] <= (quota[name] ?? Infinity));
     }
 
     charge(team: string, grant: Resources): void {
-        this.usage.set(team, addResources(this.usageOf(team), grant));
+        this.#usage.set(team, addResources(this.#usageOf(team), grant));
     }
 
     release(team: string, grant: Resources): void {
-        this.usage.set(team, subtractResources(this.usageOf(team), grant));
+        this.#usage.set(team, subtractResources(this.#usageOf(team), grant));
     }
 
-    usageOf(team: string): Resources {
-        return this.usage.get(team) ?? noResources;
+    #usageOf(team: string): Resources {
+        return this.#usage.get(team) ?? noResources;
     }
 }
