--- a/packages/core/src/journal/repeated-swap.ts
+++ b/packages/core/src/journal/hedged-writer.ts
@@ -1,22 +1,15 @@
-/**
- * Writes that are repeated until they are answered.
- *
- * A write that stays without an answer is sent again beside the first one, not after it: while the store is silent each call
- * waits for its time to be over, and the write is to be answered as soon as the store is back. Of several that wait only the
- * oldest is repeated; the others once a later call than theirs was answered, so that a slow store gets few calls twice, and one that
- * turns calls away is not flooded.
- */
+/** Compare-and-swap writes that are hedged and retried until they are answered. */
 import { type KeyVersion, type PlatformStore, PlatformUnavailableError, type SwapOutcome } from "../platform/index.js";
 import { ResponseTimeEstimator, type Clock, type Milliseconds } from "../time/index.js";
 import type { JournalOptions } from "./types.js";
 
-/** An answer, and when the call that it answers was sent. */
+/** The answer to a write, and when the answered call was sent. */
 export interface WriteAnswer {
     readonly outcome: SwapOutcome;
     readonly sentAt: Milliseconds;
 }
 
-/** What repeated writes need. */
+/** Dependencies of {@link HedgedWriter}. */
 export interface HedgedWriterDependencies {
     readonly store: PlatformStore;
     readonly clock: Clock;
@@ -24,37 +17,40 @@
     readonly signal: AbortSignal;
 }
 
-/** One write that has no answer yet. */
 interface PendingWrite {
     readonly key: string;
     readonly expected: KeyVersion;
     readonly value: string;
-    /** When its first call was sent. */
     readonly firstSentAt: Milliseconds;
-    /** When its last call was sent. */
     lastSentAt: Milliseconds;
-    /** When its first call that failed was sent. */
+    /** When the first call that failed was sent. */
     failedSince: Milliseconds | undefined;
 }
 
-/** How one call ended: answered, or failed with a cause. */
 type CallOutcome =
     | { readonly kind: "answered"; readonly answer: WriteAnswer; }
     | { readonly kind: "failed"; readonly cause: unknown; };
 
-/** Longest time after which a write is repeated, however slow the store is, in milliseconds. */
+/** Upper bound of the delay before a hedged call, in milliseconds. */
 const maxHedgeDelay: Milliseconds = 800;
 
-/** See the module's comment. */
+/**
+ * Repeats each write until it is answered.
+ *
+ * A write without an answer is sent again in parallel to the first call, as calls to a silent store only fail after their
+ * timeout and the write should succeed as soon as the store is back. Of several pending writes only the oldest is repeated; the
+ * others follow once a call sent later than theirs was answered. This limits duplicate calls on a slow store, and does not
+ * overload a store that rejects calls.
+ */
 export class HedgedWriter {
-    /** Those that wait, the oldest first. */
+    /** Unanswered writes, oldest first. */
     readonly #pending = new Set<PendingWrite>();
     readonly #responseTimes: ResponseTimeEstimator | undefined;
-    /** When the latest call that was answered was sent. */
+    /** Latest send time of all answered calls. */
     #latestAnsweredSentAt: Milliseconds = -Infinity;
-    /** When the latest answer came. */
+    /** When the latest answer arrived. */
     #lastAnswerAt: Milliseconds = -Infinity;
-    /** Wake the writes that wait until another one is answered. */
+    /** Called on each answer; wakes writes that wait for another one to be answered. */
     readonly #answerListeners = new Set<() => void>();
     #calls = 0;
 
@@ -65,27 +61,26 @@
             : new ResponseTimeEstimator({ min: repeatAfter, max: Math.max(repeatAfter, maxHedgeDelay) });
     }
 
-    /** Number of calls so far. */
     get calls(): number {
         return this.#calls;
     }
 
-    /** How long the oldest write has been without an answer; 0 when none is on its way. */
+    /** Age of the oldest unanswered write; 0 when there is none. */
     waitingFor(): Milliseconds {
         return this.#longestSince(({ firstSentAt: since }) => since);
     }
 
-    /** How long no write has been answered while some wait; 0 when none is on its way. */
+    /** Time without any answer while writes are pending; 0 when there are none. */
     silentFor(): Milliseconds {
         return Math.min(this.waitingFor(), this.dependencies.clock.monotonic() - this.#lastAnswerAt);
     }
 
-    /** How long calls have failed without an answer since; 0 while the store answers. */
+    /** Longest time for which calls of a pending write have been failing; 0 when none has failed. */
     failingFor(): Milliseconds {
         return this.#longestSince(({ failedSince }) => failedSince);
     }
 
-    /** Repeats a write until it is answered. Rejects when the signal fires, or with an error that no repetition mends. */
+    /** Sends a write until it is answered. Rejects when the signal aborts, or with an error that is not retryable. */
     async write(key: string, expected: KeyVersion, value: string): Promise<WriteAnswer> {
         const now = this.dependencies.clock.monotonic();
         const swap: PendingWrite = { key, expected, value, firstSentAt: now, lastSentAt: now, failedSince: undefined };
@@ -114,7 +109,7 @@
         }
     }
 
-    /** Waits for an answer; undefined when every call has failed or it is time for another one. */
+    /** Waits for an answer; undefined when all calls have failed or another one is due. */
     async #waitForAnswer(
         swap: PendingWrite,
         pending: Map<number, Promise<readonly [number, CallOutcome]>>,
@@ -137,7 +132,7 @@
         return undefined;
     }
 
-    /** Resolves when a write whose answer is out is to be sent again, or is over. */
+    /** Resolves when a hedged call of an unanswered write is due, or the write has ended. */
     async #waitForHedge(swap: PendingWrite, times: ResponseTimeEstimator): Promise<undefined> {
         const { clock, signal } = this.dependencies;
         do {
@@ -146,7 +141,7 @@
         while (this.#pending.has(swap) && !signal.aborted && !this.#mayResend(swap));
     }
 
-    /** Resolves when a write all of whose calls failed is to be sent again: after a pause, or as soon as another one is answered. */
+    /** Resolves when a write whose calls have all failed may be retried, after the retry delay at the earliest. */
     async #waitForRetry(swap: PendingWrite): Promise<void> {
         const { clock, options, signal } = this.dependencies;
         await clock.sleep(options.retryDelay, signal);
--- a/packages/core/src/random/index.ts
+++ b/packages/core/src/random/index.ts
@@ -1,16 +1,16 @@
-/** Randomness as an interface; tests and benches pass a seeded one. */
+/** Random number generators. Tests and benchmarks use a seeded one. */
 import { uniformFloat64 } from "pure-rand/distribution/uniformFloat64";
 import { xoroshiro128plus } from "pure-rand/generator/xoroshiro128plus";
 
-/** Source of random numbers and names. */
+/** Source of random numbers and unique names. */
 export interface Random {
     /** A number in [0, 1). */
     next(): number;
-    /** A name that no other process draws, safe in a URL. */
+    /** A unique name that is safe in a URL. */
     name(): string;
 }
 
-/** Random numbers that repeat for the same seed. */
+/** Deterministic generator: equal seeds give equal sequences. */
 export class SeededRandom implements Random {
     readonly #generator;
 
@@ -18,26 +18,22 @@
         this.#generator = xoroshiro128plus(seed);
     }
 
-    /** See {@link Random.next}. */
     next(): number {
         return uniformFloat64(this.#generator);
     }
 
-    /** See {@link Random.name}. */
     name(): string {
         const part = () => Math.floor(this.next() * 0x1_0000_0000).toString(16).padStart(8, "0");
         return part() + part();
     }
 }
 
-/** Random numbers of the system. The only place that draws them. */
+/** The system's generator. No other code draws from it. */
 export class SystemRandom implements Random {
-    /** See {@link Random.next}. */
     next(): number {
         return Math.random();
     }
 
-    /** See {@link Random.name}. */
     name(): string {
         return crypto.randomUUID().replaceAll("-", "").slice(0, 20);
     }
--- a/packages/core/src/settings/definitions.ts
+++ b/packages/core/src/settings/definitions.ts
@@ -1,10 +1,10 @@
-/** Kinds of setting values: how each is read, checked and shown. */
+/** Types of setting values: parsing, validation and description. */
 import ms, { type StringValue } from "ms";
 import { err, ok, type Result } from "neverthrow";
 
-/** Reads one kind of value from text. The error says what is wrong, without the place. */
+/** Parses one type of value. Error messages do not include the location. */
 export interface ValueKind<Value> {
-    /** What an operator may write. */
+    /** Accepted values, for error messages and the settings page. */
     readonly description: string;
     read(text: string): Result<Value, string>;
 }
@@ -14,7 +14,7 @@
 const sharePattern = /^\d+(\.\d+)?%$/;
 const addressPattern = /^(\d{1,3})\.(\d{1,3})\.(\d{1,3})\.(\d{1,3}):(\d{1,5})$/;
 
-/** A length of time with its unit, read to milliseconds. */
+/** A duration with a unit, parsed to milliseconds. */
 export class DurationKind implements ValueKind<number> {
     readonly description: string;
 
@@ -22,7 +22,6 @@
         this.description = `duration from ${min} to ${max}, as in 250ms, 10s, 15m, 1h`;
     }
 
-    /** See {@link ValueKind.read}. */
     read(text: string): Result<number, string> {
         if (!millisecondsPattern.test(text)) {
             return err(`"${text}" is no ${this.description}`);
@@ -33,7 +32,7 @@
     }
 }
 
-/** A whole number. */
+/** A whole number within bounds. */
 export class CountKind implements ValueKind<number> {
     readonly description: string;
 
@@ -41,14 +40,13 @@
         this.description = `whole number from ${min} to ${max}${unit === "" ? "" : `, in ${unit}`}`;
     }
 
-    /** See {@link ValueKind.read}. */
     read(text: string): Result<number, string> {
         const value = integerPattern.test(text) ? Number(text) : NaN;
         return value >= this.min && value <= this.max ? ok(value) : err(`"${text}" is no ${this.description}`);
     }
 }
 
-/** A share in percent, read to a number from 0 to 1. */
+/** A percentage, parsed to a number from 0 to 1. */
 export class ShareKind implements ValueKind<number> {
     readonly description: string;
 
@@ -56,14 +54,13 @@
         this.description = `share from ${min}% to ${max}%, as in 15%`;
     }
 
-    /** See {@link ValueKind.read}. */
     read(text: string): Result<number, string> {
         const value = sharePattern.test(text) ? Number(text.slice(0, -1)) : NaN;
         return value >= this.min && value <= this.max ? ok(value / 100) : err(`"${text}" is no ${this.description}`);
     }
 }
 
-/** One of a few words. */
+/** One of a fixed set of words. */
 export class ChoiceKind implements ValueKind<string> {
     readonly description: string;
 
@@ -71,13 +68,12 @@
         this.description = `one of ${choices.join(", ")}`;
     }
 
-    /** See {@link ValueKind.read}. */
     read(text: string): Result<string, string> {
         return this.choices.includes(text) ? ok(text) : err(`"${text}" is not ${this.description}`);
     }
 }
 
-/** Letters, digits, dots, underscores and hyphens, and slashes where a path is meant. */
+/** A name of letters, digits, dots, underscores and hyphens; a path also has slashes. */
 export class NameKind implements ValueKind<string> {
     readonly description: string;
     readonly #pattern: RegExp;
@@ -87,17 +83,15 @@
         this.#pattern = isPath ? /^[A-Za-z0-9._-]+(\/[A-Za-z0-9._-]+)*$/ : /^[A-Za-z0-9][A-Za-z0-9._-]*$/;
     }
 
-    /** See {@link ValueKind.read}. */
     read(text: string): Result<string, string> {
         return this.#pattern.test(text) ? ok(text) : err(`"${text}" is no ${this.description}`);
     }
 }
 
-/** An IP number with a port. */
+/** An IPv4 address with a port. */
 export class AddressKind implements ValueKind<string> {
     readonly description = "IP number and port, as in 127.0.0.1:7000";
 
-    /** See {@link ValueKind.read}. */
     read(text: string): Result<string, string> {
         const parts = addressPattern.exec(text)?.slice(1).map(Number);
         const isAddress = parts !== undefined && parts.slice(0, 4).every(part => part <= 255) && parts[4] <= 65_535;
@@ -105,29 +99,28 @@
     }
 }
 
-/** Addresses parted by commas; may be empty. */
+/** Comma-separated addresses. May be empty. */
 export class AddressListKind implements ValueKind<readonly string[]> {
     readonly description = "addresses parted by commas, as in 127.0.0.1:7000, 127.0.0.1:7001";
     readonly #address = new AddressKind();
 
-    /** See {@link ValueKind.read}. */
     read(text: string): Result<readonly string[], string> {
         const parts = text.split(",").map(part => part.trim()).filter(part => part !== "");
-        const wrong = parts.find(part => this.#address.read(part).isErr());
-        return wrong === undefined ? ok(parts) : err(`"${wrong}" is no ${this.#address.description}`);
+        const invalid = parts.find(part => this.#address.read(part).isErr());
+        return invalid === undefined ? ok(parts) : err(`"${invalid}" is no ${this.#address.description}`);
     }
 }
 
-/** One key of a schema. */
+/** Definition of one key in a settings schema. */
 export interface SettingDefinition<Value> {
     readonly kind: ValueKind<Value>;
-    /** The value in text where none is set; undefined when one must be set. */
+    /** Default value as text; undefined for a required key. */
     readonly fallback: string | undefined;
-    /** What it does, for the page that lists all settings. */
+    /** Description for the generated settings page. */
     readonly comment: string;
 }
 
-/** Makes a definition; the type of the value follows from the kind. */
+/** Creates a definition, inferring the value's type from its kind. */
 export const defineSetting = <Value>(
     kind: ValueKind<Value>,
     fallback: string | undefined,
--- a/packages/core/src/shard/room-saver.ts
+++ b/packages/core/src/shard/gang-reservation.ts
@@ -1,9 +1,4 @@
-/**
- * Saves room for one gang that has waited long.
- *
- * Only one gang saves at a time, the first that asks, so two gangs never hold halves of what the other wants. Others
- * may still be placed on a saved worker if they are expected to end before the gang can start there.
- */
+/** Reservation of workers for a gang that has waited long. */
 import type { JobId } from "../ids/index.js";
 import { fitsInto, type Resources, subtractResources } from "../resources/index.js";
 import type { Milliseconds } from "../time/index.js";
@@ -13,16 +8,20 @@
 interface Reservation {
     readonly job: JobId;
     readonly workers: ReadonlySet<WorkerEntry>;
-    /** When it began, by the monotonic clock. */
+    /** When the reservation was made, on the monotonic clock. */
     readonly since: Milliseconds;
-    /** When the last task that runs on the saved workers is expected to end. */
+    /** When the last task on the reserved workers is expected to end. */
     readonly expectedStart: Milliseconds;
 }
 
-/** A gang that has not started by then gives its place to the next. */
+/** A gang that has not started within this time loses its reservation to the next one. */
 const maxReservationDuration: Milliseconds = 600_000;
 
-/** Keeps workers free for one gang. */
+/**
+ * Reserves workers for one gang at a time, so that two gangs never each hold half of what the other needs.
+ *
+ * Other tasks may still be placed on a reserved worker if they are expected to end before the gang can start (backfill).
+ */
 export class GangReservation {
     #reservation: Reservation | undefined;
 
@@ -31,14 +30,14 @@
         private readonly expectedEndOf: (task: TaskEntry) => Milliseconds,
     ) {}
 
-    /** Ends a saving that took too long. */
+    /** Drops a reservation that is too old. */
     expire(now: Milliseconds): void {
         if (this.#reservation !== undefined && now - this.#reservation.since > maxReservationDuration) {
             this.#reservation = undefined;
         }
     }
 
-    /** Begins to save workers for a gang, unless another one saves. */
+    /** Reserves enough workers for a gang, least loaded first. Does nothing while a reservation is held. */
     reserve(job: JobId, size: Resources, count: number, now: Milliseconds): void {
         if (this.#reservation !== undefined) {
             return;
@@ -64,14 +63,14 @@
         }
     }
 
-    /** Ends the saving of a job. */
+    /** Drops the reservation if this job holds it. */
     release(job: JobId): void {
         if (this.#reservation?.job === job) {
             this.#reservation = undefined;
         }
     }
 
-    /** Whether a worker is kept for another job than this one. */
+    /** Whether a worker is reserved for another job and a task with this expected end would delay that job. */
     isReservedForAnother(entry: WorkerEntry, job: JobId, expectedEnd: Milliseconds): boolean {
         const reservation = this.#reservation;
         if (reservation === undefined || reservation.job === job || !reservation.workers.has(entry)) {
@@ -83,10 +82,10 @@
 }
 
 const countFitting = (size: Resources, capacity: Resources, limit: number): number => {
-    let room = capacity;
+    let available = capacity;
     let count = 0;
-    while (count < limit && fitsInto(size, room)) {
-        room = subtractResources(room, size);
+    while (count < limit && fitsInto(size, available)) {
+        available = subtractResources(available, size);
         count++;
     }
     return count;
--- a/packages/core/src/shard/job-book.ts
+++ b/packages/core/src/shard/job-registry.ts
@@ -1,9 +1,9 @@
-/** State of all jobs of a shard, changed only by applying records, so that a journal gives it back. */
+/** State of all jobs of a shard. */
 import { indexOfTask, type JobId, jobOfTask, type TaskId, taskIdOf } from "../ids/index.js";
 import { ExecutionStatus, isFinalState, JobState } from "../jobs/index.js";
 import { EndKind } from "../worker/index.js";
 import { maxHistoryEntries } from "./constants.js";
-import type { LeaseTerms } from "./lease-terms.js";
+import type { LeaseTerms } from "./lease-policy.js";
 import type {
     EndedRecord,
     FinishedRecord,
@@ -16,41 +16,43 @@
 } from "./records.js";
 import { type JobEntry, type ShardSnapshot, type TaskEntry, TaskPhase, type UnrepeatableRequest } from "./types.js";
 
-/** Jobs by id and by their caller's key, and unrepeatable live requests by key. */
+/**
+ * Jobs by id and by their caller's key, and at-most-once live requests by key.
+ *
+ * The state changes only by applying records, so that replaying the journal restores it.
+ */
 export class JobRegistry {
     readonly jobs = new Map<JobId, JobEntry>();
-    readonly once = new Map<string, UnrepeatableRequest>();
-    /** The terms that the last owner kept. */
-    terms: LeaseTerms | undefined;
+    readonly unrepeatableRequests = new Map<string, UnrepeatableRequest>();
+    /** The lease terms that were journaled last. */
+    leaseTerms: LeaseTerms | undefined;
     readonly #jobsByKey = new Map<string, JobEntry>();
 
-    /** The job that a caller's key names. */
     findByKey(key: string): JobEntry | undefined {
         return this.#jobsByKey.get(key);
     }
 
-    /** The task of an id, if its job is known. */
-    task(task: TaskId): TaskEntry | undefined {
+    findTask(task: TaskId): TaskEntry | undefined {
         return this.jobs.get(jobOfTask(task))?.tasks[indexOfTask(task)];
     }
 
-    /** Replaces the state by that of a snapshot. */
+    /** Loads a snapshot into an empty registry. */
     restore(snapshot: ShardSnapshot): void {
         snapshot.jobs.forEach(job => this.#insert(structuredClone(job)));
-        snapshot.once.forEach(entry => this.once.set(entry.key, { ...entry }));
-        this.terms = snapshot.terms;
+        snapshot.once.forEach(entry => this.unrepeatableRequests.set(entry.key, { ...entry }));
+        this.leaseTerms = snapshot.terms;
         for (const job of this.jobs.values()) {
             job.unkept = 0;
             job.tasks.forEach(resetVolatileState);
         }
     }
 
-    /** The state in a form that JSON holds. */
+    /** Returns the state as plain data. It shares objects with the registry, so serialise it at once. */
     snapshot(): ShardSnapshot {
-        return { jobs: [...this.jobs.values()], once: [...this.once.values()], terms: this.terms };
+        return { jobs: [...this.jobs.values()], once: [...this.unrepeatableRequests.values()], terms: this.leaseTerms };
     }
 
-    /** Applies one record. Records of attempts that are no longer current change nothing but the history. */
+    /** Applies one record. Records of attempts that are no longer current have no effect. */
     apply(record: ShardRecord): void {
         switch (record.kind) {
             case "submitted":
@@ -70,10 +72,10 @@
             case "forgotten":
                 return this.#applyForgotten(record.job);
             case "terms":
-                this.terms = record.terms;
+                this.leaseTerms = record.terms;
                 return;
             case "once-began":
-                this.once.set(record.key, {
+                this.unrepeatableRequests.set(record.key, {
                     key: record.key,
                     digest: record.digest,
                     nonce: record.nonce,
@@ -86,9 +88,9 @@
     }
 
     #applyUnrepeatableEnded({ key, status }: UnrepeatableEndedRecord): void {
-        const entry = this.once.get(key);
+        const entry = this.unrepeatableRequests.get(key);
         if (status === undefined) {
-            this.once.delete(key);
+            this.unrepeatableRequests.delete(key);
         }
         else if (entry !== undefined) {
             entry.status = status;
@@ -257,7 +259,7 @@
     }
 };
 
-/** Clears what a former owner knew only from its own clock and connections. */
+/** Clears fields that only held for the former owner's clock and connections. */
 const resetVolatileState = (task: TaskEntry): void => {
     task.confirmedAt = undefined;
     task.stopSent = undefined;
--- a/packages/core/src/shard/placement-pass.ts
+++ b/packages/core/src/shard/placement-cycle.ts
@@ -1,4 +1,4 @@
-/** Places what waits for room at workers, and knows the rate at which that goes. */
+/** Placement of pending units on workers. */
 import { type Attempt, indexOfTask } from "../ids/index.js";
 import type { Resources } from "../resources/index.js";
 import type { Milliseconds } from "../time/index.js";
@@ -7,17 +7,17 @@
 import type { PendingUnit } from "./pending-queue.js";
 import type { RecordedPlacement } from "./records.js";
 import type { ShardContext } from "./shard-context.js";
-import type { TransitionBuilder } from "./step-builder.js";
+import type { TransitionBuilder } from "./transition-builder.js";
 import type { JobEntry, Transition } from "./types.js";
-import { type WorkerSelection, WorkerSelector } from "./worker-chooser.js";
+import { type WorkerSelection, WorkerSelector } from "./worker-selector.js";
 
-/** See the module's comment. */
+/** Runs placement cycles over the queue, and estimates waits from the rate at which tasks are placed. */
 export class PlacementCycle {
     readonly #selector: WorkerSelector;
     #startsSinceTick = 0;
     #startsPerSecond = 0;
     #lastTick: Milliseconds;
-    /** When the last pass was, and the room and the queue at its end. */
+    /** Time of the last cycle, with the versions of capacity and queue at its end. */
     #lastCycle = { at: -Infinity, room: -1, ticket: -1 };
 
     constructor(private readonly context: ShardContext, private readonly jobs: JobLifecycle) {
@@ -25,7 +25,7 @@
         this.#lastTick = context.openedAt;
     }
 
-    /** Places what fits. `mayRecord` is false while the journal takes no records: then nothing is placed. */
+    /** Runs a placement cycle if one is due. Nothing is placed while the journal accepts no records (`mayRecord` false). */
     run(mayRecord: boolean): Transition {
         const builder = this.context.beginTransition();
         if (mayRecord && this.context.mayGrantLeases() && this.context.queue.length > 0) {
@@ -43,20 +43,20 @@
         return builder.build();
     }
 
-    /** What did not fit before can only fit now if room came free; the rest waits for the next regular pass. */
+    /** A unit that could not be placed can only fit once capacity was freed; other changes wait for the regular interval. */
     #isDue(now: Milliseconds): boolean {
         const { at, room, ticket } = this.#lastCycle;
         return now - at >= placementCycleInterval || room !== this.context.workers.index.capacityVersion
             || ticket !== this.jobs.nextSequence;
     }
 
-    /** Wait that is told to one who is refused or comes later, from the rate at which the queue drains. */
+    /** Estimates the wait at a position of the queue from the rate of placements. */
     expectedWait(place: number): Milliseconds {
         const rate = Math.max(this.#startsPerSecond, 0.1);
         return Math.min(maxRetryAfter, Math.ceil(place / rate * 1000));
     }
 
-    /** Takes in how many tasks were placed since the last call, about once a second. */
+    /** Updates the rate of placements, at most once a second. */
     updateStartRate(now: Milliseconds): void {
         const elapsed = now - this.#lastTick;
         if (elapsed < 1000) {
@@ -79,26 +79,26 @@
         }
         const settings = this.context.options.settings(job.submission.class);
         const avoided = this.context.health.failedWorkersOf(job.job);
-        const choice = this.#selector.select({ unit, job, settings, avoided, now });
-        if (choice === undefined) {
+        const selection = this.#selector.select({ unit, job, settings, avoided, now });
+        if (selection === undefined) {
             if (unit.tasks.length > 1 && now - unit.since >= settings.gangPatience) {
                 this.context.gangReservation.reserve(job.job, size, unit.tasks.length, now);
             }
             return false;
         }
         this.context.gangReservation.release(unit.job);
-        this.#recordPlacements(job, unit, choice, size, builder);
+        this.#recordPlacements(job, unit, selection, size, builder);
         return true;
     }
 
     #recordPlacements(
         job: JobEntry,
         unit: PendingUnit,
-        choice: WorkerSelection,
+        selection: WorkerSelection,
         grant: Resources,
         builder: TransitionBuilder,
     ): void {
-        const { workers, reason } = choice;
+        const { workers, reason } = selection;
         const tasks = unit.tasks.map(task => job.tasks[indexOfTask(task)]);
         const placements = tasks.map((task, index): RecordedPlacement => ({
             task: task.task,
--- a/packages/core/src/shard/start-orders.ts
+++ b/packages/core/src/shard/start-requests.ts
@@ -1,15 +1,15 @@
-/** Orders to start attempts: what is sent, and what becomes of it by the worker's answer. */
+/** Requests to workers to start attempts. */
 import { type Attempt, jobOfTask, type TaskId } from "../ids/index.js";
 import { WorkloadClass } from "../jobs/index.js";
 import { type RunningTask, type StartMessage, WorkerRefusal } from "../worker/index.js";
 import type { JobLifecycle } from "./job-lifecycle.js";
 import { isEnding } from "./job-view.js";
 import type { ShardContext } from "./shard-context.js";
-import { emptyTransition } from "./step-builder.js";
+import { emptyTransition } from "./transition-builder.js";
 import { TaskPhase, type Transition } from "./types.js";
-import type { WorkerController } from "./worker-reports.js";
+import type { WorkerController } from "./worker-controller.js";
 
-/** See the module's comment. */
+/** Builds the messages that start attempts, and applies the workers' answers. */
 export class StartRequests {
     constructor(
         private readonly context: ShardContext,
@@ -18,11 +18,11 @@
     ) {}
 
     /**
-     * The message that starts an attempt, or undefined when it is no longer to be sent.
-     * `mayHaveArrived`: a copy of it was sent before and got no answer.
+     * Returns the message that starts an attempt, or undefined when it must no longer be sent.
+     * `mayHaveArrived`: a copy was sent before and not answered.
      */
     buildMessage(id: TaskId, attempt: Attempt, mayHaveArrived: boolean): StartMessage | undefined {
-        const task = this.context.registry.task(id);
+        const task = this.context.registry.findTask(id);
         const job = this.context.registry.jobs.get(jobOfTask(id));
         if (job === undefined || task?.attempt !== attempt || task.phase !== TaskPhase.Starting || !task.assignment) {
             return undefined;
@@ -53,9 +53,9 @@
         };
     }
 
-    /** A worker accepted a start. */
+    /** Applies a worker's acceptance of a start. */
     accepted(id: TaskId, attempt: Attempt, running: RunningTask): Transition {
-        const task = this.context.registry.task(id);
+        const task = this.context.registry.findTask(id);
         if (task?.attempt !== attempt || task.phase !== TaskPhase.Starting) {
             return emptyTransition;
         }
@@ -66,9 +66,9 @@
         return builder.build();
     }
 
-    /** A worker refused a start, or it was given up before it was ever sent: the attempt was not run. */
+    /** Applies a worker's refusal, or without `refusal` that the start was never sent: the attempt did not run. */
     refused(id: TaskId, attempt: Attempt, refusal: WorkerRefusal | undefined): Transition {
-        const task = this.context.registry.task(id);
+        const task = this.context.registry.findTask(id);
         if (task?.attempt !== attempt || task.phase !== TaskPhase.Starting || task.assignment === undefined) {
             return emptyTransition;
         }
--- a/packages/core/src/shard/team-use.ts
+++ b/packages/core/src/shard/team-usage.ts
@@ -1,4 +1,4 @@
-/** What each team holds, against its quota. */
+/** Resource usage of teams. */
 import {
     addResources,
     dimensions,
@@ -9,31 +9,29 @@
 } from "../resources/index.js";
 import type { ShardSettings } from "./settings.js";
 
-/** Sums of grants by team. */
+/** Sums the granted resources of each team and checks them against its quota. */
 export class TeamUsage {
-    readonly #used = new Map<string, Resources>();
+    readonly #usage = new Map<string, Resources>();
 
-    /** Whether a team may hold `count` more of a size. */
+    /** Whether a team may hold `count` further tasks of a size. */
     isWithinQuota(team: string, size: Resources, count: number, quotas: ShardSettings["quotas"]): boolean {
         const quota = quotas.get(team);
         if (quota === undefined) {
             return true;
         }
-        const after = addResources(this.#usedBy(team), multiplyResources(size, count));
+        const after = addResources(this.#usageOf(team), multiplyResources(size, count));
         return dimensions.every(name => after[name] <= (quota[name] ?? Infinity));
     }
 
-    /** Counts a grant. */
     charge(team: string, grant: Resources): void {
-        this.#used.set(team, addResources(this.#usedBy(team), grant));
+        this.#usage.set(team, addResources(this.#usageOf(team), grant));
     }
 
-    /** Gives a grant back. */
     release(team: string, grant: Resources): void {
-        this.#used.set(team, subtractResources(this.#usedBy(team), grant));
+        this.#usage.set(team, subtractResources(this.#usageOf(team), grant));
     }
 
-    #usedBy(team: string): Resources {
-        return this.#used.get(team) ?? noResources;
+    #usageOf(team: string): Resources {
+        return this.#usage.get(team) ?? noResources;
     }
 }
--- a/packages/core/src/shard/worker-chooser.ts
+++ b/packages/core/src/shard/worker-selector.ts
@@ -1,36 +1,36 @@
-/** Chooses workers for what waits: one task, or all tasks of a gang at once. */
+/** Selection of workers for a pending unit. */
 import type { WorkerId } from "../ids/index.js";
 import { noWorker, policyOf, type WorkerSlot } from "../placement/index.js";
 import type { Milliseconds } from "../time/index.js";
+import type { GangReservation } from "./gang-reservation.js";
 import type { PendingUnit } from "./pending-queue.js";
-import type { GangReservation } from "./room-saver.js";
 import type { ShardSettings } from "./settings.js";
 import type { JobEntry } from "./types.js";
 import type { WorkerEntry, WorkerTable } from "./worker-table.js";
 
-/** Workers for the tasks of a unit, in their order, and why. */
+/** Workers for the tasks of a unit, in the order of the tasks, with the reason. */
 export interface WorkerSelection {
     readonly workers: readonly WorkerEntry[];
     readonly reason: string;
 }
 
-/** What is to be placed. */
+/** A pending unit with what its placement depends on. */
 export interface SelectionRequest {
     readonly unit: PendingUnit;
     readonly job: JobEntry;
     readonly settings: ShardSettings;
-    /** Workers to be taken only if the others have no room. */
+    /** Workers to use only if no others are feasible. */
     readonly avoided: ReadonlySet<WorkerId>;
     readonly now: Milliseconds;
 }
 
 const noWorkers: ReadonlySet<WorkerId> = new Set();
 
-/** See the module's comment. */
+/** Selects workers for a single task, or for all tasks of a gang at once. */
 export class WorkerSelector {
     constructor(private readonly workers: WorkerTable, private readonly gangReservation: GangReservation) {}
 
-    /** Workers for all tasks of a unit, or undefined when not all of them fit now. Nothing is reserved. */
+    /** Returns workers for all tasks of a unit, or undefined when not all of them fit. Reserves nothing. */
     select(request: SelectionRequest): WorkerSelection | undefined {
         const { avoided } = request;
         return this.#selectAvoiding(request, avoided)
@@ -53,11 +53,11 @@
         const isGang = unit.tasks.length > 1;
         const chosen: WorkerEntry[] = [];
         let considered = 0;
-        let fitted = 0;
+        let feasible = 0;
         for (let index = 0; index < unit.tasks.length; index++) {
             const decision = this.workers.index.find({ size, preference, headroom, isExcluded });
             considered += decision.considered;
-            fitted += decision.feasible;
+            feasible += decision.feasible;
             if (decision.worker === noWorker) {
                 break;
             }
@@ -66,7 +66,7 @@
                 this.workers.index.reserve(decision.worker, size);
             }
         }
-        // Charged with the record; here only the search for the next task of a gang needed the room.
+        // Reserved only while searching for the gang's other tasks; the resources are charged with the record.
         if (isGang) {
             chosen.forEach(entry => this.workers.index.release(entry.slot, size));
         }
@@ -74,7 +74,7 @@
             return undefined;
         }
         const waited = Math.round(Math.max(0, now - unit.since));
-        const reason = `${preference}: best of ${fitted} that fit, ${considered} looked at, after ${waited} ms`;
+        const reason = `${preference}: best of ${feasible} that fit, ${considered} looked at, after ${waited} ms`;
         return { workers: chosen, reason };
     }
 }
--- a/packages/core/src/time/index.ts
+++ b/packages/core/src/time/index.ts
@@ -1,5 +1,5 @@
-/** Time as the product sees it, and what is learned from it. */
-export * from "./answer-times.js";
+/** Clocks, and estimates based on them. */
 export * from "./clock.js";
-export * from "./gap-watch.js";
 export * from "./milliseconds.js";
+export * from "./response-time-estimator.js";
+export * from "./suspension-detector.js";
