--- a/packages/cell/src/configuration/types.ts
+++ b/packages/cell/src/configuration/types.ts
@@ -16,7 +16,7 @@
     readonly priority: number;
     /** Failed runs of a task, or of a gang, after which its job has failed. */
     readonly attempts: number;
-    /** The objective of a job is this times its longest chain of work, plus `latencyTarget`. */
+    /** The objective of a job is this times its critical path, plus `latencyTarget`. */
     readonly extension: number;
     readonly latencyTarget: Milliseconds;
     /** How long a caller's request may take. */
--- a/packages/cell/src/watching/run-paces.ts
+++ b/packages/cell/src/watching/run-paces.ts
@@ -44,7 +44,7 @@
     const pacePerPercent = estimate / 100;
     const earlierPercents = latest.percent - first.percent;
     const earlierSpeed = earlierPercents / Math.max(1, latest.at - first.at);
-    // By its earlier pace, or by the estimate where that is higher or there is no earlier pace.
+    // Expected progress in percent, by the faster of the earlier pace and the estimate.
     const expected = Math.max(elapsed * earlierSpeed, elapsed / estimate * 100);
     if (elapsed < progressInterval || expected < minPercentPerSample && elapsed < maxSampleTime) {
         return undefined;
