--- a/packages/cell/src/advising/advice-dispatcher.ts
+++ b/packages/cell/src/advising/advice-dispatcher.ts
@@ -5,9 +5,9 @@
 
 /** Questions that take longer than this are slow. */
 const slowQuestionTime: Milliseconds = 150;
-/** VMs reserved for quick questions: this many, */
+/** Number of VMs reserved for quick questions, in addition to {@link quickVmShare}. */
 const minQuickVms = 2;
-/** and this share of all VMs. */
+/** Share of all VMs reserved for quick questions, in addition to {@link minQuickVms}. */
 const quickVmShare = 0.06;
 /** Delay in the order of waiting questions for each level of urgency. */
 const urgencyOffset: Milliseconds = 300;
@@ -33,7 +33,7 @@
 /** A VM that can call the advice service. */
 interface AskingVm {
     readonly name: string;
-    readonly ask: (question: number, command: AdviceRequest, duration: Milliseconds) => void;
+    readonly ask: (question: number, request: AdviceRequest, duration: Milliseconds) => void;
     readonly inFlight: Set<number>;
     /** When the service is expected to have answered all of this VM's questions. */
     busyUntil: Milliseconds;
@@ -41,7 +41,7 @@
 
 /** A question, or the remainder of one, that waits for a free VM. */
 interface WaitingQuestion {
-    readonly command: AdviceRequest;
+    readonly request: AdviceRequest;
     /** When it was asked, with a delay by its urgency; lower goes first. */
     readonly sortTime: Milliseconds;
 }
@@ -88,13 +88,13 @@
     }
 
     /** Sends questions, now or once VMs are free for them. */
-    ask(...commands: readonly AdviceRequest[]): void {
+    ask(...requests: readonly AdviceRequest[]): void {
         const now = this.now();
-        commands.forEach(command => this.#waiting.push({ command, sortTime: now + command.urgency * urgencyOffset }));
+        requests.forEach(request => this.#waiting.push({ request, sortTime: now + request.urgency * urgencyOffset }));
         this.#dispatchWaiting();
     }
 
-    /** Ends a question that was answered or failed. Returns the command, or undefined for an unknown number. */
+    /** Ends a question that was answered or failed. Returns the request, or undefined for an unknown number. */
     complete(number: number): AdviceRequest | undefined {
         const question = this.#inFlight.get(number);
         this.#inFlight.delete(number);
@@ -102,7 +102,7 @@
             this.#release(question);
         }
         this.#dispatchWaiting();
-        return question?.command;
+        return question?.request;
     }
 
     #release({ vm, number }: InFlightQuestion): void {
@@ -121,7 +121,7 @@
         const hasFree = { slow: this.#vmsFreeFor(true).length > 0, quick: this.#vmsFreeFor(false).length > 0 };
         const left: WaitingQuestion[] = [];
         for (const question of this.#waiting) {
-            const kind = isSlow(question.command) ? "slow" : "quick";
+            const kind = isSlow(question.request) ? "slow" : "quick";
             if (!hasFree[kind]) {
                 left.push(question);
             }
@@ -135,7 +135,7 @@
     }
 
     /** Discards a question whose answer would be of no use; false when it is still wanted. */
-    #dropUnwanted({ command: { step, workers } }: WaitingQuestion): boolean {
+    #dropUnwanted({ request: { step, workers } }: WaitingQuestion): boolean {
         if (this.requester.isAdviceWanted(step)) {
             return false;
         }
@@ -145,37 +145,37 @@
 
     /** Sends a question to free VMs, in parts. Returns the remainder, if any. */
     #send(question: WaitingQuestion): WaitingQuestion[] {
-        const { command, sortTime } = question;
-        const size = this.#partSize(command);
-        for (let next = 0; next < command.workers.length; next += size) {
-            const part = { ...command, workers: command.workers.slice(next, next + size) };
+        const { request, sortTime } = question;
+        const size = this.#partSize(request);
+        for (let next = 0; next < request.workers.length; next += size) {
+            const part = { ...request, workers: request.workers.slice(next, next + size) };
             if (!this.#sendPart(part, sortTime)) {
-                return [{ command: { ...command, workers: command.workers.slice(next) }, sortTime }];
+                return [{ request: { ...request, workers: request.workers.slice(next) }, sortTime }];
             }
         }
         return [];
     }
 
-    #sendPart(command: AdviceRequest, sortTime: Milliseconds): boolean {
-        const free = this.#vmsFreeFor(isSlow(command));
+    #sendPart(request: AdviceRequest, sortTime: Milliseconds): boolean {
+        const free = this.#vmsFreeFor(isSlow(request));
         if (free.length === 0) {
             return false;
         }
         const now = this.now();
         const vm = free.reduce((best, other) => waitOf(other, now) < waitOf(best, now) ? other : best);
-        const duration = callDuration(command.policy, command.workers.length);
+        const duration = callDuration(request.policy, request.workers.length);
         const number = this.#nextNumber++;
-        this.#inFlight.set(number, { number, command, sortTime, vm });
+        this.#inFlight.set(number, { number, request, sortTime, vm });
         vm.inFlight.add(number);
         vm.busyUntil = Math.max(vm.busyUntil, now) + duration;
-        vm.ask(number, command, duration);
+        vm.ask(number, request, duration);
         return true;
     }
 
     /** Number of workers in a part of a question. */
-    #partSize(command: AdviceRequest): number {
-        const { workers, policy } = command;
-        if (!isSlow(command)) {
+    #partSize(request: AdviceRequest): number {
+        const { workers, policy } = request;
+        if (!isSlow(request)) {
             return maxAdviceWorkers;
         }
         const parts = Math.max(1, Math.floor(this.#vmsFreeFor(true).length * freeVmShare));
--- a/packages/cell/src/choosing/constants.ts
+++ b/packages/cell/src/choosing/constants.ts
@@ -12,7 +12,7 @@
 export const candidateFactor = 3;
 /** Candidates to find before the search may end early. */
 export const minCandidates = 16;
-/** Least slack with which a step is deferrable. It covers a slow start, a change of owner and workers that leave meanwhile. */
+/** Slack that a step needs to be deferrable. It covers a slow start, a change of owner and workers that leave meanwhile. */
 export const minSlack = 4_000;
 /** Slack required in addition, as a share of the remaining work, because callers' estimates may be too short. */
 export const minSlackPerWork = 0.5;
--- a/packages/cell/src/headroom/constants.ts
+++ b/packages/cell/src/headroom/constants.ts
@@ -9,9 +9,9 @@
 export const maxFreeShare = 0.35;
 /** Upper bound of headroom as a share of a service's processors. */
 export const maxHeadroomShare = 0.2;
-/** A change of headroom is logged only if it is at least this many typical urgent tasks, */
+/** A change of headroom is logged only if it is at least this many typical urgent tasks. */
 export const minLoggedChange = 4;
-/** and at least this share of what was logged last. */
+/** A change of headroom is logged only if it is at least this share of what was logged last. */
 export const minLoggedShare = 0.5;
 /** Minimum interval between such log lines of a service. */
 export const logInterval: Milliseconds = 500;
--- a/packages/cell/src/placing/constants.ts
+++ b/packages/cell/src/placing/constants.ts
@@ -5,9 +5,9 @@
 export const rackTimeout = 1_500;
 /** Resources are reserved for wide tasks once they have waited for this long. */
 export const wideTaskReservationDelay = 100;
-/** Steps may reserve resources on several workers at once as long as they number no more than one for each this many workers. */
+/** One step for each this many workers of the cell may hold reservations on several workers. */
 export const workersPerReservation = 12;
-/** Lower bound of the number of steps that may hold such reservations, for small cells. */
+/** Lower bound of the number of steps that may hold reservations on several workers, for small cells. */
 export const minReservations = 2;
 /** No further reservations are made once this share of the workers is reserved, so that the cell does not idle. */
 export const maxReservedShare = 0.3;
--- a/packages/cell/src/watching/constants.ts
+++ b/packages/cell/src/watching/constants.ts
@@ -25,9 +25,9 @@
 export const restoringTime = 900;
 /** Samples needed to compare a worker with its peers. */
 export const minPeerSamples = 4;
-/** Samples needed to compare a worker's runs with their own past, */
+/** Samples needed to compare a worker's runs with their own past, unless they are of {@link minJobs} jobs. */
 export const minChangeSamples = 3;
-/** or else samples of this many jobs. */
+/** With samples of this many jobs, fewer than {@link minChangeSamples} suffice. */
 export const minJobs = 2;
 /** Slowdown of a task away from its data, as a natural logarithm. */
 export const remoteDataPace = Math.log(1.75);
--- a/packages/cell/test/advising/advice-dispatcher.test.ts
+++ b/packages/cell/test/advising/advice-dispatcher.test.ts
@@ -8,11 +8,11 @@
     const clock = new ManualClock();
     const unwanted = new Set<string>();
     const dropped: string[] = [];
-    const questioner = {
+    const requester = {
         isAdviceWanted: (step: string) => !unwanted.has(step),
         dropAdvice: (step: string) => void dropped.push(step),
     };
-    const dispatcher = new AdviceDispatcher(() => clock.monotonic(), questioner);
+    const dispatcher = new AdviceDispatcher(() => clock.monotonic(), requester);
     names.forEach(vm => dispatcher.join(vm, (question, { step }) => asked.push({ vm, question, step })));
     const ask = (step: string, duration: number, urgency = 1) =>
         dispatcher.ask({
@@ -89,8 +89,8 @@
 /** A dispatcher with this many VMs, and the questions that each was sent. */
 const makeVms = (vms: number) => {
     const asked: { vm: string; question: number; workers: number; duration: number; }[] = [];
-    const questioner = { isAdviceWanted: () => true, dropAdvice: () => undefined };
-    const dispatcher = new AdviceDispatcher(() => 0, questioner);
+    const requester = { isAdviceWanted: () => true, dropAdvice: () => undefined };
+    const dispatcher = new AdviceDispatcher(() => 0, requester);
     for (let index = 0; index < vms; index++) {
         const vm = `vm${index}`;
         dispatcher.join(
@@ -145,8 +145,8 @@
 
     it("are examined only as far as VMs are free, not all of them for each answer", () => {
         let looks = 0;
-        const questioner = { isAdviceWanted: () => ++looks > 0, dropAdvice: () => undefined };
-        const dispatcher = new AdviceDispatcher(() => 0, questioner);
+        const requester = { isAdviceWanted: () => ++looks > 0, dropAdvice: () => undefined };
+        const dispatcher = new AdviceDispatcher(() => 0, requester);
         const asked: number[] = [];
         for (let index = 0; index < 20; index++) {
             dispatcher.join(`vm${index}`, question => asked.push(question));
