--- a/packages/cell/src/scheduler/cell-summary.ts
+++ b/packages/cell/src/scheduler/cell-summary.ts
@@ -36,7 +36,7 @@
     readonly freeMemory: number;
     readonly accelerators: number;
     readonly freeAccelerators: number;
-    /** Waiting tasks; {@link waitingProcessor} is what they need, in thousandths of processors. */
+    /** Waiting tasks; `waitingProcessor` is what they need, in thousandths of processors. */
     readonly waitingTasks: number;
     /** Thousandths of processors that deferrable work leaves free for urgent work. */
     readonly keptProcessor: number;
--- a/packages/cell/src/state/entities.ts
+++ b/packages/cell/src/state/entities.ts
@@ -24,7 +24,7 @@
 
 /** Phase of a task across all its runs. */
 export enum TaskPhase {
-    /** Has no run. */
+    /** Neither done nor failed, and has no run. */
     Waiting = "waiting",
     /** Has at least one run that is ordered, running or stopping. */
     Active = "active",
--- a/packages/cell/test/support/load/pattern.ts
+++ b/packages/cell/test/support/load/pattern.ts
@@ -2,7 +2,7 @@
 import type { Milliseconds } from "@pebbledale/core";
 import type { AdvicePolicy, TaskSize } from "../../../src/index.js";
 
-/** Lognormal distribution, truncated at `most`. */
+/** Lognormal distribution, truncated at `max`. */
 export interface Distribution {
     readonly mean: number;
     /** Standard deviation as a share of the mean. */
