--- a/packages/cell/src/runs/worker-pool.ts
+++ b/packages/cell/src/runs/worker-pool.ts
@@ -14,7 +14,7 @@
 import { WorkerPollReconciler } from "./worker-poll-reconciler.js";
 
 /** Components that a worker pool works with. */
-export interface WorkerPoolOptions {
+export interface WorkerPoolDependencies {
     readonly context: CellContext;
     readonly runs: RunLifecycle;
     readonly progress: ProgressMonitor;
@@ -35,7 +35,7 @@
     readonly #entries: WorkerEntryReconciler;
     readonly #polls: WorkerPollReconciler;
 
-    constructor({ context, runs, progress, paces, crashes, silences, listener }: WorkerPoolOptions) {
+    constructor({ context, runs, progress, paces, crashes, silences, listener }: WorkerPoolDependencies) {
         this.#context = context;
         this.#runs = runs;
         this.#crashes = crashes;
--- a/packages/cell/src/scheduler/job-lifecycle.ts
+++ b/packages/cell/src/scheduler/job-lifecycle.ts
@@ -13,7 +13,7 @@
 import type { OccurrenceTimer } from "./occurrence-timer.js";
 
 /** Components that follow the progress of jobs. */
-export interface JobLifecycleParts {
+export interface JobLifecycleDependencies {
     readonly placer: Placer;
     readonly timer: OccurrenceTimer;
     readonly health: HealthMonitor;
@@ -24,7 +24,7 @@
     /** `requestCycle`: called when tasks may have become ready to start. */
     constructor(
         private readonly context: CellContext,
-        private readonly parts: JobLifecycleParts,
+        private readonly dependencies: JobLifecycleDependencies,
         private readonly requestCycle: () => void,
     ) {}
 
@@ -40,7 +40,7 @@
         if (job.isOver) {
             return;
         }
-        this.parts.timer.add(job);
+        this.dependencies.timer.add(job);
         for (const occurrence of job.occurrences.values()) {
             this.openOccurrence(occurrence);
         }
@@ -69,7 +69,7 @@
             step.readyAt = this.context.now();
             this.context.options.log.log(logEvents.stepReady, { step: step.address, tasks: step.tasks.length });
         }
-        this.parts.placer.add(step);
+        this.dependencies.placer.add(step);
         this.requestCycle();
     }
 
@@ -78,7 +78,7 @@
         this.requestCycle();
         this.context.outbox.markJobChanged(step.job.id);
         if (step.isDone) {
-            this.parts.placer.remove(step);
+            this.dependencies.placer.remove(step);
             this.openOccurrence(step.occurrence);
             this.#closeOccurrence(step.occurrence);
             return;
@@ -89,7 +89,7 @@
     /** Handles that a job has ended: removes its waiting tasks, and frees the job once it has no runs. */
     jobEnded(job: Job): void {
         for (const occurrence of job.occurrences.values()) {
-            occurrence.steps.forEach(step => this.parts.placer.remove(step));
+            occurrence.steps.forEach(step => this.dependencies.placer.remove(step));
         }
         this.context.outbox.markJobChanged(job.id);
         this.requestCycle();
@@ -100,7 +100,7 @@
                 state: job.state,
                 took: Math.round(this.context.now() - job.acceptedAtMonotonic),
             });
-            this.parts.health.forgetJob(job);
+            this.dependencies.health.forgetJob(job);
             job.discardDetails();
         }
     }
--- a/packages/cell/test/crashes/crash-fuzz.test.ts
+++ b/packages/cell/test/crashes/crash-fuzz.test.ts
@@ -12,8 +12,8 @@
 const maxCrashes = 5;
 const stepTime = 50;
 /** Delay after which most tasks at fault crash their worker. */
-const atStart = 10;
-const troubleSteps = 500;
+const startCrashDelay = 10;
+const stepsUnderFaults = 500;
 /** Time within which every job must end, with trials of all tasks at fault one after the other. */
 const maxRest = 240_000;
 
@@ -34,7 +34,7 @@
 
     /** Runs the scenario and returns the violations. */
     run(): readonly string[] {
-        for (let step = 0; step < troubleSteps; step++) {
+        for (let step = 0; step < stepsUnderFaults; step++) {
             if (step % 10 === 0 && this.#jobs.length < 40) {
                 this.#submit();
             }
@@ -77,7 +77,7 @@
             }
         }
         if (this.#happens(0.01)) {
-            this.cell.cut(this.#below(workers), this.#below(12_000));
+            this.cell.disconnect(this.#below(workers), this.#below(12_000));
         }
     }
 
@@ -97,7 +97,7 @@
 
     /** Most tasks at fault crash their worker as they start, some later. */
     #crashTime(): number {
-        return this.#happens(0.8) ? atStart : 100 + this.#below(2_000);
+        return this.#happens(0.8) ? startCrashDelay : 100 + this.#below(2_000);
     }
 
     #haveAllEnded(): boolean {
--- a/packages/cell/test/crashes/judgement.test.ts
+++ b/packages/cell/test/crashes/judgement.test.ts
@@ -42,10 +42,10 @@
     it("is not given up because of silences: it waits for an explanation and then continues", () => {
         const cell = new CrashingCell(8, behaviourOf(10));
         cell.driver.cell.submit(makeJob("good", [makeStep()]));
-        for (let cuts = 0; cuts < 6; cuts++) {
+        for (let silences = 0; silences < 6; silences++) {
             cell.advance(50);
             const at = cell.starts.at(-1)!.worker;
-            cell.cutWorker(at, 40_000);
+            cell.disconnectWorker(at, 40_000);
             cell.advance(7_000);
         }
         expect(stateOf(cell, "good")).toEqual(CellJobState.Running);
--- a/packages/cell/test/support/crashing-cell.ts
+++ b/packages/cell/test/support/crashing-cell.ts
@@ -39,7 +39,7 @@
     /** When the next worker starts; undefined while one is up. */
     backAt: Milliseconds | undefined;
     /** Until then the worker is unreachable but keeps running. */
-    cutUntil: Milliseconds;
+    unreachableUntil: Milliseconds;
     isSilent: boolean;
     leaseUntil: Milliseconds;
     /** Whether its next poll is the first of a link. */
@@ -101,7 +101,7 @@
                 worker: workerId(""),
                 incarnation: workerIncarnation(0),
                 backAt: undefined,
-                cutUntil: 0,
+                unreachableUntil: 0,
                 isSilent: false,
                 leaseUntil: 0,
                 isNewLink: true,
@@ -157,12 +157,12 @@
     }
 
     /** Makes a worker unreachable for a while. */
-    cut(index: number, duration: Milliseconds): void {
-        this.#hosts[index].cutUntil = this.clock.monotonic() + duration;
+    disconnect(index: number, duration: Milliseconds): void {
+        this.#hosts[index].unreachableUntil = this.clock.monotonic() + duration;
     }
 
-    cutWorker(worker: WorkerId, duration: Milliseconds): void {
-        this.cut(this.#hosts.findIndex(host => host.worker === worker), duration);
+    disconnectWorker(worker: WorkerId, duration: Milliseconds): void {
+        this.disconnect(this.#hosts.findIndex(host => host.worker === worker), duration);
     }
 
     /** Replaces the owner by one that is restored from the committed records. */
@@ -196,7 +196,7 @@
         host.incarnation = workerIncarnation(this.#incarnations);
         this.driver.resetEndNumbers(id);
         host.backAt = undefined;
-        host.cutUntil = 0;
+        host.unreachableUntil = 0;
         host.isSilent = false;
         host.isNewLink = false;
         host.runs = [];
@@ -224,8 +224,8 @@
             this.#crash(host, culprit.start.task);
             return;
         }
-        if (now < host.cutUntil) {
-            this.#runCutOff(host, now);
+        if (now < host.unreachableUntil) {
+            this.#runDisconnected(host, now);
             return;
         }
         host.runs.filter(run => this.#isAlone(run, now)).forEach(run => this.#end(host, run, RunEnd.Alone));
@@ -274,7 +274,7 @@
         host.ended.push(this.driver.ended(host.worker, task, number, end));
     }
 
-    #runCutOff(host: Host, now: Milliseconds): void {
+    #runDisconnected(host: Host, now: Milliseconds): void {
         if (!host.isSilent) {
             host.isSilent = true;
             this.driver.cell.applySilence(host.worker, host.leaseUntil, { cause: "no answer", heardAgo });
@@ -317,7 +317,7 @@
     #stop({ worker, task, run }: StopCommand): void {
         const host = this.#hosts.find(other => other.worker === worker && other.backAt === undefined);
         const hostRun = host?.runs.find(({ start }) => start.task === task && start.run === run);
-        if (host !== undefined && hostRun !== undefined && this.clock.monotonic() >= host.cutUntil) {
+        if (host !== undefined && hostRun !== undefined && this.clock.monotonic() >= host.unreachableUntil) {
             this.#end(host, hostRun, RunEnd.Stopped);
         }
     }
@@ -331,7 +331,7 @@
         stops.forEach(stop => this.#stop(stop));
         for (const start of starts) {
             const host = this.#hosts.find(other => other.worker === start.worker && other.backAt === undefined);
-            if (host === undefined || this.clock.monotonic() < host.cutUntil) {
+            if (host === undefined || this.clock.monotonic() < host.unreachableUntil) {
                 this.driver.cell.startRefused(start.worker, start.task, start.run, undefined);
                 continue;
             }
--- a/packages/cell/test/support/load/replay.ts
+++ b/packages/cell/test/support/load/replay.ts
@@ -99,8 +99,8 @@
     readonly #finiteJobs: number;
     #nextJob = 0;
     #nextCycle: Milliseconds = 0;
-    #worked = 0;
-    #wasted = 0;
+    #totalWork = 0;
+    #wastedWork = 0;
     /** Sum of the idle shares of all samples, by service. */
     readonly #idle = new Map<string, number>();
     #lastingTasks = 0;
@@ -116,7 +116,7 @@
         this.#advice = new SimulatedAdvice(pattern.seed);
         this.#cell = new CellScheduler({
             clock: this.#clock,
-            log: { log: (event, fields) => this.#note(event, fields) },
+            log: { log: (event, fields) => this.#countEvent(event, fields) },
         });
         const organisations = (pattern.organisations ?? []).map(({ name, cores, weight }) =>
             makeOrganisation(name, cores, { weight })
@@ -126,7 +126,7 @@
         this.#dispatcher = new AdviceDispatcher(() => this.#clock.monotonic(), this.#cell);
         this.#addWorkers();
         this.#addAdvisingVms();
-        pattern.departures.forEach(departure => this.#at(departure.at, () => this.#depart(departure)));
+        pattern.departures.forEach(departure => this.#at(departure.at, () => this.#drainWorkers(departure)));
         pattern.crashes?.forEach(wave => this.#at(wave.at, () => this.#crashShare(wave)));
     }
 
@@ -269,7 +269,7 @@
             this.#join(entry);
         }
         else {
-            this.#begin([entry]);
+            this.#startWork([entry]);
         }
         if (this.#isAtFault(task)) {
             this.#crashesBy.set(task, (this.#crashesBy.get(task) ?? 0) + 1);
@@ -339,12 +339,12 @@
             this.#end(entry, RunEnd.Broken);
         }
         else if (gang.members.length === entry.step.taskCount) {
-            this.#begin(gang.members);
+            this.#startWork(gang.members);
         }
     }
 
     /** Starts tasks that begin, and end, at the same time: a single task or a whole gang. */
-    #begin(entries: readonly LoadRun[]): void {
+    #startWork(entries: readonly LoadRun[]): void {
         const now = this.#clock.monotonic();
         const isLasting = entries[0].step.isLasting;
         const endsAt = isLasting ? Infinity : now + Math.max(...entries.map(entry => this.#durationOf(entry)));
@@ -407,8 +407,8 @@
             return;
         }
         const work = entry.step.size.processorThousandths * (now - entry.arrivedAt);
-        this.#worked += work;
-        this.#wasted += end === RunEnd.Done || isSaved || entry.step.isLasting ? 0 : work;
+        this.#totalWork += work;
+        this.#wastedWork += end === RunEnd.Done || isSaved || entry.step.isLasting ? 0 : work;
         this.#planPoll(entry.worker);
     }
 
@@ -462,7 +462,7 @@
         }
     }
 
-    #depart({ share, notice }: Departure): void {
+    #drainWorkers({ share, notice }: Departure): void {
         for (const worker of this.#workers.values()) {
             if (worker.isUp && this.#sampler.happens(share)) {
                 this.#cell.updateWorkerEntries([{ ...worker.entry, isDraining: true, leavesIn: notice }], []);
@@ -542,7 +542,7 @@
         return this.#byId.get(job)!.definition.steps[step];
     }
 
-    #note(event: LogEvent, fields: Readonly<Record<string, unknown>> = {}): void {
+    #countEvent(event: LogEvent, fields: Readonly<Record<string, unknown>> = {}): void {
         this.#slowJudgements += event === logEvents.workerSlow ? 1 : 0;
         if (event === logEvents.runStopped) {
             const reason = String(fields["reason"]);
@@ -603,7 +603,7 @@
                 [...this.#idle].map(([name, sum]) => [name, sum / Math.max(1, this.#samples)]),
             ),
             idleShare: [...this.#idle.values()].reduce((sum, idle) => sum + idle, 0) / Math.max(1, this.#samples),
-            wastedShare: this.#wasted / Math.max(1, this.#worked),
+            wastedShare: this.#wastedWork / Math.max(1, this.#totalWork),
             stops: this.#stops,
             slowJudgements: this.#slowJudgements,
             questions: this.#questions,
--- a/packages/cell/test/support/simulated-cell.ts
+++ b/packages/cell/test/support/simulated-cell.ts
@@ -40,7 +40,7 @@
 /** Probability of each fault in one time step, from 0 to 1. */
 export interface Faults {
     readonly crash: number;
-    readonly cut: number;
+    readonly disconnect: number;
     readonly takeOver: number;
     readonly cancel: number;
     /** For each start: its answer is lost, or it is carried out late. */
@@ -56,7 +56,15 @@
 }
 
 /** All probabilities zero, in a cell without organisations and advice. */
-export const noFaults: Faults = { crash: 0, cut: 0, takeOver: 0, cancel: 0, start: 0, fail: 0, advice: undefined };
+export const noFaults: Faults = {
+    crash: 0,
+    disconnect: 0,
+    takeOver: 0,
+    cancel: 0,
+    start: 0,
+    fail: 0,
+    advice: undefined,
+};
 
 /** Limits of an organisation in cores: initial and final one, minimum, and range above the minimum. */
 const initialLimit = 24;
@@ -78,7 +86,7 @@
     former: { readonly capacity: TaskSize; readonly until: Milliseconds; }[];
     token: number;
     forgetThrough: number;
-    cutUntil: Milliseconds;
+    unreachableUntil: Milliseconds;
     isNewLink: boolean;
     isSilent: boolean;
     reportedThrough: number;
@@ -209,7 +217,7 @@
             former: [],
             token: this.#tokenBase(),
             forgetThrough: 0,
-            cutUntil: 0,
+            unreachableUntil: 0,
             isNewLink: true,
             isSilent: false,
             reportedThrough: 0,
@@ -233,8 +241,8 @@
             if (this.#happens(this.faults.crash)) {
                 this.#crash(link);
             }
-            else if (this.#happens(this.faults.cut)) {
-                link.cutUntil = now + this.#below(3 * lease);
+            else if (this.#happens(this.faults.disconnect)) {
+                link.unreachableUntil = now + this.#below(3 * lease);
             }
             else if (this.#happens(this.faults.resize ?? 0)) {
                 this.#resize(link, now);
@@ -374,7 +382,7 @@
     }
 
     #poll(link: Link, now: Milliseconds): void {
-        if (now < link.cutUntil) {
+        if (now < link.unreachableUntil) {
             if (!link.isSilent) {
                 link.isSilent = true;
                 this.driver.cell.applySilence(link.worker.id, Math.max(now, link.worker.leaseUntil));
@@ -403,13 +411,13 @@
         if (link === undefined) {
             return;
         }
-        const isCut = now < link.cutUntil;
-        if (!isCut && !(hasFaults && this.#happens(this.faults.start))) {
+        const isUnreachable = now < link.unreachableUntil;
+        if (!isUnreachable && !(hasFaults && this.#happens(this.faults.start))) {
             this.#deliver(link, link.worker, link.token, command, true);
             return;
         }
         const { token, worker } = link;
-        if (!isCut && this.#happens(0.5)) {
+        if (!isUnreachable && this.#happens(0.5)) {
             this.#deliver(link, worker, token, command, false);
         }
         else {
@@ -421,7 +429,7 @@
     /** Settles a start without an answer: raises the token, so that the next poll is conclusive. */
     #settle(link: Link, { worker, task, run }: StartCommand, now: Milliseconds): void {
         link.token++;
-        if (now < link.cutUntil) {
+        if (now < link.unreachableUntil) {
             // The link keeps polling, and the first answer of the worker settles this start too.
             link.isNewLink = true;
             return;
@@ -467,7 +475,7 @@
 
     #stop({ worker, task, run }: StopCommand, now: Milliseconds): void {
         const link = this.#links.get(worker);
-        if (link !== undefined && now >= link.cutUntil) {
+        if (link !== undefined && now >= link.unreachableUntil) {
             link.worker.stop(task, run, fencingToken(link.token));
         }
     }
