--- a/packages/entry/test/links/worker-link.test.ts
+++ b/packages/entry/test/links/worker-link.test.ts
@@ -56,12 +56,12 @@
     async close(): Promise<void> {}
 }
 
-const seen = (poll: PollResult): Promise<PollAnswer> => Promise.resolve({ kind: "seen", poll: poll });
+const seen = (poll: PollResult): Promise<PollAnswer> => Promise.resolve({ kind: "seen", poll });
 const noAnswer = <Answer>(): Promise<Answer> => Promise.reject(new WorkerUnreachableError("no answer"));
-const untilEnded = <Answer>(): Promise<Answer> => new Promise(() => undefined);
+const neverAnswered = <Answer>(): Promise<Answer> => new Promise(() => undefined);
 
 const links: WorkerLink[] = [];
-const make = (client: FakeClient, mayPoll = () => true) => {
+const makeLink = (client: FakeClient, mayPoll = () => true) => {
     const clock = new ManualClock();
     const sent: WorkerReport[] = [];
     const logger = new RecordingLogger();
@@ -82,7 +82,7 @@
 /** A client that answers the first poll at once and leaves later ones waiting. */
 const firstThenWaiting = (): FakeClient => {
     const client = new FakeClient();
-    client.answerPoll = () => client.polls.length === 1 ? seen(emptyPoll) : untilEnded();
+    client.answerPoll = () => client.polls.length === 1 ? seen(emptyPoll) : neverAnswered();
     return client;
 };
 
@@ -91,7 +91,7 @@
 
     it("polls before the first start and computes leases from the worker's clock", async () => {
         const client = firstThenWaiting();
-        const { link, sent } = make(client);
+        const { link, sent } = makeLink(client);
         link.forward(command);
         await settle();
         expect(client.polls[0].leaseUntil).toEqual(undefined);
@@ -105,10 +105,10 @@
      */
     it("grants short leases at a draining worker", async () => {
         const client = firstThenWaiting();
-        const { link, clock } = make(client);
+        const { link, clock } = makeLink(client);
         await settle();
         link.noteDraining();
-        client.answerPoll = () => untilEnded();
+        client.answerPoll = () => neverAnswered();
         link.forward(command);
         await advanceTime(clock, 700);
         expect(client.starts.map(start => start.leaseUntil)).toEqual([1_000 + 3_000]);
@@ -117,9 +117,9 @@
     it("resolves an unanswered start by a poll with a higher token", async () => {
         const client = firstThenWaiting();
         client.answerStart = noAnswer;
-        const { link, sent } = make(client);
+        const { link, sent } = makeLink(client);
         await settle();
-        client.answerPoll = ({ token }) => token > 100 ? seen(emptyPoll) : untilEnded();
+        client.answerPoll = ({ token }) => token > 100 ? seen(emptyPoll) : neverAnswered();
         link.forward(command);
         await settle();
         expect(client.polls.some(poll => poll.token === fencingToken(101))).toEqual(true);
@@ -137,7 +137,7 @@
     it("does not report the result of an unanswered start while the worker is silent", async () => {
         const client = firstThenWaiting();
         client.answerStart = noAnswer;
-        const { clock, link, sent } = make(client);
+        const { clock, link, sent } = makeLink(client);
         await settle();
         client.answerPoll = noAnswer;
         link.forward(command);
@@ -149,7 +149,7 @@
     it("stops polling when the owner has not been heard for too long", async () => {
         const client = new FakeClient();
         let isHeard = true;
-        const { clock } = make(client, () => isHeard);
+        const { clock } = makeLink(client, () => isHeard);
         client.answerPoll = () => seen(emptyPoll);
         await advanceTime(clock, 200);
         isHeard = false;
@@ -162,8 +162,9 @@
     it("reports an ended run once and lets the worker forget it only when it is committed", async () => {
         const client = new FakeClient();
         const end = { number: 1, task: command.task, run: command.run, end: RunEnd.Done, checkpoint: "" };
-        client.answerPoll = request => request.forgetThrough >= 1 ? untilEnded() : seen({ ...emptyPoll, ended: [end] });
-        const { clock, link, sent } = make(client);
+        client.answerPoll = request =>
+            request.forgetThrough >= 1 ? neverAnswered() : seen({ ...emptyPoll, ended: [end] });
+        const { clock, link, sent } = makeLink(client);
         await advanceTime(clock, 600);
         const reported = sent.flatMap(message =>
             message.kind === "ends" ? message.ended : message.kind === "looked" ? message.look.ended : []
@@ -177,7 +178,7 @@
 
     it("sees an ended run within a second of a lost answer and does not report the worker as silent", async () => {
         const client = new FakeClient();
-        const { clock, sent } = make(client);
+        const { clock, sent } = makeLink(client);
         const end = { number: 1, task: command.task, run: command.run, end: RunEnd.Done, checkpoint: "" };
         client.answerPoll = ({ wait }, limit) =>
             client.polls.length === 1
@@ -193,7 +194,7 @@
 
     it("polls an idle worker with a longer wait until the next start", async () => {
         const client = new FakeClient();
-        const { clock, link } = make(client);
+        const { clock, link } = makeLink(client);
         client.answerPoll = ({ wait = 0 }) => clock.sleep(wait).then(() => seen(emptyPoll));
         await advanceTime(clock, 6_000);
         expect(client.polls.at(-1)?.wait).toEqual(2_000);
@@ -204,7 +205,7 @@
 
     it("polls with a shorter wait while answers are being lost", async () => {
         const client = new FakeClient();
-        const { clock } = make(client);
+        const { clock } = makeLink(client);
         let isLossy = true;
         client.answerPoll = ({ wait = 0 }, limit) =>
             isLossy && wait > 0
@@ -220,14 +221,14 @@
     it("closes when another worker answers at the address", async () => {
         const client = new FakeClient();
         client.answerPoll = () => Promise.resolve({ kind: "refused", refusal: OrderRefusal.WrongWorker });
-        const { clock, sent } = make(client);
+        const { clock, sent } = makeLink(client);
         await advanceTime(clock, 500);
         expect(sent.map(message => message.kind)).toEqual(["other-life"]);
     });
 
     it("grants a silent worker no lease, not even by polls that may arrive late, until the owner resumes the link", async () => {
         const client = new FakeClient();
-        const { clock, link } = make(client);
+        const { clock, link } = makeLink(client);
         await settle();
         client.answerPoll = noAnswer;
         await advanceTime(clock, 100);
@@ -235,7 +236,7 @@
         await advanceTime(clock, 1_000);
         const whileSilent = client.polls.slice(before);
         expect(whileSilent.length > 0 && whileSilent.every(poll => poll.leaseUntil === undefined)).toEqual(true);
-        client.answerPoll = request => request.leaseUntil === undefined ? seen(emptyPoll) : untilEnded();
+        client.answerPoll = request => request.leaseUntil === undefined ? seen(emptyPoll) : neverAnswered();
         await advanceTime(clock, 300);
         expect(client.polls.at(-1)?.leaseUntil).toEqual(undefined);
         link.resumeLeases();
@@ -245,7 +246,7 @@
 
     it("reports a start for a silent worker as not delivered without sending it", async () => {
         const client = new FakeClient();
-        const { clock, link, sent } = make(client);
+        const { clock, link, sent } = makeLink(client);
         await settle();
         client.answerPoll = noAnswer;
         await advanceTime(clock, 300);
@@ -258,7 +259,7 @@
 
     it("reports how long ago a silent worker last answered", async () => {
         const client = firstThenWaiting();
-        const { clock, sent, link } = make(client);
+        const { clock, sent, link } = makeLink(client);
         await settle();
         await advanceTime(clock, 100);
         link.forward(command);
@@ -275,7 +276,7 @@
 
     it("reports when the leases of a silent worker expire", async () => {
         const client = new FakeClient();
-        const { clock, sent } = make(client);
+        const { clock, sent } = makeLink(client);
         await settle();
         client.answerPoll = noAnswer;
         await advanceTime(clock, 300);
