--- a/packages/entry/test/explorer/explorer.ts
+++ b/packages/entry/test/explorer/explorer.ts
@@ -78,7 +78,7 @@
                 return false;
             }
             const walk = await playWalk(this.scenario, deviations);
-            this.#note(walk);
+            this.#record(walk);
             if (walk.broken.length === 0 && left > 0) {
                 this.#expand(walk, left, next);
             }
@@ -86,7 +86,7 @@
         return true;
     }
 
-    #note({ points, broken, strays, ...walk }: Walk): void {
+    #record({ points, broken, strays, ...walk }: Walk): void {
         this.#walks++;
         this.#depth = Math.max(this.#depth, points.length);
         this.#strays += strays > 0 ? 1 : 0;
--- a/packages/entry/test/following/follow-loop.test.ts
+++ b/packages/entry/test/following/follow-loop.test.ts
@@ -16,7 +16,7 @@
 import { advanceTime } from "../support/index.js";
 
 /** Shortest freshness that operators require. */
-const boundOfUsers: Milliseconds = 2_000;
+const requiredFreshness: Milliseconds = 2_000;
 
 /** A store without changes, whose calls wait as requested. Calls on connections that died never end. */
 class QuietStore implements FollowSource {
@@ -25,7 +25,7 @@
     /** Whether a call ends when it is abandoned. */
     heedsSignals = true;
     /** Number of answers that were applied. */
-    taken = 0;
+    appliedCount = 0;
     readonly #hanging: (() => void)[] = [];
     /** Calls of an earlier generation get no answer. */
     #generation = 0;
@@ -33,7 +33,7 @@
     constructor(private readonly clock: ManualClock) {}
 
     /** Makes the open connections die silently; new ones work. */
-    silenceOpen(): void {
+    silenceOpenConnections(): void {
         this.#generation++;
     }
 
@@ -46,7 +46,7 @@
     }
 
     /** Answers the calls on dead connections after all. */
-    answerSilent(): void {
+    answerHanging(): void {
         this.#hanging.splice(0).forEach(answer => answer());
     }
 
@@ -57,7 +57,7 @@
         if (generation !== this.#generation) {
             await this.#hang(signal);
         }
-        return { cursor: "cursor", apply: () => this.taken++ };
+        return { cursor: "cursor", apply: () => this.appliedCount++ };
     }
 
     #hang(signal: AbortSignal): Promise<void> {
@@ -72,7 +72,7 @@
     }
 }
 
-const limits = followLimitsOf({ drainWithin: boundOfUsers, configurationWithin: 2_500, contactWithin: 3_000 });
+const limits = followLimitsOf({ drainWithin: requiredFreshness, configurationWithin: 2_500, contactWithin: 3_000 });
 
 const begin = () => {
     const clock = new ManualClock();
@@ -114,20 +114,20 @@
         for (let at = 100; at <= 1_500; at += 350) {
             const { clock, store, loop, stop, failures } = begin();
             await advanceTime(clock, at);
-            store.silenceOpen();
-            expect(await oldestIn(clock, loop, 3_000)).toBeLessThan(boundOfUsers);
+            store.silenceOpenConnections();
+            expect(await oldestIn(clock, loop, 3_000)).toBeLessThan(requiredFreshness);
             expect(failures.length).toEqual(1);
             stop.abort();
         }
     });
 
     it("does not exceed the derived staleness limit", async () => {
-        expect(maxStaleness(limits)).toBeLessThan(boundOfUsers);
+        expect(maxStaleness(limits)).toBeLessThan(requiredFreshness);
         const { clock, store, loop, stop } = begin();
         let oldest = 0;
-        for (let falls = 0; falls < 8; falls++) {
-            oldest = Math.max(oldest, await oldestIn(clock, loop, 1_700 + falls * 130));
-            store.silenceOpen();
+        for (let faults = 0; faults < 8; faults++) {
+            oldest = Math.max(oldest, await oldestIn(clock, loop, 1_700 + faults * 130));
+            store.silenceOpenConnections();
         }
         expect(oldest).toBeLessThan(maxStaleness(limits));
         stop.abort();
@@ -145,12 +145,12 @@
         const { clock, store, loop, stop } = begin();
         store.heedsSignals = false;
         await advanceTime(clock, 700);
-        store.silenceOpen();
-        expect(await oldestIn(clock, loop, 3_000)).toBeLessThan(boundOfUsers);
-        const taken = store.taken;
-        store.answerSilent();
+        store.silenceOpenConnections();
+        expect(await oldestIn(clock, loop, 3_000)).toBeLessThan(requiredFreshness);
+        const appliedCount = store.appliedCount;
+        store.answerHanging();
         await advanceTime(clock, 100);
-        expect(store.taken).toEqual(taken);
+        expect(store.appliedCount).toEqual(appliedCount);
         stop.abort();
     });
 
@@ -191,9 +191,9 @@
             },
             clock,
             limits: followLimitsOf({
-                drainWithin: boundOfUsers,
-                configurationWithin: boundOfUsers,
-                contactWithin: boundOfUsers,
+                drainWithin: requiredFreshness,
+                configurationWithin: requiredFreshness,
+                contactWithin: requiredFreshness,
             }),
             probe,
             onAnswer: () => undefined,
