--- a/packages/entry/test/explorer/choices.ts
+++ b/packages/entry/test/explorer/choices.ts
@@ -17,15 +17,15 @@
     readonly points: ChoicePoint[] = [];
     readonly #deviations: ReadonlyMap<number, number>;
 
-    /** `nameState` hashes the present state of the simulation. */
-    constructor(deviations: readonly Deviation[], private readonly nameState: () => string) {
+    /** `hashState` hashes the present state of the simulation. */
+    constructor(deviations: readonly Deviation[], private readonly hashState: () => string) {
         this.#deviations = new Map(deviations);
     }
 
     /** Returns the index of the chosen option. */
     choose(label: string, options: readonly string[]): number {
         const option = this.#deviations.get(this.points.length) ?? 0;
-        this.points.push({ label, options, state: this.nameState() });
+        this.points.push({ label, options, state: this.hashState() });
         return option < options.length ? option : 0;
     }
 
