--- a/packages/core/src/journal/hedged-writer.ts
+++ b/packages/core/src/journal/hedged-writer.ts
@@ -67,7 +67,7 @@
 
     /** Age of the oldest unanswered write; 0 when there is none. */
     waitingFor(): Milliseconds {
-        return this.#longestSince(({ firstSentAt: since }) => since);
+        return this.#longestSince(({ firstSentAt }) => firstSentAt);
     }
 
     /** Time without any answer while writes are pending; 0 when there are none. */
@@ -83,38 +83,38 @@
     /** Sends a write until it is answered. Rejects when the signal aborts, or with an error that is not retryable. */
     async write(key: string, expected: KeyVersion, value: string): Promise<WriteAnswer> {
         const now = this.dependencies.clock.monotonic();
-        const swap: PendingWrite = { key, expected, value, firstSentAt: now, lastSentAt: now, failedSince: undefined };
-        this.#pending.add(swap);
+        const pending: PendingWrite = { key, expected, value, firstSentAt: now, lastSentAt: now, failedSince: undefined };
+        this.#pending.add(pending);
         try {
-            return await this.#sendUntilAnswered(swap);
+            return await this.#sendUntilAnswered(pending);
         }
         finally {
-            this.#pending.delete(swap);
+            this.#pending.delete(pending);
         }
     }
 
-    async #sendUntilAnswered(swap: PendingWrite): Promise<WriteAnswer> {
+    async #sendUntilAnswered(write: PendingWrite): Promise<WriteAnswer> {
         const { signal } = this.dependencies;
         const pending = new Map<number, Promise<readonly [number, CallOutcome]>>();
         for (let call = 0;; call++) {
             signal.throwIfAborted();
-            pending.set(call, this.#call(swap).then(end => [call, end] as const));
-            const answer = await this.#waitForAnswer(swap, pending);
+            pending.set(call, this.#call(write).then(end => [call, end] as const));
+            const answer = await this.#waitForAnswer(write, pending);
             if (answer !== undefined) {
                 return answer;
             }
             if (pending.size === 0) {
-                await this.#waitForRetry(swap);
+                await this.#waitForRetry(write);
             }
         }
     }
 
     /** Waits for an answer; undefined when all calls have failed or another one is due. */
     async #waitForAnswer(
-        swap: PendingWrite,
+        write: PendingWrite,
         pending: Map<number, Promise<readonly [number, CallOutcome]>>,
     ): Promise<WriteAnswer | undefined> {
-        const due = this.#responseTimes === undefined ? [] : [this.#waitForHedge(swap, this.#responseTimes)];
+        const due = this.#responseTimes === undefined ? [] : [this.#waitForHedge(write, this.#responseTimes)];
         while (pending.size > 0) {
             const ended = await Promise.race([...pending.values(), ...due]);
             if (ended === undefined) {
@@ -133,19 +133,19 @@
     }
 
     /** Resolves when a hedged call of an unanswered write is due, or the write has ended. */
-    async #waitForHedge(swap: PendingWrite, times: ResponseTimeEstimator): Promise<undefined> {
+    async #waitForHedge(write: PendingWrite, times: ResponseTimeEstimator): Promise<undefined> {
         const { clock, signal } = this.dependencies;
         do {
             await clock.sleep(times.timeout, signal);
         }
-        while (this.#pending.has(swap) && !signal.aborted && !this.#mayResend(swap));
+        while (this.#pending.has(write) && !signal.aborted && !this.#mayResend(write));
     }
 
     /** Resolves when a write whose calls have all failed may be retried, after the retry delay at the earliest. */
-    async #waitForRetry(swap: PendingWrite): Promise<void> {
+    async #waitForRetry(write: PendingWrite): Promise<void> {
         const { clock, options, signal } = this.dependencies;
         await clock.sleep(options.retryDelay, signal);
-        while (!signal.aborted && !this.#mayResend(swap)) {
+        while (!signal.aborted && !this.#mayResend(write)) {
             let wake = () => undefined as void;
             const answered = new Promise<void>(resolve => wake = resolve);
             this.#answerListeners.add(wake);
@@ -154,34 +154,34 @@
         }
     }
 
-    #mayResend(swap: PendingWrite): boolean {
+    #mayResend(write: PendingWrite): boolean {
         const [oldest] = this.#pending;
-        return swap === oldest || this.#latestAnsweredSentAt > swap.lastSentAt;
+        return write === oldest || this.#latestAnsweredSentAt > write.lastSentAt;
     }
 
-    async #call(swap: PendingWrite): Promise<CallOutcome> {
-        const sent = this.dependencies.clock.monotonic();
+    async #call(write: PendingWrite): Promise<CallOutcome> {
+        const sentAt = this.dependencies.clock.monotonic();
         this.#calls++;
-        swap.lastSentAt = sent;
+        write.lastSentAt = sentAt;
         try {
-            const outcome = await this.dependencies.store.compareAndSwap(swap.key, swap.expected, swap.value);
-            this.#responseTimes?.recordResponse(this.dependencies.clock.monotonic() - sent);
-            this.#latestAnsweredSentAt = Math.max(this.#latestAnsweredSentAt, sent);
+            const outcome = await this.dependencies.store.compareAndSwap(write.key, write.expected, write.value);
+            this.#responseTimes?.recordResponse(this.dependencies.clock.monotonic() - sentAt);
+            this.#latestAnsweredSentAt = Math.max(this.#latestAnsweredSentAt, sentAt);
             this.#lastAnswerAt = this.dependencies.clock.monotonic();
             this.#answerListeners.forEach(wake => wake());
-            return { kind: "answered", answer: { outcome, sentAt: sent } };
+            return { kind: "answered", answer: { outcome, sentAt } };
         }
         catch (cause) {
-            swap.failedSince ??= sent;
+            write.failedSince ??= sentAt;
             return { kind: "failed", cause };
         }
     }
 
-    #longestSince(sinceOf: (swap: PendingWrite) => Milliseconds | undefined): Milliseconds {
+    #longestSince(sinceOf: (write: PendingWrite) => Milliseconds | undefined): Milliseconds {
         const now = this.dependencies.clock.monotonic();
         let longest = 0;
-        for (const swap of this.#pending) {
-            longest = Math.max(longest, now - (sinceOf(swap) ?? now));
+        for (const write of this.#pending) {
+            longest = Math.max(longest, now - (sinceOf(write) ?? now));
         }
         return longest;
     }
--- a/packages/core/src/journal/journal.ts
+++ b/packages/core/src/journal/journal.ts
@@ -91,14 +91,14 @@
     constructor(
         private readonly dependencies: JournalDependencies,
         readonly epoch: Epoch,
-        { versions, sequence, snapshot, claimSentAt: contact }: OpenedJournal,
+        { versions, sequence, snapshot, claimSentAt }: OpenedJournal,
     ) {
         this.#writer = new HedgedWriter(dependencies);
         this.#versions = versions;
         this.#sequence = sequence;
         this.#committedThrough = sequence;
         this.#snapshot = snapshot;
-        this.#lastContact = contact;
+        this.#lastContact = claimSentAt;
     }
 
     /** Number of write calls to the store. */
@@ -143,12 +143,12 @@
             this.#pending.push({ records, bytes: Buffer.byteLength(JSON.stringify(records)), resolve, reject });
             if (!this.#isRunning) {
                 this.#isRunning = true;
-                void this.#run();
+                void this.#sendPending();
             }
         });
     }
 
-    async #run(): Promise<void> {
+    async #sendPending(): Promise<void> {
         const { clock, options, signal } = this.dependencies;
         try {
             while (this.#pending.length > 0) {
@@ -170,8 +170,8 @@
     }
 
     /** Waits until at most this many segments are in flight. */
-    #untilInFlight(most: number): Promise<void> {
-        return this.#until(() => this.#inFlight.size <= most);
+    #untilInFlight(limit: number): Promise<void> {
+        return this.#until(() => this.#inFlight.size <= limit);
     }
 
     /** Waits for a condition that can only become true when a segment is committed. */
@@ -190,11 +190,11 @@
         listeners.forEach(listener => listener());
     }
 
-    /** Removes the first pending appends, at most `most` of them and as many as fit into one value. */
-    #dequeueGroup(most: number): PendingAppend[] {
+    /** Removes the first pending appends, at most `limit` of them and as many as fit into one value. */
+    #dequeueGroup(limit: number): PendingAppend[] {
         let bytes = 0;
         let count = 0;
-        while (count < most) {
+        while (count < limit) {
             bytes += this.#pending[count].bytes;
             if (count > 0 && bytes > this.dependencies.options.maxValueBytes) {
                 break;
@@ -208,14 +208,14 @@
     #send(group: readonly PendingAppend[]): void {
         const { shard, options } = this.dependencies;
         const sequence = this.#sequence + 1;
-        const sent = { group, isCommitted: false };
-        this.#inFlight.set(sequence, sent);
+        const segment = { group, isCommitted: false };
+        this.#inFlight.set(sequence, segment);
         if (sequence - (this.#snapshot?.through ?? 0) >= options.ringSize) {
             throw new JournalDamagedError(`journal ring of shard ${shard} is full: no snapshot has freed a key`);
         }
         this.#sequence = sequence;
         this.#write(this.#makeSegment(sequence, group)).then(
-            () => this.#markCommitted(sent),
+            () => this.#markCommitted(segment),
             cause => this.#fail(cause),
         );
     }
@@ -233,10 +233,10 @@
         const value = JSON.stringify(segment);
         while (true) {
             const expected = this.#versions.get(slot) ?? absentVersion;
-            const { outcome, sentAt: sent } = await this.#writer.write(ringKey(shard, slot), expected, value);
+            const { outcome, sentAt } = await this.#writer.write(ringKey(shard, slot), expected, value);
             if (outcome.kind === "swapped") {
                 this.#versions.set(slot, outcome.version);
-                this.#lastContact = Math.max(this.#lastContact, sent);
+                this.#lastContact = Math.max(this.#lastContact, sentAt);
                 return;
             }
             const { current } = outcome;
@@ -246,7 +246,7 @@
             }
             this.#versions.set(slot, current.version);
             if (found.nonce === segment.nonce) {
-                this.#lastContact = Math.max(this.#lastContact, sent);
+                this.#lastContact = Math.max(this.#lastContact, sentAt);
                 return;
             }
             if (found.epoch === this.epoch) {
@@ -257,8 +257,8 @@
     }
 
     /** Marks a segment as stored and resolves the appends of all segments that are now committed. */
-    #markCommitted(sent: InFlightSegment): void {
-        sent.isCommitted = true;
+    #markCommitted(segment: InFlightSegment): void {
+        segment.isCommitted = true;
         for (;;) {
             const next = this.#inFlight.get(this.#committedThrough + 1);
             if (next?.isCommitted !== true) {
--- a/packages/core/src/journal/open.ts
+++ b/packages/core/src/journal/open.ts
@@ -33,7 +33,7 @@
         if (pointer !== undefined && snapshot === undefined) {
             throw new JournalDamagedError(`snapshot ${pointer.name} of shard ${shard} is incomplete`);
         }
-        const { claim, sentAt: sentAt } = seal;
+        const { claim, sentAt } = seal;
         const journal = new Journal(dependencies, claim.epoch, {
             versions,
             sequence: claim.sequence,
--- a/packages/core/src/journal/segment-chain.ts
+++ b/packages/core/src/journal/segment-chain.ts
@@ -82,7 +82,7 @@
             const outcome = await store.compareAndSwap(ringKey(shard, slot), expected, JSON.stringify(claim));
             if (outcome.kind === "swapped") {
                 this.versions.set(slot, outcome.version);
-                return { claim, sentAt: sentAt };
+                return { claim, sentAt };
             }
             if (outcome.current === undefined || !await this.#applyConflict(claim, slot, outcome.current)) {
                 return undefined;
--- a/packages/core/src/placement/fleet-index.ts
+++ b/packages/core/src/placement/fleet-index.ts
@@ -135,7 +135,7 @@
                 }
             }
         }
-        return { worker: best, considered, feasible: feasible };
+        return { worker: best, considered, feasible };
     }
 
     #setNeeded(size: Resources): void {
--- a/packages/core/src/shard/admission.ts
+++ b/packages/core/src/shard/admission.ts
@@ -23,7 +23,7 @@
     readonly queueLength: number;
     readonly settings: ShardSettings;
     /** Estimates the wait at a position of the queue. */
-    readonly expectedWait: (place: number) => Milliseconds;
+    readonly expectedWait: (position: number) => Milliseconds;
 }
 
 interface UsableShape extends CapacityShape {
@@ -34,8 +34,8 @@
 const workerListRetryAfter: Milliseconds = 1_000;
 
 /** Returns the reason to refuse a submission; undefined when it may be accepted. */
-export const checkAdmission = (submission: JobSubmission, view: AdmissionContext): Refusal | undefined => {
-    const { shapes } = view;
+export const checkAdmission = (submission: JobSubmission, context: AdmissionContext): Refusal | undefined => {
+    const { shapes } = context;
     if (shapes === undefined) {
         return {
             error: "no-workers",
@@ -43,9 +43,9 @@
             retryAfter: workerListRetryAfter,
         };
     }
-    return sizeRefusal(submission, shapes, view.settings)
-        ?? quotaRefusal(submission, view.settings)
-        ?? queueRefusal(submission, view)
+    return sizeRefusal(submission, shapes, context.settings)
+        ?? quotaRefusal(submission, context.settings)
+        ?? queueRefusal(submission, context)
         ?? deadlineRefusal(submission);
 };
 
@@ -63,7 +63,7 @@
         ...shape,
         available: withoutHeadroom(shape.capacity, headroom),
     }));
-    const taskCapacity = usable.reduce((sum, { available: room, count }) => sum + countFitting(size, room) * count, 0);
+    const taskCapacity = usable.reduce((sum, { available, count }) => sum + countFitting(size, available) * count, 0);
     if (taskCapacity === 0) {
         return { error: "fits-nowhere", reason: describeNearestMiss(size, usable) };
     }
@@ -85,14 +85,14 @@
     };
 };
 
-const queueRefusal = (submission: JobSubmission, view: AdmissionContext): Refusal | undefined => {
-    const limit = view.settings.queueLimit * queueShares[submission.priority];
+const queueRefusal = (submission: JobSubmission, context: AdmissionContext): Refusal | undefined => {
+    const limit = context.settings.queueLimit * queueShares[submission.priority];
     const units = policyOf(submission.class).allOrNothing ? 1 : submission.tasks;
-    const after = view.queueLength + units;
+    const after = context.queueLength + units;
     return after <= limit ? undefined : {
         error: "queue-full",
-        reason: `${view.queueLength} wait, ${limit} may at this priority`,
-        retryAfter: view.expectedWait(after - limit),
+        reason: `${context.queueLength} wait, ${limit} may at this priority`,
+        retryAfter: context.expectedWait(after - limit),
     };
 };
 
@@ -115,8 +115,8 @@
 /** Describes the worker that falls short in the fewest dimensions. */
 const describeNearestMiss = (size: Resources, shapes: readonly UsableShape[]): string => {
     const byLack = Ord.contramap((shape: UsableShape) => lackingDimensions(size, shape.available).length)(Number.Ord);
-    const describe = ({ example, available: room }: UsableShape): string => {
-        const lacking = lackingDimensions(size, room).map(name => `${name} ${size[name]} of ${room[name]}`);
+    const describe = ({ example, available }: UsableShape): string => {
+        const lacking = lackingDimensions(size, available).map(name => `${name} ${size[name]} of ${available[name]}`);
         return `no worker holds it; the nearest is ${example}, which lacks ${lacking.join(", ")}`;
     };
     return pipe(
--- a/packages/core/src/shard/job-view.ts
+++ b/packages/core/src/shard/job-view.ts
@@ -11,17 +11,17 @@
 /** Describes a job for its caller. A final state is reported only once it is committed. */
 export const describeJob = (job: JobEntry, waiting: Pick<JobView, "place" | "expectedWait">): JobView => {
     const isFinal = isFinalState(job.state);
-    const isDurable = !isFinal || job.unkept === 0;
+    const isReportable = !isFinal || job.unkept === 0;
     return {
         job: job.job,
         key: job.key,
-        state: isDurable ? job.state : JobState.Running,
-        ran: isDurable ? reportedExecutionStatus(job) : ExecutionStatus.MayHaveRun,
-        reason: isDurable ? job.reason : "its end is being recorded",
-        attempts: job.tasks.reduce((most, task) => Math.max(most, task.attempt), 0),
+        state: isReportable ? job.state : JobState.Running,
+        ran: isReportable ? reportedExecutionStatus(job) : ExecutionStatus.MayHaveRun,
+        reason: isReportable ? job.reason : "its end is being recorded",
+        attempts: job.tasks.reduce((max, task) => Math.max(max, task.attempt), 0),
         workers: job.tasks.flatMap(task => task.assignment?.worker ?? []),
         ...waiting,
-        outcomes: isDurable && isFinal ? job.tasks.map(outcomeOf) : [],
+        outcomes: isReportable && isFinal ? job.tasks.map(outcomeOf) : [],
     };
 };
 
--- a/packages/core/src/shard/lease-policy.ts
+++ b/packages/core/src/shard/lease-policy.ts
@@ -72,7 +72,7 @@
             return wanted.leaseDuration;
         }
         this.#shorterSince ??= now;
-        const longerEnded = now - this.#shorterSince > this.#committed.leaseDuration + this.#committed.leaseMargin;
-        return longerEnded ? wanted.leaseDuration : this.#committed.leaseDuration;
+        const longerExpired = now - this.#shorterSince > this.#committed.leaseDuration + this.#committed.leaseMargin;
+        return longerExpired ? wanted.leaseDuration : this.#committed.leaseDuration;
     }
 }
--- a/packages/core/src/shard/placement-cycle.ts
+++ b/packages/core/src/shard/placement-cycle.ts
@@ -18,7 +18,7 @@
     #startsPerSecond = 0;
     #lastTick: Milliseconds;
     /** Time of the last cycle, with the versions of capacity and queue at its end. */
-    #lastCycle = { at: -Infinity, room: -1, ticket: -1 };
+    #lastCycle = { at: -Infinity, capacityVersion: -1, nextSequence: -1 };
 
     constructor(private readonly context: ShardContext, private readonly jobs: JobLifecycle) {
         this.#selector = new WorkerSelector(context.workers, context.gangReservation);
@@ -35,8 +35,8 @@
                 this.context.queue.offer(unit => this.#place(unit, now, builder), maxUnplacedUnits);
                 this.#lastCycle = {
                     at: now,
-                    room: this.context.workers.index.capacityVersion,
-                    ticket: this.jobs.nextSequence,
+                    capacityVersion: this.context.workers.index.capacityVersion,
+                    nextSequence: this.jobs.nextSequence,
                 };
             }
         }
@@ -45,15 +45,15 @@
 
     /** A unit that could not be placed can only fit once capacity was freed; other changes wait for the regular interval. */
     #isDue(now: Milliseconds): boolean {
-        const { at, room, ticket } = this.#lastCycle;
-        return now - at >= placementCycleInterval || room !== this.context.workers.index.capacityVersion
-            || ticket !== this.jobs.nextSequence;
+        const { at, capacityVersion, nextSequence } = this.#lastCycle;
+        return now - at >= placementCycleInterval || capacityVersion !== this.context.workers.index.capacityVersion
+            || nextSequence !== this.jobs.nextSequence;
     }
 
     /** Estimates the wait at a position of the queue from the rate of placements. */
-    expectedWait(place: number): Milliseconds {
+    expectedWait(position: number): Milliseconds {
         const rate = Math.max(this.#startsPerSecond, 0.1);
-        return Math.min(maxRetryAfter, Math.ceil(place / rate * 1000));
+        return Math.min(maxRetryAfter, Math.ceil(position / rate * 1000));
     }
 
     /** Updates the rate of placements, at most once a second. */
--- a/packages/core/src/shard/shard-context.ts
+++ b/packages/core/src/shard/shard-context.ts
@@ -92,7 +92,10 @@
         return this.openedAt + horizon + leaseDuration + leaseMargin;
     }
 
-    /** The worker counts leases granted now from when it issued its last report number, which is no later than its answer. */
+    /**
+     * Extends the time until which leases on a worker may be valid, before leases are granted. The worker counts them from when it
+     * issued its last report number, which is no later than its answer.
+     */
     recordLeaseGrant(entry: WorkerEntry): void {
         const { leaseDuration, leaseMargin } = this.leasePolicy.currentTerms(this.options.settings());
         entry.leasesExpireAt = Math.max(entry.leasesExpireAt, entry.lastAnswerAt + leaseDuration + leaseMargin);
--- a/packages/core/src/shard/shard-scheduler.ts
+++ b/packages/core/src/shard/shard-scheduler.ts
@@ -136,7 +136,7 @@
             shapes: this.hasWorkerList ? this.workers.shapes() : undefined,
             queueLength: this.queue.length,
             settings: this.#context.options.settings(submission.class),
-            expectedWait: place => this.#placement.expectedWait(place),
+            expectedWait: position => this.#placement.expectedWait(position),
         });
         if (refusal !== undefined) {
             return { transition: emptyTransition, outcome: { kind: "refused", refusal } };
@@ -192,6 +192,10 @@
         return this.registry.findByKey(key)?.job;
     }
 
+    /**
+     * Returns the message that starts an attempt, or undefined when it must no longer be sent.
+     * `mayHaveArrived`: a copy was sent before and not answered.
+     */
     startMessage(id: TaskId, attempt: Attempt, mayHaveArrived: boolean): StartMessage | undefined {
         return this.#startRequests.buildMessage(id, attempt, mayHaveArrived);
     }
@@ -200,6 +204,7 @@
         return this.#startRequests.accepted(id, attempt, running);
     }
 
+    /** Applies a worker's refusal of a start; without `refusal`, the start was never sent. */
     startRefused(id: TaskId, attempt: Attempt, refusal: WorkerRefusal | undefined): Transition {
         return this.#startRequests.refused(id, attempt, refusal);
     }
--- a/packages/core/src/shard/start-requests.ts
+++ b/packages/core/src/shard/start-requests.ts
@@ -60,7 +60,7 @@
             return emptyTransition;
         }
         const builder = this.context.beginTransition();
-        this.workerController.confirm(task, running);
+        this.workerController.markRunning(task, running);
         builder.jobChanged(jobOfTask(id));
         this.jobs.stopIfUnwanted(task, builder);
         return builder.build();
--- a/packages/core/src/shard/types.ts
+++ b/packages/core/src/shard/types.ts
@@ -42,7 +42,7 @@
     output: string;
     checkpoint?: string;
     serviceAddress?: string;
-    /** When the worker confirmed the attempt, on the monotonic clock. Not journaled. */
+    /** When the worker confirmed the attempt, on the monotonic clock. Cleared when a snapshot is restored. */
     confirmedAt?: Milliseconds;
     stopSent?: boolean;
 }
@@ -59,7 +59,7 @@
     reason: string;
     readonly tasks: TaskEntry[];
     readonly history: DecisionEntry[];
-    /** Records of this job that the journal has not committed yet. Not journaled itself. */
+    /** Number of records of this job that the journal has not committed yet. Reset when a snapshot is restored. */
     unkept: number;
     finishedAt?: string;
 }
--- a/packages/core/src/shard/worker-controller.ts
+++ b/packages/core/src/shard/worker-controller.ts
@@ -218,7 +218,7 @@
     ): void {
         if (running !== undefined && running.attempt === task.attempt) {
             if (task.phase === TaskPhase.Starting || task.serviceAddress !== running.serviceAddress) {
-                this.confirm(task, running);
+                this.markRunning(task, running);
                 builder.jobChanged(jobOfTask(task.task));
             }
             this.jobs.stopIfUnwanted(task, builder);
@@ -234,8 +234,7 @@
         }
     }
 
-    /** Marks a task as running. */
-    confirm(task: TaskEntry, running: RunningTask): void {
+    markRunning(task: TaskEntry, running: RunningTask): void {
         task.phase = TaskPhase.Running;
         task.confirmedAt = this.context.now();
         task.serviceAddress = running.serviceAddress;
--- a/packages/core/src/shard/worker-table.ts
+++ b/packages/core/src/shard/worker-table.ts
@@ -74,7 +74,7 @@
             listed,
             reportNumber: 0,
             lastAnswerAt: -Infinity,
-            leasesExpireAt: leasesExpireAt,
+            leasesExpireAt,
             reportedLeaving: false,
             tasks: new Map(),
             pendingAcknowledgements: [],
--- a/packages/core/src/time/response-time-estimator.ts
+++ b/packages/core/src/time/response-time-estimator.ts
@@ -49,11 +49,11 @@
 
     /** Time after which a pending response should be considered lost. */
     get timeout(): Milliseconds {
-        const { min: shortest, max: longest } = this.bounds;
+        const { min, max } = this.bounds;
         if (this.#smoothed === undefined) {
-            return longest;
+            return max;
         }
         const expected = (this.#smoothed + deviationFactor * this.#deviation) * 2 ** this.#consecutiveTimeouts;
-        return Math.min(longest, Math.max(shortest, expected));
+        return Math.min(max, Math.max(min, expected));
     }
 }
