--- a/packages/core/test/journal/hedged-writer.test.ts
+++ b/packages/core/test/journal/hedged-writer.test.ts
@@ -1,33 +1,33 @@
 /*
- * A store that turned all calls away for four seconds was called by 16 writes of the journal, each every 60 ms and through three more VMs: more calls
- * a second than the platform allows all VMs together, so that it went on turning calls away when it was back.
+ * Guards against overloading a store that rejects calls: if each pending write retried on its own, the calls could exceed the
+ * platform's rate limit and keep the store rejecting calls after it has recovered.
  */
 import { expect } from "earl";
 import { describe, it } from "node:test";
 import { absentVersion, ManualClock, type Milliseconds, PlatformUnavailableError } from "../../src/index.js";
 import { HedgedWriter } from "../../src/journal/hedged-writer.js";
 
-const onTheirWay = 16;
+const writeCount = 16;
 const retryDelay: Milliseconds = 60;
 
-/** Lets all that is ready run. */
-const settle = async (): Promise<void> => {
+/** Runs callbacks that are ready, including those they schedule. */
+const runPendingCallbacks = async (): Promise<void> => {
     for (let round = 0; round < 10; round++) {
         await new Promise(resolve => setImmediate(resolve));
     }
 };
 
-const pass = async (clock: ManualClock, duration: Milliseconds): Promise<void> => {
+const advance = async (clock: ManualClock, duration: Milliseconds): Promise<void> => {
     for (let elapsed = 0; elapsed < duration; elapsed += 10) {
         clock.advance(10);
-        await settle();
+        await runPendingCallbacks();
     }
 };
 
-const begin = () => {
+const startWrites = () => {
     const clock = new ManualClock();
     const store = { isBusy: true, calls: 0 };
-    const swaps = new HedgedWriter({
+    const writer = new HedgedWriter({
         store: {
             compareAndSwap: async () => {
                 store.calls++;
@@ -41,25 +41,25 @@
         options: { retryDelay, repeatAfter: 160 },
         signal: new AbortController().signal,
     });
-    let kept = 0;
-    for (let write = 0; write < onTheirWay; write++) {
-        void swaps.write(`key-${write}`, absentVersion, "value").then(() => kept++);
+    let answered = 0;
+    for (let write = 0; write < writeCount; write++) {
+        void writer.write(`key-${write}`, absentVersion, "value").then(() => answered++);
     }
-    return { clock, store, kept: () => kept };
+    return { clock, store, answered: () => answered };
 };
 
-describe("writes to a store that turns calls away", () => {
-    it("make one call at a time, whatever their number", async () => {
-        const { clock, store } = begin();
-        await pass(clock, 4_000);
-        expect(store.calls <= onTheirWay + 4_000 / retryDelay).toEqual(true);
+describe("HedgedWriter with a store that rejects calls", () => {
+    it("makes one call at a time for any number of writes", async () => {
+        const { clock, store } = startWrites();
+        await advance(clock, 4_000);
+        expect(store.calls <= writeCount + 4_000 / retryDelay).toEqual(true);
     });
 
-    it("are all kept within 0.1 s of its return", async () => {
-        const { clock, store, kept } = begin();
-        await pass(clock, 4_000);
+    it("completes all writes within 100 ms of the store's recovery", async () => {
+        const { clock, store, answered } = startWrites();
+        await advance(clock, 4_000);
         store.isBusy = false;
-        await pass(clock, 100);
-        expect(kept()).toEqual(onTheirWay);
+        await advance(clock, 100);
+        expect(answered()).toEqual(writeCount);
     });
 });
--- a/packages/core/test/placement/fleet-index.test.ts
+++ b/packages/core/test/placement/fleet-index.test.ts
@@ -11,7 +11,7 @@
 const capacity: Resources = { ...size(64, 128_000), slots: 8, connections: 64 };
 
 describe("FleetIndex", () => {
-    it("packs onto the fullest worker that still fits", () => {
+    it("packs onto the fullest feasible worker", () => {
         const index = new FleetIndex();
         const workers = [index.add(capacity), index.add(capacity), index.add(capacity)];
         index.reserve(workers[1], size(32, 64_000));
@@ -29,7 +29,7 @@
         );
     });
 
-    it("finds no worker where the headroom would be used", () => {
+    it("finds no worker when the task would use the headroom", () => {
         const index = new FleetIndex();
         index.add(capacity);
         expect(index.find({ size: size(60, 8_000), preference: Preference.Pack, headroom: 0.1 }).worker).toEqual(
@@ -37,7 +37,7 @@
         );
     });
 
-    it("places nothing on a closed worker and remembers its room", () => {
+    it("places nothing on an unschedulable worker and keeps its capacity", () => {
         const index = new FleetIndex();
         const worker = index.add(capacity);
         index.setSchedulable(worker, false);
--- a/packages/core/test/sessions/session.ts
+++ b/packages/core/test/sessions/session.ts
@@ -1,4 +1,4 @@
-/** Runs a session file against the decisions of a shard: lines that begin with ">" go in, lines with "<" come out. */
+/** Replays session files against a shard's scheduler: lines that begin with ">" are commands, lines with "<" their output. */
 import {
     type Attempt,
     EndKind,
@@ -39,12 +39,12 @@
 `)._unsafeUnwrap();
 const settings = shardSettingsOf(tree, {});
 
-interface Words {
+interface CommandArguments {
     readonly plain: readonly string[];
     readonly named: Readonly<Record<string, string>>;
 }
 
-const readWords = (text: string): Words => {
+const parseArguments = (text: string): CommandArguments => {
     const parts = text.split(/\s+/).filter(part => part !== "");
     const named = parts.filter(part => part.includes("="));
     return {
@@ -55,97 +55,101 @@
     };
 };
 
-const readAttempt = (text: string): { task: TaskId; attempt: Attempt; } => {
+const parseAttempt = (text: string): { task: TaskId; attempt: Attempt; } => {
     const [task, attempt] = text.split("#");
     return { task: task as TaskId, attempt: Number(attempt) as Attempt };
 };
 
-/** One session. */
+/** A shard's scheduler driven by commands, with a simulated clock, journal and workers. */
 export class Session {
     readonly #clock = new ManualClock();
     readonly #random = new SeededRandom(1);
     readonly #journal: ShardRecord[] = [];
-    readonly #held: Transition[] = [];
-    #core!: ShardScheduler;
+    readonly #uncommitted: Transition[] = [];
+    #scheduler!: ShardScheduler;
     #epoch = 0;
-    #number = 0;
-    #isHolding = false;
+    #reportNumber = 0;
+    #isCommitPaused = false;
     #lastContact = 0;
     #output: string[] = [];
 
-    /** Carries one line out; the lines that came out. */
-    run(line: string): string[] {
+    /** Executes one command and returns its output lines. */
+    execute(line: string): string[] {
         this.#output = [];
         const [command, ...rest] = line.split(" ");
-        const words = readWords(rest.join(" "));
+        const args = parseArguments(rest.join(" "));
         const action = this.#actions[command];
         if (action === undefined) {
             throw new Error(`no such command: ${line}`);
         }
-        action(words);
+        action(args);
         return this.#output;
     }
 
-    readonly #actions: Readonly<Record<string, (words: Words) => void>> = {
+    readonly #actions: Readonly<Record<string, (args: CommandArguments) => void>> = {
         open: () => this.#open(),
-        snapshot: () => this.#open(JSON.parse(JSON.stringify(this.#core.registry.snapshot())) as ShardSnapshot),
-        list: words =>
-            this.#take(this.#core.applyWorkerList(words.plain.map(name => listed(name, words.named.leaving === name)))),
-        claim: words => this.#report(words, true),
-        report: words => this.#report(words, false),
-        submit: words => this.#submit(words),
-        cancel: words => {
-            const step = this.#core.cancel(this.#jobOf(words.plain[0]));
-            this.#take(step ?? { records: [], effects: [] });
+        snapshot: () => this.#open(JSON.parse(JSON.stringify(this.#scheduler.registry.snapshot())) as ShardSnapshot),
+        list: args =>
+            this.#apply(
+                this.#scheduler.applyWorkerList(
+                    args.plain.map(name => createListedWorker(name, args.named.leaving === name)),
+                ),
+            ),
+        claim: args => this.#report(args, true),
+        report: args => this.#report(args, false),
+        submit: args => this.#submit(args),
+        cancel: args => {
+            const transition = this.#scheduler.cancel(this.#jobOf(args.plain[0]));
+            this.#apply(transition ?? { records: [], effects: [] });
         },
-        send: words => {
-            const { task, attempt } = readAttempt(words.plain[0]);
-            const message = this.#core.startMessage(task, attempt, words.named.again === "yes");
-            this.#say(
+        send: args => {
+            const { task, attempt } = parseAttempt(args.plain[0]);
+            const message = this.#scheduler.startMessage(task, attempt, args.named.again === "yes");
+            this.#print(
                 message === undefined
                     ? "not to be sent"
                     : `start ${task}#${attempt} epoch=${message.epoch} lease=${message.lease}`,
             );
         },
-        accepted: words => {
-            const { task, attempt } = readAttempt(words.plain[0]);
-            this.#take(this.#core.startAccepted(task, attempt, {
+        accepted: args => {
+            const { task, attempt } = parseAttempt(args.plain[0]);
+            this.#apply(this.#scheduler.startAccepted(task, attempt, {
                 task,
                 attempt,
                 usage: { processorThousandths: 0, memoryMebibytes: 0, accelerators: 0, slots: 0, connections: 0 },
-                serviceAddress: words.named.address,
+                serviceAddress: args.named.address,
             }));
         },
-        refused: words => {
-            const { task, attempt } = readAttempt(words.plain[0]);
-            this.#take(this.#core.startRefused(task, attempt, words.plain[1] as WorkerRefusal | undefined));
+        refused: args => {
+            const { task, attempt } = parseAttempt(args.plain[0]);
+            this.#apply(this.#scheduler.startRefused(task, attempt, args.plain[1] as WorkerRefusal | undefined));
         },
-        heartbeat: words => {
-            const message = this.#core.nextHeartbeat(workerId(words.plain[0]), 1000);
+        heartbeat: args => {
+            const message = this.#scheduler.nextHeartbeat(workerId(args.plain[0]), 1000);
             const names = (list: readonly { task: TaskId; attempt: Attempt; }[]) =>
                 list.map(entry => `${entry.task}#${entry.attempt}`).join(",");
-            this.#say(
+            this.#print(
                 message === undefined
                     ? "claim first"
                     : `renews=${names(message.renewals)} acknowledges=${names(message.acknowledged)}`,
             );
         },
-        wait: words => this.#clock.advance(Number(words.plain[0])),
+        wait: args => this.#clock.advance(Number(args.plain[0])),
         contact: () => {
             this.#lastContact = this.#clock.monotonic();
         },
-        tick: () => this.#take(this.#core.tick()),
-        schedule: words => this.#take(this.#core.schedule(words.plain[0] !== "stalled")),
+        tick: () => this.#apply(this.#scheduler.tick()),
+        schedule: args => this.#apply(this.#scheduler.schedule(args.plain[0] !== "stalled")),
         hold: () => {
-            this.#isHolding = true;
+            this.#isCommitPaused = true;
         },
         keep: () => {
-            this.#isHolding = false;
-            this.#held.splice(0).forEach(step => this.#keep(step));
+            this.#isCommitPaused = false;
+            this.#uncommitted.splice(0).forEach(transition => this.#commit(transition));
         },
-        view: words => {
-            const view = this.#core.view(this.#jobOf(words.plain[0]));
-            this.#say(
+        view: args => {
+            const view = this.#scheduler.view(this.#jobOf(args.plain[0]));
+            this.#print(
                 view === undefined
                     ? "no such job"
                     : `${view.job} ${view.state} ran=${view.ran} attempts=${view.attempts} workers=${
@@ -154,43 +158,45 @@
                         + ` outputs=${view.outcomes.map(outcome => outcome.output).join(",")} reason=${view.reason}`,
             );
         },
-        slots: words => {
-            const held = (words.named.held ?? "").split(",").filter(text => text !== "")
+        slots: args => {
+            const held = (args.named.held ?? "").split(",").filter(text => text !== "")
                 .map(text => ({ task: text.split(":")[0] as TaskId, slots: Number(text.split(":")[1]) }));
-            const grants = this.#core.acquireSlots(words.plain[0], {
-                gateway: processId(words.plain[1]),
+            const grants = this.#scheduler.acquireSlots(args.plain[0], {
+                gateway: processId(args.plain[1]),
                 dataHall: "hall-0",
-                demand: Number(words.named.demand ?? 1),
+                demand: Number(args.named.demand ?? 1),
                 held,
             });
-            this.#say(
+            this.#print(
                 grants === undefined
                     ? "no such service"
                     : grants.map(grant => `${grant.task}:${grant.slots}`).join(" ") || "none",
             );
         },
-        "once-ended": words => {
-            const { status } = words.named;
-            this.#take(this.#core.endUnrepeatable(words.plain[0], status === undefined ? undefined : Number(status)));
+        "once-ended": args => {
+            const { status } = args.named;
+            this.#apply(
+                this.#scheduler.endUnrepeatable(args.plain[0], status === undefined ? undefined : Number(status)),
+            );
         },
-        once: words => {
-            const { transition: step, earlier } = this.#core.beginUnrepeatable(
-                words.plain[0],
-                words.plain[1],
-                words.named.send,
+        once: args => {
+            const { transition, earlier } = this.#scheduler.beginUnrepeatable(
+                args.plain[0],
+                args.plain[1],
+                args.named.send,
             );
-            this.#take(step);
-            this.#say(earlier === undefined ? "may be sent" : `sent before, status=${earlier.status ?? "unknown"}`);
+            this.#apply(transition);
+            this.#print(earlier === undefined ? "may be sent" : `sent before, status=${earlier.status ?? "unknown"}`);
         },
     };
 
-    /** A new owner takes over what the journal holds; what was not kept is lost with the old one. */
+    /** Opens the shard with a new owner. Transitions that were not committed are lost. */
     #open(snapshot?: ShardSnapshot): void {
         this.#epoch++;
-        this.#held.length = 0;
-        this.#isHolding = false;
+        this.#uncommitted.length = 0;
+        this.#isCommitPaused = false;
         this.#lastContact = this.#clock.monotonic();
-        this.#core = new ShardScheduler({
+        this.#scheduler = new ShardScheduler({
             shard: shardId("shard-0"),
             epoch: this.#epoch as Epoch,
             clock: this.#clock,
@@ -199,11 +205,11 @@
             lastContact: () => this.#lastContact,
             hasFormerOwner: this.#epoch > 1,
         });
-        this.#core.recover(snapshot, snapshot === undefined ? this.#journal : []);
+        this.#scheduler.recover(snapshot, snapshot === undefined ? this.#journal : []);
     }
 
-    #submit(words: Words): void {
-        const { named, plain } = words;
+    #submit(args: CommandArguments): void {
+        const { named, plain } = args;
         const submission = jobSubmissionSchema.parse({
             key: plain[0],
             class: named.class ?? "batch",
@@ -220,68 +226,71 @@
                 slots: Number(named.slots ?? 1),
             },
         });
-        const { transition: step, outcome } = this.#core.submit({ submission, digest: JSON.stringify(submission) });
-        this.#say(
+        const { transition, outcome } = this.#scheduler.submit({
+            submission,
+            digest: JSON.stringify(submission),
+        });
+        this.#print(
             outcome.kind === "accepted"
                 ? `accepted ${outcome.job}${outcome.repeated ? " again" : ""}`
                 : `refused ${outcome.refusal.error}: ${outcome.refusal.reason}`
                     + (outcome.refusal.retryAfter === undefined ? "" : ` retry after ${outcome.refusal.retryAfter} ms`),
         );
-        this.#take(step);
+        this.#apply(transition);
     }
 
-    #report(words: Words, isClaim: boolean): void {
-        const { named, plain } = words;
+    #report(args: CommandArguments, isClaim: boolean): void {
+        const { named, plain } = args;
         const worker = workerId(plain[0]);
         const report: WorkerReport = {
             worker,
             incarnation: incarnation(`${worker}-${named.incarnation ?? "1"}`),
-            number: ++this.#number,
+            number: ++this.#reportNumber,
             leaving: plain.includes("leaving"),
             running: (named.running ?? "").split(",").filter(text => text !== "").map(text => ({
-                ...readAttempt(text),
+                ...parseAttempt(text),
                 usage: { ...noResources, processorThousandths: Number(named.uses ?? 0) * 1000 },
                 serviceAddress: named.address,
             })),
             ended: (named.ended ?? "").split(",").filter(text => text !== "").map(text => {
                 const [attempt, kind, output] = text.split(":");
-                return { ...readAttempt(attempt), kind: kind as EndKind, output: output ?? "", ranFor: 0 };
+                return { ...parseAttempt(attempt), kind: kind as EndKind, output: output ?? "", ranFor: 0 };
             }),
         };
         const sentAt = this.#clock.monotonic();
-        this.#take(
+        this.#apply(
             isClaim
-                ? this.#core.claimAnswered(worker, report, sentAt)
-                : this.#core.heartbeatAnswered(worker, report, sentAt),
+                ? this.#scheduler.claimAnswered(worker, report, sentAt)
+                : this.#scheduler.heartbeatAnswered(worker, report, sentAt),
         );
     }
 
-    #take(step: Transition): void {
-        step.records.forEach(record => this.#say(`record ${describeRecord(record)}`));
-        if (this.#isHolding) {
-            this.#held.push(step);
+    #apply(transition: Transition): void {
+        transition.records.forEach(record => this.#print(`record ${describeRecord(record)}`));
+        if (this.#isCommitPaused) {
+            this.#uncommitted.push(transition);
             return;
         }
-        this.#keep(step);
+        this.#commit(transition);
     }
 
-    #keep(step: Transition): void {
-        this.#journal.push(...step.records);
-        this.#core.onCommitted(step);
-        for (const effect of step.effects) {
+    #commit(transition: Transition): void {
+        this.#journal.push(...transition.records);
+        this.#scheduler.onCommitted(transition);
+        for (const effect of transition.effects) {
             if (effect.kind === "start") {
-                this.#say(`effect start ${effect.task}#${effect.attempt} at ${effect.worker}`);
+                this.#print(`effect start ${effect.task}#${effect.attempt} at ${effect.worker}`);
             }
             else if (effect.kind === "throttle") {
                 const { task, attempt, processorThousandths } = effect.message;
-                this.#say(
+                this.#print(
                     `effect throttle ${task}#${attempt} at ${effect.worker} to ${
                         processorThousandths / 1000
                     } processors`,
                 );
             }
             else if (effect.kind === "stop") {
-                this.#say(
+                this.#print(
                     `effect ${effect.message.mode} ${effect.message.task}#${effect.message.attempt} at ${effect.worker}`,
                 );
             }
@@ -289,15 +298,15 @@
     }
 
     #jobOf(name: string): JobId {
-        return this.#core.findByKey(name) ?? name as JobId;
+        return this.#scheduler.findByKey(name) ?? name as JobId;
     }
 
-    #say(text: string): void {
+    #print(text: string): void {
         this.#output.push(text);
     }
 }
 
-const listed = (name: string, isLeaving: boolean): ListedWorker => ({
+const createListedWorker = (name: string, isLeaving: boolean): ListedWorker => ({
     worker: workerId(name),
     address: "127.0.0.1:1",
     rack: "rack-0",
@@ -317,13 +326,13 @@
     return `${kind} ${text}`;
 };
 
-/** Runs a whole file: its lines with the answers as they come out now. */
+/** Replays a whole file; returns its text with the output lines replaced by the current output. */
 export const replay = (text: string): string => {
     const session = new Session();
     const lines: string[] = [];
     for (const line of text.split("\n")) {
         if (line.startsWith(">")) {
-            lines.push(line, ...session.run(line.slice(1).trim()).map(output => `< ${output}`));
+            lines.push(line, ...session.execute(line.slice(1).trim()).map(output => `< ${output}`));
         }
         else if (!line.startsWith("<")) {
             lines.push(line);
--- a/packages/core/test/sessions/sessions.test.ts
+++ b/packages/core/test/sessions/sessions.test.ts
@@ -5,10 +5,10 @@
 import { fileURLToPath } from "node:url";
 import { replay } from "./session.js";
 
-/** Fixtures lie with the sources; this file runs from the build's folder. */
+/** Fixtures are in the source tree, while this file runs from the build output. */
 const folder = fileURLToPath(new URL("../../../test/sessions/fixtures/", import.meta.url));
-/** Golden files are renewed only when this is set. */
-const isRenewing = process.env.RENEW_GOLDEN_FILES === "yes";
+/** Rewrites the golden files instead of comparing with them. */
+const isUpdating = process.env.RENEW_GOLDEN_FILES === "yes";
 
 describe("golden sessions", () => {
     for (const name of readdirSync(folder)) {
@@ -16,7 +16,7 @@
             const file = join(folder, name);
             const text = readFileSync(file, "utf8");
             const replayed = replay(text);
-            if (isRenewing) {
+            if (isUpdating) {
                 writeFileSync(file, replayed);
                 return;
             }
--- a/packages/core/test/settings/tree.test.ts
+++ b/packages/core/test/settings/tree.test.ts
@@ -6,7 +6,7 @@
 const findings = (text: string): string[] => parseSettingsTree(text)._unsafeUnwrapErr().map(formatFinding);
 
 describe("settings tree", () => {
-    it("lets a class take from its site, its region, the organisation and the defaults in this order", () => {
+    it("resolves values from class, site, region, organisation and defaults in this order", () => {
         const tree = parse([
             "[organisation]",
             "lease.duration = 20s",
@@ -31,7 +31,7 @@
         expect(tree.explain("queue.limit", path).section).toEqual("default");
     });
 
-    it("collects all findings with their place", () => {
+    it("collects all findings with their locations", () => {
         const text = [
             "[organisation]",
             "lease.duration = soon",
@@ -55,20 +55,20 @@
         ]);
     });
 
-    it("refuses wrong units", () => {
+    it("rejects wrong units", () => {
         expect(findings("[organisation]\nlease.duration = 10")).toEqual([
             `settings.ini:2: [organisation] lease.duration: "10" is no duration from 500ms to 1h, as in 250ms, 10s, 15m, 1h`,
         ]);
         expect(findings("[team scripts]\nquota.memory = 10GB").length).toEqual(1);
     });
 
-    it("has a default that each key's own kind accepts", () => {
+    it("has a valid default for each key", () => {
         for (const definition of Object.values(treeSchema)) {
             expect(definition.kind.read(definition.fallback ?? "").isOk()).toEqual(true);
         }
     });
 
-    it("shows what differs between two trees", () => {
+    it("lists the differences between two trees", () => {
         const before = parse("[organisation]\nlease.duration = 10s\nretry.attempts = 1\n");
         const after = parse("[organisation]\nlease.duration = 12s\n[region luzon]\nretry.attempts = 4\n");
         expect(diffSettings(before, after)).toEqual([
--- a/packages/core/test/shard/lease-policy.test.ts
+++ b/packages/core/test/shard/lease-policy.test.ts
@@ -4,37 +4,37 @@
 
 const terms = (leaseDuration: number, horizon = 60_000) => ({ horizon, leaseDuration, leaseMargin: 1_000 });
 
-describe("LeaseTerms", () => {
-    it("gives no lease before the first terms are kept", () => {
-        const leaseTerms = new LeasePolicy();
-        leaseTerms.recover(undefined);
-        expect(leaseTerms.currentTerms(terms(10_000)).horizon).toEqual(0);
-        leaseTerms.onCommitted(terms(10_000));
-        expect(leaseTerms.currentTerms(terms(10_000))).toEqual(terms(10_000));
+describe("LeasePolicy", () => {
+    it("grants no lease before the first terms are committed", () => {
+        const policy = new LeasePolicy();
+        policy.recover(undefined);
+        expect(policy.currentTerms(terms(10_000)).horizon).toEqual(0);
+        policy.onCommitted(terms(10_000));
+        expect(policy.currentTerms(terms(10_000))).toEqual(terms(10_000));
     });
 
-    it("uses a longer lease only once it is kept", () => {
-        const leaseTerms = new LeasePolicy();
-        leaseTerms.recover(terms(10_000));
-        expect(leaseTerms.termsToRecord(terms(30_000), 0)).toEqual(terms(30_000));
-        expect(leaseTerms.currentTerms(terms(30_000)).leaseDuration).toEqual(10_000);
-        leaseTerms.onCommitted(terms(30_000));
-        expect(leaseTerms.currentTerms(terms(30_000)).leaseDuration).toEqual(30_000);
+    it("uses a longer lease duration only once it is committed", () => {
+        const policy = new LeasePolicy();
+        policy.recover(terms(10_000));
+        expect(policy.termsToRecord(terms(30_000), 0)).toEqual(terms(30_000));
+        expect(policy.currentTerms(terms(30_000)).leaseDuration).toEqual(10_000);
+        policy.onCommitted(terms(30_000));
+        expect(policy.currentTerms(terms(30_000)).leaseDuration).toEqual(30_000);
     });
 
-    it("gives a shorter lease at once and keeps it only when the longer ones have ended", () => {
-        const leaseTerms = new LeasePolicy();
-        leaseTerms.recover(terms(30_000));
-        expect(leaseTerms.termsToRecord(terms(10_000), 0)).toEqual(undefined);
-        expect(leaseTerms.currentTerms(terms(10_000)).leaseDuration).toEqual(10_000);
-        expect(leaseTerms.termsToRecord(terms(10_000), 31_000)).toEqual(undefined);
-        expect(leaseTerms.termsToRecord(terms(10_000), 31_001)).toEqual(terms(10_000));
+    it("uses a shorter lease duration at once and records it only when the longer leases have expired", () => {
+        const policy = new LeasePolicy();
+        policy.recover(terms(30_000));
+        expect(policy.termsToRecord(terms(10_000), 0)).toEqual(undefined);
+        expect(policy.currentTerms(terms(10_000)).leaseDuration).toEqual(10_000);
+        expect(policy.termsToRecord(terms(10_000), 31_000)).toEqual(undefined);
+        expect(policy.termsToRecord(terms(10_000), 31_001)).toEqual(terms(10_000));
     });
 
-    it("keeps what a former owner may have given apart from what is given now", () => {
-        const leaseTerms = new LeasePolicy();
-        leaseTerms.recover(terms(30_000, 900_000));
-        leaseTerms.onCommitted(terms(10_000, 60_000));
-        expect(leaseTerms.formerTerms()).toEqual(terms(30_000, 900_000));
+    it("keeps the former owner's terms apart from the current ones", () => {
+        const policy = new LeasePolicy();
+        policy.recover(terms(30_000, 900_000));
+        policy.onCommitted(terms(10_000, 60_000));
+        expect(policy.formerTerms()).toEqual(terms(30_000, 900_000));
     });
 });
--- a/packages/core/test/shard/pending-queue.test.ts
+++ b/packages/core/test/shard/pending-queue.test.ts
@@ -12,7 +12,7 @@
     since: 0,
 });
 
-const drain = (queue: PendingQueue): number[] => {
+const placeAll = (queue: PendingQueue): number[] => {
     const order: number[] = [];
     queue.offer(entry => order.push(entry.sequence) > 0);
     return order;
@@ -23,10 +23,10 @@
         const queue = new PendingQueue();
         [unit(1, Priority.Patient), unit(2), unit(3, Priority.Urgent), unit(4, Priority.Normal, "large"), unit(5)]
             .forEach(entry => queue.add(entry));
-        expect(drain(queue)).toEqual([3, 2, 4, 5, 1]);
+        expect(placeAll(queue)).toEqual([3, 2, 4, 5, 1]);
     });
 
-    it("passes over equals of what did not fit, and goes on with others", () => {
+    it("skips units equivalent to one that did not fit, and continues with others", () => {
         const queue = new PendingQueue();
         [unit(1, Priority.Normal, "large"), unit(2, Priority.Normal, "large"), unit(3)].forEach(entry =>
             queue.add(entry)
@@ -40,21 +40,21 @@
         expect(queue.length).toEqual(2);
     });
 
-    it("forgets a removed unit without a search", () => {
+    it("skips removed units", () => {
         const queue = new PendingQueue();
         const entries = Array.from({ length: 10_000 }, (_, index) => unit(index));
         entries.forEach(entry => queue.add(entry));
         entries.filter(entry => entry.sequence !== 7).forEach(entry => queue.remove(entry.tasks[0]));
         expect(queue.length).toEqual(1);
         expect(queue.positionOf(entries[7])).toEqual(8);
-        expect(drain(queue)).toEqual([7]);
+        expect(placeAll(queue)).toEqual([7]);
     });
 
-    it("takes a task again that was removed before", () => {
+    it("accepts a task that was removed before", () => {
         const queue = new PendingQueue();
         queue.add(unit(1));
         queue.remove("job-1/0" as TaskId);
         queue.add({ ...unit(1), sequence: 2 });
-        expect(drain(queue)).toEqual([2]);
+        expect(placeAll(queue)).toEqual([2]);
     });
 });
--- a/packages/core/test/time/response-time-estimator.test.ts
+++ b/packages/core/test/time/response-time-estimator.test.ts
@@ -4,32 +4,32 @@
 
 const bounds = { min: 120, max: 400 };
 
-describe("the time after which an answer is taken for lost", () => {
-    it("is the longest one before there was any", () => {
+describe("ResponseTimeEstimator", () => {
+    it("starts with the maximum timeout", () => {
         expect(new ResponseTimeEstimator(bounds).timeout).toEqual(bounds.max);
     });
 
-    it("follows the answers, within its bounds", () => {
-        const times = new ResponseTimeEstimator(bounds);
-        [5, 4, 6, 5].forEach(took => times.recordResponse(took));
-        expect(times.timeout).toEqual(bounds.min);
+    it("follows the response times within its bounds", () => {
+        const estimator = new ResponseTimeEstimator(bounds);
+        [5, 4, 6, 5].forEach(took => estimator.recordResponse(took));
+        expect(estimator.timeout).toEqual(bounds.min);
         for (let answer = 0; answer < 40; answer++) {
-            times.recordResponse(200);
+            estimator.recordResponse(200);
         }
-        expect(times.timeout > 200 && times.timeout < bounds.max).toEqual(true);
-        times.recordResponse(5_000);
-        expect(times.timeout).toEqual(bounds.max);
+        expect(estimator.timeout > 200 && estimator.timeout < bounds.max).toEqual(true);
+        estimator.recordResponse(5_000);
+        expect(estimator.timeout).toEqual(bounds.max);
     });
 
-    it("doubles with each answer that is lost in a row, so that a slow worker is waited for", () => {
-        const times = new ResponseTimeEstimator(bounds);
+    it("doubles the timeout with each consecutive timeout", () => {
+        const estimator = new ResponseTimeEstimator(bounds);
         for (let answer = 0; answer < 40; answer++) {
-            times.recordResponse(150);
+            estimator.recordResponse(150);
         }
-        const before = times.timeout;
-        times.recordTimeout();
-        expect(times.timeout).toEqual(Math.min(bounds.max, before * 2));
-        times.recordResponse(150);
-        expect(times.timeout < before * 2).toEqual(true);
+        const before = estimator.timeout;
+        estimator.recordTimeout();
+        expect(estimator.timeout).toEqual(Math.min(bounds.max, before * 2));
+        estimator.recordResponse(150);
+        expect(estimator.timeout < before * 2).toEqual(true);
     });
 });
--- a/packages/core/test/time/suspension-detector.test.ts
+++ b/packages/core/test/time/suspension-detector.test.ts
@@ -2,8 +2,8 @@
 import { describe, it } from "node:test";
 import { ManualClock, SystemClock } from "../../src/index.js";
 
-describe("a clock that may have missed time", () => {
-    it("gives no sign while both clocks go on together", () => {
+describe("suspension detection", () => {
+    it("detects nothing while both clocks advance together", () => {
         const clock = new ManualClock();
         for (let passed = 0; passed < 100; passed++) {
             clock.advance(1_000);
@@ -11,7 +11,7 @@
         }
     });
 
-    it("tells of a suspension at its first use after that, and of each one", () => {
+    it("detects each suspension at the first call after it", () => {
         const clock = new ManualClock();
         clock.advance(5_000);
         clock.suspend(3_000);
@@ -22,7 +22,7 @@
         expect(clock.uninterruptedSince()).toEqual(7_000);
     });
 
-    it("takes a time of day that is set back for no sign, and one that is set ahead again for one", () => {
+    it("ignores a wall clock that is set back, and detects one that is set ahead again", () => {
         const clock = new ManualClock();
         clock.advance(1_000);
         clock.suspend(-2_000);
@@ -32,7 +32,7 @@
         expect(clock.uninterruptedSince()).toEqual(2_000);
     });
 
-    it("of the process gives none on a machine that is not suspended", async () => {
+    it("detects nothing with the system clock on a machine that is not suspended", async () => {
         const clock = new SystemClock();
         expect(clock.uninterruptedSince()).toEqual(-Infinity);
         await clock.sleep(20);
