--- a/packages/core/src/log-events/index.ts
+++ b/packages/core/src/log-events/index.ts
@@ -25,7 +25,7 @@
     processStarted: define(1001, "info", "process started", nothing),
     processStopping: define(1002, "info", "process stopping", nothing),
     processStopped: define(1003, "info", "process stopped", nothing),
-    processFailed: define(1004, "fatal", "process failed", "Read the error; the process does not go on."),
+    processFailed: define(1004, "fatal", "process failed", "Read the error; the process exits."),
     linesLeftOut: define(
         1005,
         "warn",
@@ -283,6 +283,6 @@
         4607,
         "error",
         "the settings file is invalid; the previous settings stay in use",
-        "Correct the line it names.",
+        "Correct the error it names.",
     ),
 } as const;
--- a/packages/core/src/resources/index.ts
+++ b/packages/core/src/resources/index.ts
@@ -42,10 +42,10 @@
 export const largerResources = (left: Resources, right: Resources): Resources => combine(left, right, Math.max);
 /** Multiplies all dimensions by `count`. */
 export const multiplyResources = (size: Resources, count: number): Resources => combine(size, size, a => a * count);
-/** Whether `size` is at most `room` in every dimension. */
+/** Whether `size` is at most `available` in every dimension. */
 export const fitsInto = (size: Resources, available: Resources): boolean =>
     dimensions.every(name => size[name] <= available[name]);
-/** Returns the dimensions in which `size` exceeds `room`. */
+/** Returns the dimensions in which `size` exceeds `available`. */
 export const lackingDimensions = (size: Resources, available: Resources): Dimension[] =>
     dimensions.filter(name => size[name] > available[name]);
 /** Returns a string that is equal for equal vectors, for use as a map key. */
--- a/packages/core/src/settings/shard-settings.ts
+++ b/packages/core/src/settings/shard-settings.ts
@@ -23,11 +23,11 @@
 
 /** Resolves the settings of a site. With a workload class, keys that classes may override take the class's values. */
 export const shardSettingsOf = (tree: SettingsTree, path: TreePath, workloadClass?: WorkloadClass): ShardSettings => {
-    const place = { ...path, workloadClass };
+    const classPath = { ...path, workloadClass };
     return {
         placement: {
-            preference: tree.explain("placement.preference", place).value as Preference,
-            headroom: tree.number("placement.headroom", place),
+            preference: tree.explain("placement.preference", classPath).value as Preference,
+            headroom: tree.number("placement.headroom", classPath),
         },
         leaseDuration: tree.number("lease.duration", path),
         leaseMargin: tree.number("lease.margin", path),
@@ -35,11 +35,11 @@
         silentAfter: tree.number("worker.silent_after", path),
         horizon: tree.number("owner.horizon", path),
         queueLimit: tree.number("queue.limit", path),
-        retryAttempts: tree.number("retry.attempts", place),
-        retryDelay: tree.number("retry.delay", place),
+        retryAttempts: tree.number("retry.attempts", classPath),
+        retryDelay: tree.number("retry.delay", classPath),
         resultBytes: tree.number("result.bytes", path),
         retention: tree.number("result.retention", path),
-        gangPatience: tree.number("placement.gang_patience", place),
+        gangPatience: tree.number("placement.gang_patience", classPath),
         slotGrant: tree.number("live.slot_grant", path),
         quarantineShare: tree.number("worker.quarantine_share", path),
         quarantineDuration: tree.number("worker.quarantine_duration", path),
