--- a/packages/entry/src/entry-process.ts
+++ b/packages/entry/src/entry-process.ts
@@ -169,9 +169,9 @@
                 ownerSilence: this.#session.hasOwner ? this.#session.ownerSilence : Infinity,
                 // Left out on purpose: an owner that was only paused would go on denying jobs that its successor accepted, and
                 // renewing its lease does not show it that the owner's key has changed hands.
-                heardSilence: undefined,
-                deadOwner: this.#terminatedOwner,
-                isAsked: this.#isTakeoverRequested,
+                lastOwnerSilence: undefined,
+                terminatedOwner: this.#terminatedOwner,
+                isTakeoverRequested: this.#isTakeoverRequested,
             }),
             waves: () => this.#configuration.waves,
             upkeep: options.upkeep?.(this.#store),
--- a/packages/entry/src/owner/owner-session.ts
+++ b/packages/entry/src/owner/owner-session.ts
@@ -174,7 +174,7 @@
 
     /** Whether the owner's key cannot have expired, so that no other VM can have claimed the cell. */
     get #isKeyValid(): boolean {
-        return this.#isRecent(this.options.keyConfirmedAt(), this.options.ownerLease);
+        return this.#isRecent(this.options.keyConfirmedAt(), this.options.ownerLeaseLength);
     }
 
     /** Whether `moment` is less than `time` ago and the process has certainly not been suspended since. */
--- a/packages/entry/src/owner/types.ts
+++ b/packages/entry/src/owner/types.ts
@@ -27,7 +27,7 @@
      */
     readonly keyConfirmedAt: () => Milliseconds;
     /** Lifetime of the owner's key after its last renewal; no other VM can own the cell before it has passed. */
-    readonly ownerLease: Milliseconds;
+    readonly ownerLeaseLength: Milliseconds;
     /** Asks the store to confirm that this VM owns the cell. */
     readonly confirm: () => void;
     /** Aborted when the cell is lost to another owner. */
@@ -47,7 +47,7 @@
 /** Dependencies for waves of upkeep. */
 export interface OwnerUpkeep {
     readonly vms: VmService;
-    readonly board: WaveStatusReporter;
+    readonly waveReporter: WaveStatusReporter;
     readonly upkeepTime: Milliseconds;
     readonly turnLength: Milliseconds;
 }
--- a/packages/entry/src/owner/upkeep-controller.ts
+++ b/packages/entry/src/owner/upkeep-controller.ts
@@ -16,7 +16,7 @@
 /** Dependencies of the upkeep controller. */
 export interface UpkeepControllerOptions {
     readonly vms: VmService;
-    readonly board: WaveStatusReporter;
+    readonly waveReporter: WaveStatusReporter;
     readonly clock: Clock;
     readonly logger: EventLogger;
     readonly issuer: VmOrderIssuer;
@@ -77,7 +77,9 @@
     }
 
     async #readCompleted(): Promise<true> {
-        (await this.options.board.completed(this.options.signal)).forEach(wave => this.#planner.noteCompleted(wave));
+        (await this.options.waveReporter.completed(this.options.signal)).forEach(wave =>
+            this.#planner.noteCompleted(wave)
+        );
         return true;
     }
 
@@ -113,7 +115,7 @@
         if (this.#reportedStates.get(wave) === state) {
             return;
         }
-        await this.options.board.report(wave, state);
+        await this.options.waveReporter.report(wave, state);
         this.#reportedStates.set(wave, state);
         if (state === WaveState.Completed) {
             this.#planner.noteCompleted(wave);
--- a/packages/entry/src/ownership/campaign.ts
+++ b/packages/entry/src/ownership/campaign.ts
@@ -20,18 +20,18 @@
     /** Time since the connected owner's last message; infinite when none is connected. */
     readonly ownerSilence: Milliseconds;
     /** Time since the last message of any owner to this process; undefined when none was heard. */
-    readonly heardSilence: Milliseconds | undefined;
+    readonly lastOwnerSilence: Milliseconds | undefined;
     /** Process of a former owner that is known to have ended. */
-    readonly deadOwner: string | undefined;
+    readonly terminatedOwner: string | undefined;
     /** Whether the owner has asked this VM to take over. */
-    readonly isAsked: boolean;
+    readonly isTakeoverRequested: boolean;
 }
 
 /** The reason for which the VM may claim the cell; undefined when it may not. */
 export const reasonToClaim = (input: CampaignInput): string | undefined => {
-    const { view, self, deadOwner, isAsked } = input;
+    const { view, self, terminatedOwner, isTakeoverRequested } = input;
     const { owner } = view;
-    if (isAsked) {
+    if (isTakeoverRequested) {
         return "the owner hands over";
     }
     if (owner === undefined) {
@@ -42,20 +42,20 @@
             ? "an earlier claim of this process had no answer"
             : "an earlier process of this VM is the owner";
     }
-    return owner.process === deadOwner ? "the owner's process is gone" : reasonToSuspect(input);
+    return owner.process === terminatedOwner ? "the owner's process is gone" : reasonToSuspect(input);
 };
 
 /** Reason of a claim that is only valid if the other VMs do not hear the owner either. */
 export const ownerSilentReason = "the owner is silent";
 
-const reasonToSuspect = ({ view, now, heardSilence }: CampaignInput): string | undefined => {
-    if (heardSilence === undefined) {
+const reasonToSuspect = ({ view, now, lastOwnerSilence }: CampaignInput): string | undefined => {
+    if (lastOwnerSilence === undefined) {
         return undefined;
     }
     // Messages before this owner's claim came from an earlier one: a new owner reads the journal before it sends any.
-    const hasSentMessage = now - heardSilence > view.ownerSince;
+    const hasSentMessage = now - lastOwnerSilence > view.ownerSince;
     const isSilent = hasSentMessage
-        ? heardSilence > ownerSuspicionTimeout
+        ? lastOwnerSilence > ownerSuspicionTimeout
         : now - view.ownerSince > firstMessageTimeout;
     return isSilent ? ownerSilentReason : undefined;
 };
@@ -71,16 +71,16 @@
 };
 
 /** Whether VMs are still joining, as after a start of the whole cell, so that larger ones may follow. */
-export const isCellForming = ({ view, now, isAsked }: CampaignInput): boolean =>
-    !isAsked && now - view.lastVmAddedAt < formationQuietTime;
+export const isCellForming = ({ view, now, isTakeoverRequested }: CampaignInput): boolean =>
+    !isTakeoverRequested && now - view.lastVmAddedAt < formationQuietTime;
 
 /** Whether only an event, and not the passing of time, can give a reason to claim. */
-export const isOwnershipStable = ({ view, heardSilence }: CampaignInput): boolean =>
-    view.owner !== undefined && heardSilence === undefined;
+export const isOwnershipStable = ({ view, lastOwnerSilence }: CampaignInput): boolean =>
+    view.owner !== undefined && lastOwnerSilence === undefined;
 
 /** How long this VM waits before it claims, so that larger VMs, and equal ones with a lower name, can go first. */
-export const claimDelay = ({ view, self, isAsked }: CampaignInput): Milliseconds => {
-    if (isAsked) {
+export const claimDelay = ({ view, self, isTakeoverRequested }: CampaignInput): Milliseconds => {
+    if (isTakeoverRequested) {
         return 0;
     }
     return [...view.vms.values()]
--- a/packages/entry/src/ownership/candidate.ts
+++ b/packages/entry/src/ownership/candidate.ts
@@ -71,7 +71,10 @@
     readonly waves: () => readonly UpkeepWave[];
     readonly upkeep: OwnerUpkeep | undefined;
     /** What is known about the current owner. */
-    readonly ownerStatus: () => Pick<CampaignInput, "ownerSilence" | "heardSilence" | "deadOwner" | "isAsked">;
+    readonly ownerStatus: () => Pick<
+        CampaignInput,
+        "ownerSilence" | "lastOwnerSilence" | "terminatedOwner" | "isTakeoverRequested"
+    >;
     /** Connects this VM to its own session as owner. */
     readonly connectSelf: (session: OwnerSession) => void;
 }
@@ -171,7 +174,7 @@
             self,
             now,
             ...status,
-            heardSilence: now < this.#suspicionsIgnoredUntil ? undefined : status.heardSilence,
+            lastOwnerSilence: now < this.#suspicionsIgnoredUntil ? undefined : status.lastOwnerSilence,
         };
     }
 
@@ -313,7 +316,7 @@
                 confirmedAt: () => Math.max(journal.lastContact, key.confirmedAt),
                 keyConfirmedAt: () => key.confirmedAt,
                 confirm: () => key.confirm(lost.signal),
-                ownerLease: this.options.leaseLength,
+                ownerLeaseLength: this.options.leaseLength,
                 onSilentVm: name => dialer.recordSilence(name),
                 isIsolated: () => dialer.hasBecomeIsolated,
                 onConfiguration: this.options.onConfiguration,
--- a/packages/entry/test/explorer/mutations.ts
+++ b/packages/entry/test/explorer/mutations.ts
@@ -15,12 +15,12 @@
 }
 
 const pool = "cell/dist/src/runs/worker-pool.js";
-const lives = "cell/dist/src/runs/worker-lives.js";
-const looks = "cell/dist/src/runs/worker-looks.js";
+const incarnations = "cell/dist/src/runs/worker-incarnations.js";
+const polls = "cell/dist/src/runs/worker-poll-reconciler.js";
 const link = "entry/dist/src/links/worker-link.js";
-const runs = "cell/dist/src/runs/run-book.js";
+const runs = "cell/dist/src/runs/run-lifecycle.js";
 const turns = "entry/dist/src/owner/turn-runner.js";
-const inbox = "entry/dist/src/owner/worker-inbox.js";
+const reportHandler = "entry/dist/src/owner/worker-report-handler.js";
 const assignments = "entry/dist/src/owner/assignments.js";
 
 /** All mutations. */
@@ -29,36 +29,36 @@
         name: "a link goes on with another life",
         rule: "done once",
         file: link,
-        from: "if (this.#isOtherLife(look, reading))",
+        from: "if (this.#isOtherIncarnation(poll, reading))",
         to: "if (false)",
     },
     {
         name: "ends are acknowledged before they are kept",
         rule: "done once",
         file: turns,
-        from: "await this.#kept;",
+        from: "await this.#committed;",
         to: "",
     },
     {
         name: "what was ordered of a former life is over at once",
         rule: "one run at work",
         scenario: "plain tasks, two workers",
-        file: lives,
-        from: "if (run.isShown)",
+        file: incarnations,
+        from: "if (run.isReported)",
         to: "if (true)",
     },
     {
         name: "what was ordered of a former life is never settled",
         rule: "each job has its end",
-        file: looks,
-        from: "formerLife === undefined ? sentAt < settledBefore : settledBefore > -Infinity",
-        to: "formerLife === undefined && sentAt < settledBefore",
+        file: polls,
+        from: "formerIncarnation === undefined ? sentAt < settledBefore : settledBefore > -Infinity",
+        to: "formerIncarnation === undefined && sentAt < settledBefore",
     },
     {
         name: "what a restarted worker had is waited for",
         rule: "each job has its end",
-        file: lives,
-        from: "runs.forEach(run => this.#leave(run, worker, loss));",
+        file: incarnations,
+        from: "runs.forEach(run => this.#handOver(run, worker, loss));",
         to: "",
     },
     {
@@ -72,7 +72,7 @@
         name: "leases of a silent worker are over at once",
         rule: "one run at work",
         file: pool,
-        from: "now > worker.lapsesAt + leaseMargin",
+        from: "now > worker.leasesExpireAt + leaseMargin",
         to: "true",
     },
     {
@@ -93,28 +93,28 @@
         name: "a new owner trusts that nothing runs",
         rule: "one run at work",
         file: pool,
-        from: "this.#runs.recover(task, run, worker, life);",
+        from: "this.#runs.recover(task, run, worker, incarnation);",
         to: "this.#context.record({ kind: \"lost\", task: task.address, run });",
     },
     {
         name: "a worker that is back at another address is not called there",
         rule: "each job has its end",
-        file: lives,
-        from: "nextEntry.address !== worker.address",
+        file: incarnations,
+        from: "pendingEntry.address !== worker.address",
         to: "false",
     },
     {
         name: "the entry of the next life is dropped",
         rule: "workers are seen as they are",
-        file: lives,
-        from: "worker.nextEntry = isFormer ? worker.nextEntry : entry;",
+        file: incarnations,
+        from: "worker.pendingEntry = isFormer ? worker.pendingEntry : entry;",
         to: "",
     },
     {
         name: "room that is taken is not counted",
         rule: "room is kept",
         file: "cell/dist/src/state/worker-state.js",
-        from: "this.#change(run.task.step.definition, -1);",
+        from: "this.#adjustFree(run.task.step.definition, -1);",
         to: "",
     },
     {
@@ -134,15 +134,15 @@
     {
         name: "each look settles what was ordered, not only a link's first",
         rule: "one run at work",
-        file: inbox,
-        from: "assignment.hasLooked ? -Infinity : assignment.since",
+        file: reportHandler,
+        from: "assignment.hasPolled ? -Infinity : assignment.assignedAt",
         to: "clock.monotonic()",
     },
     {
         name: "what is ordered of a former life is charged nowhere",
         rule: "each job has its end",
         file: runs,
-        from: "run.confirmedAt = undefined;\n        worker.charge(run);",
+        from: "run.confirmedAt = undefined;\n        worker.allocate(run);",
         to: "run.confirmedAt = undefined;",
     },
 ];
--- a/packages/entry/test/front/job-service.test.ts
+++ b/packages/entry/test/front/job-service.test.ts
@@ -25,7 +25,7 @@
         waitForOwner: () => Promise.resolve(),
     };
     const clock = new ManualClock();
-    const { log, kept, metrics } = makeRequestLog(clock);
+    const { log, logger: kept, metrics } = makeRequestLog(clock);
     return { asked, service: new JobService(access, clock, log), logged: kept.logged, metrics };
 };
 
--- a/packages/entry/test/ownership/campaign.test.ts
+++ b/packages/entry/test/ownership/campaign.test.ts
@@ -30,9 +30,9 @@
     self,
     now: 1_000,
     ownerSilence: Infinity,
-    heardSilence: undefined,
-    deadOwner: undefined,
-    isAsked: false,
+    lastOwnerSilence: undefined,
+    terminatedOwner: undefined,
+    isTakeoverRequested: false,
     ...changes,
 });
 
@@ -70,26 +70,26 @@
         expect([
             isOwnershipStable(input({ view })),
             isOwnershipStable(input({})),
-            isOwnershipStable(input({ view, heardSilence: 200 })),
+            isOwnershipStable(input({ view, lastOwnerSilence: 200 })),
         ])
             .toEqual([true, false, false]);
     });
 
     it("when an owner that was heard falls silent, if the other VMs do not hear it either", () => {
         const view = viewOf(owner, "a", "b");
-        expect(reasonToClaim(input({ view, heardSilence: 200 }))).toEqual(undefined);
-        expect(reasonToClaim(input({ view, heardSilence: 500 }))).toEqual(ownerSilentReason);
+        expect(reasonToClaim(input({ view, lastOwnerSilence: 200 }))).toEqual(undefined);
+        expect(reasonToClaim(input({ view, lastOwnerSilence: 500 }))).toEqual(ownerSilentReason);
     });
 
     it("not because of an earlier owner's silence: a new owner is given time for its first message", () => {
         const view = viewOf(owner, "a", "b");
         view.ownerSince = 1_000;
-        expect(reasonToClaim(input({ view, now: 1_300, heardSilence: 900 }))).toEqual(undefined);
-        expect(reasonToClaim(input({ view, now: 2_100, heardSilence: 1_700 }))).toEqual(ownerSilentReason);
+        expect(reasonToClaim(input({ view, now: 1_300, lastOwnerSilence: 900 }))).toEqual(undefined);
+        expect(reasonToClaim(input({ view, now: 2_100, lastOwnerSilence: 1_700 }))).toEqual(ownerSilentReason);
     });
 
     it("at once when the owner's process is known to be gone", () => {
-        const found = reasonToClaim(input({ view: viewOf(owner, "a", "b"), deadOwner: owner.process }));
+        const found = reasonToClaim(input({ view: viewOf(owner, "a", "b"), terminatedOwner: owner.process }));
         expect(found).toEqual("the owner's process is gone");
     });
 
@@ -101,7 +101,7 @@
     });
 
     it("without delay when the owner asks it to", () => {
-        const asked = input({ view: viewOf(owner, "a", "b"), isAsked: true });
+        const asked = input({ view: viewOf(owner, "a", "b"), isTakeoverRequested: true });
         expect(reasonToClaim(asked)).toEqual("the owner hands over");
         expect(claimDelay(asked)).toEqual(0);
     });
--- a/packages/entry/test/support/lives/simulation-world.ts
+++ b/packages/entry/test/support/lives/simulation-world.ts
@@ -195,7 +195,7 @@
             formerLeaseLength: longestLease,
             confirmedAt: () => this.storeSilentSince ?? this.clock.monotonic(),
             keyConfirmedAt: () => this.keyConfirmedAt(),
-            ownerLease: 1_000,
+            ownerLeaseLength: 1_000,
             confirm: () => undefined,
             lost,
             onSilentVm: () => undefined,
--- a/packages/entry/test/support/observation.ts
+++ b/packages/entry/test/support/observation.ts
@@ -19,9 +19,9 @@
 }
 
 /** Creates a request log with the logger and metrics that it writes to. */
-export const makeRequestLog = (clock: Clock): { log: RequestLog; kept: RecordingLogger; metrics: EntryMetrics; } => {
+export const makeRequestLog = (clock: Clock): { log: RequestLog; logger: RecordingLogger; metrics: EntryMetrics; } => {
     const logger = new RecordingLogger();
     const metrics = new EntryMetrics();
     const owner = () => ({ epoch: 7, silence: 120 });
-    return { log: new RequestLog({ logger, metrics, clock, owner }), kept: logger, metrics };
+    return { log: new RequestLog({ logger, metrics, clock, owner }), logger: logger, metrics };
 };
