--- a/packages/entry/src/configuration/configuration-watch.ts
+++ b/packages/entry/src/configuration/configuration-watch.ts
@@ -15,7 +15,7 @@
     type FollowSource,
     type StoreProbe,
 } from "../following/index.js";
-import { DependencyMonitor } from "../observation/index.js";
+import { DependencyMonitor } from "../observability/index.js";
 
 /**
  * After another VM has announced a newer configuration, wait this long for it to arrive from the store before fetching it from that
--- a/packages/entry/src/entry-process.ts
+++ b/packages/entry/src/entry-process.ts
@@ -17,7 +17,7 @@
 import { createAbortController, type EventLogger, untilAborted } from "@pebbledale/runtime";
 import { ConfigurationWatch } from "./configuration/index.js";
 import { type FollowLimits, followLimitsOf, FollowLoop, maxStaleness, StoreProbe } from "./following/index.js";
-import { JobService, RequestLog } from "./front/index.js";
+import { JobService, RequestLog } from "./front-end/index.js";
 import { maxClockDrift, ownerSilenceLimit, VmSession } from "./links/index.js";
 import {
     cellPrefix,
@@ -33,7 +33,7 @@
     type EntryMetrics,
     InstrumentedLogger,
     InstrumentedWorkerClients,
-} from "./observation/index.js";
+} from "./observability/index.js";
 import { confirmationValidity, type OwnerSession, type OwnerUpkeep } from "./owner/index.js";
 import { Candidate, ownerLeaseLength, vmLeaseLength } from "./ownership/index.js";
 import { listenForOwners, refusesConnections } from "./peers/index.js";
--- a/packages/entry/src/front/request-log.ts
+++ b/packages/entry/src/front-end/request-log.ts
@@ -1,7 +1,7 @@
 /** Logs and counts answers to callers. */
 import { type Clock, logEvents, type Milliseconds } from "@pebbledale/core";
 import type { EventLogger } from "@pebbledale/runtime";
-import type { EntryMetrics } from "../observation/index.js";
+import type { EntryMetrics } from "../observability/index.js";
 import type { OwnerRequest } from "../protocol/index.js";
 import type { JobAnswer } from "./types.js";
 
--- a/packages/entry/src/membership/vm-registration.ts
+++ b/packages/entry/src/membership/vm-registration.ts
@@ -9,7 +9,7 @@
     type PlatformStore,
 } from "@pebbledale/core";
 import { type EventLogger, unlessAborted } from "@pebbledale/runtime";
-import { DependencyMonitor } from "../observation/index.js";
+import { DependencyMonitor } from "../observability/index.js";
 
 /** What a {@link VmRegistration} depends on. */
 export interface VmRegistrationOptions {
--- a/packages/entry/src/owner/types.ts
+++ b/packages/entry/src/owner/types.ts
@@ -3,7 +3,7 @@
 import type { Journal, JournalContents, Milliseconds, SuspensionAwareClock } from "@pebbledale/core";
 import type { EventLogger } from "@pebbledale/runtime";
 import type { FollowLimits } from "../following/index.js";
-import type { EntryMetrics } from "../observation/index.js";
+import type { EntryMetrics } from "../observability/index.js";
 
 /** Dependencies and callbacks of an owner's session. */
 export interface OwnerSessionOptions {
--- a/packages/entry/src/ownership/candidate.ts
+++ b/packages/entry/src/ownership/candidate.ts
@@ -16,7 +16,7 @@
 import { createAbortController, type EventLogger, unlessAborted } from "@pebbledale/runtime";
 import type { FollowLimits } from "../following/index.js";
 import { type CellView, type EntryVm } from "../membership/index.js";
-import type { EntryMetrics } from "../observation/index.js";
+import type { EntryMetrics } from "../observability/index.js";
 import {
     commitInterval,
     journalMaxInFlight,
--- a/packages/entry/src/ownership/owner-key.ts
+++ b/packages/entry/src/ownership/owner-key.ts
@@ -10,7 +10,7 @@
 } from "@pebbledale/core";
 import type { EventLogger } from "@pebbledale/runtime";
 import { ownerKey, revokeTimeout } from "../membership/index.js";
-import { DependencyMonitor } from "../observation/index.js";
+import { DependencyMonitor } from "../observability/index.js";
 import { renewalsPerLease } from "./constants.js";
 
 /** Dependencies and parameters of the owner's key. */
--- a/packages/entry/test/explorer/fault-injector.ts
+++ b/packages/entry/test/explorer/fault-injector.ts
@@ -1,6 +1,6 @@
 /** Injection of faults into a simulation. */
 import type { Milliseconds, WorkerId } from "@pebbledale/core";
-import type { CallKind, CallOutcome, SimulatedWorker, SimulationWorld } from "../support/lives/index.js";
+import type { CallKind, CallOutcome, SimulatedWorker, SimulationWorld } from "../support/simulation/index.js";
 import type { Choices } from "./choices.js";
 
 /** Possible outcomes of calls by name; the first is the default. The names are part of stored walks. */
--- a/packages/entry/test/explorer/rules.ts
+++ b/packages/entry/test/explorer/rules.ts
@@ -1,6 +1,6 @@
 /** Rules that each walk must satisfy, checked by what workers and callers observe. */
 import { RunEnd } from "@pebbledale/cell";
-import { describeDuplicate, type DuplicateRun, type SimulationWorld, TaskKind } from "../support/lives/index.js";
+import { describeDuplicate, type DuplicateRun, type SimulationWorld, TaskKind } from "../support/simulation/index.js";
 import type { Scenario, ScenarioJob } from "./scenarios.js";
 
 /** A finished walk. */
--- a/packages/entry/test/explorer/scenarios.ts
+++ b/packages/entry/test/explorer/scenarios.ts
@@ -1,6 +1,6 @@
 /** Scenarios for the explorer. */
 import type { Milliseconds } from "@pebbledale/core";
-import type { StepChanges } from "../support/lives/index.js";
+import type { StepChanges } from "../support/simulation/index.js";
 
 /** A job of a scenario. */
 export interface ScenarioJob {
--- a/packages/entry/test/explorer/walk.ts
+++ b/packages/entry/test/explorer/walk.ts
@@ -1,7 +1,7 @@
 /** Walks through a scenario. */
 import type { Milliseconds } from "@pebbledale/core";
 import { createHash } from "node:crypto";
-import { SimulationWorld } from "../support/lives/index.js";
+import { SimulationWorld } from "../support/simulation/index.js";
 import { type ChoicePoint, Choices, type Deviation } from "./choices.js";
 import { FaultInjector } from "./fault-injector.js";
 import { isSettled, rules, strayDuplicates } from "./rules.js";
--- a/packages/entry/test/front/caller-authentication.test.ts
+++ b/packages/entry/test/front-end/caller-authentication.test.ts
@@ -4,7 +4,7 @@
 import { expect } from "earl";
 import * as fc from "fast-check";
 import { describe, it } from "node:test";
-import { authenticateCaller } from "../../src/front/index.js";
+import { authenticateCaller } from "../../src/front-end/index.js";
 import { configuration } from "../support/configuration.js";
 
 const north = organisationName("north");
--- a/packages/entry/test/owner/stop-without-store.test.ts
+++ b/packages/entry/test/owner/stop-without-store.test.ts
@@ -5,7 +5,7 @@
 import { expect } from "earl";
 import { describe, it } from "node:test";
 import { HandOverOutcome, shutdownTimesOf } from "../../src/index.js";
-import { SimulationWorld } from "../support/lives/index.js";
+import { SimulationWorld } from "../support/simulation/index.js";
 
 describe("an owner that is stopped while the store does not answer", () => {
     const setUp = async ({ silentFor = 1_000 } = {}) => {
--- a/packages/entry/test/owner/unknown-jobs.test.ts
+++ b/packages/entry/test/owner/unknown-jobs.test.ts
@@ -4,7 +4,7 @@
  */
 import { expect } from "earl";
 import { describe, it } from "node:test";
-import { SimulationWorld } from "../support/lives/index.js";
+import { SimulationWorld } from "../support/simulation/index.js";
 
 describe("a job unknown to the owner", () => {
     it("is only reported as unknown while the owner's key is certainly valid", async () => {
--- a/packages/entry/test/lives/restarts.test.ts
+++ b/packages/entry/test/worker-restarts/restarts.test.ts
@@ -5,7 +5,7 @@
 import { logEvents, workerIncarnation } from "@pebbledale/core";
 import { expect } from "earl";
 import { afterEach, describe, it } from "node:test";
-import { type SimulationOptions, SimulationWorld } from "../support/lives/index.js";
+import { type SimulationOptions, SimulationWorld } from "../support/simulation/index.js";
 
 let world: SimulationWorld;
 const begin = async (options: SimulationOptions): Promise<void> => {
