--- a/packages/gateway/src/callers/caller-server.ts
+++ b/packages/gateway/src/callers/caller-server.ts
@@ -3,10 +3,10 @@
 import type { EventLogger } from "@pebbledale/runtime";
 import fastify, { type FastifyInstance } from "fastify";
 import { NoOwnerError } from "../owners/index.js";
-import { sendError } from "./replies.js";
+import { sendError } from "./send-error.js";
 
 /** A caller that sends its head more slowly than this is cut off, in milliseconds. */
-const headTimeout = 10_000;
+const receiveTimeout = 10_000;
 const keepAliveTimeout = 30_000;
 const noOwnerRetryAfter = 1_000;
 
@@ -24,7 +24,7 @@
         logger: false,
         bodyLimit,
         keepAliveTimeout,
-        requestTimeout: headTimeout,
+        requestTimeout: receiveTimeout,
         return503OnClosing: false,
         forceCloseConnections: "idle",
         genReqId: () => random.name(),
@@ -45,7 +45,7 @@
         if (error instanceof NoOwnerError) {
             return sendError(reply, "no-owner", { reason: error.message, retryAfterMilliseconds: noOwnerRetryAfter });
         }
-        const name = errorOf(error);
+        const name = errorNameOf(error);
         if (name === "internal") {
             logger.log(logEvents.unexpectedFailure, { request: request.id, cause: error.stack });
         }
@@ -54,7 +54,7 @@
     return server;
 };
 
-const errorOf = (error: { code?: string; statusCode?: number; }): ErrorName => {
+const errorNameOf = (error: { code?: string; statusCode?: number; }): ErrorName => {
     if (error.code === "FST_ERR_CTP_BODY_TOO_LARGE") {
         return "body-too-large";
     }
--- a/packages/gateway/src/callers/index.ts
+++ b/packages/gateway/src/callers/index.ts
@@ -1,5 +1,5 @@
 /** The callers' HTTP interface. */
 export * from "./caller-server.js";
-export * from "./jobs.js";
-export * from "./replies.js";
-export * from "./services.js";
+export * from "./job-routes.js";
+export * from "./send-error.js";
+export * from "./service-routes.js";
--- a/packages/gateway/src/callers/jobs.ts
+++ b/packages/gateway/src/callers/job-routes.ts
@@ -12,23 +12,23 @@
 } from "@pebbledale/core";
 import { digestOf, type JobAnswer, type JobRequest, type NoJob, shardOfJob, shardOfText } from "@pebbledale/runtime";
 import type { FastifyInstance, FastifyReply, FastifyRequest } from "fastify";
-import { NoOwnerError, type OwnerCalls } from "../owners/index.js";
-import { sendError } from "./replies.js";
+import { NoOwnerError, type OwnerClient } from "../owners/index.js";
+import { sendError } from "./send-error.js";
 
 /** What the paths need. */
 export interface JobRoutesOptions {
-    readonly owners: OwnerCalls;
+    readonly owners: OwnerClient;
     readonly clock: Clock;
     readonly random: Random;
-    readonly shards: number;
+    readonly shardCount: number;
 }
 
 /** How long a call may take until an owner has answered, in milliseconds. */
-const submitLimit: Milliseconds = 5_000;
-const lookLimit: Milliseconds = 3_000;
-const longestWait: Milliseconds = 60_000;
+const submitTimeout: Milliseconds = 5_000;
+const viewTimeout: Milliseconds = 3_000;
+const maxWait: Milliseconds = 60_000;
 /** One call that waits at the owner; shorter than a caller's wait, so that a replaced owner is noticed. */
-const waitSlice: Milliseconds = 10_000;
+const maxCallWait: Milliseconds = 10_000;
 /** When to come back while no owner answers. */
 const noOwnerRetryAfter: Milliseconds = 1_000;
 /** When to come back for a result that is not there yet. */
@@ -41,28 +41,28 @@
 /** Adds the paths to a server. */
 export const addJobRoutes = (server: FastifyInstance, options: JobRoutesOptions): void => {
     const { owners } = options;
-    const look = async (request: FastifyRequest, reply: FastifyReply): Promise<JobAnswer | undefined> => {
-        const message = requestOf((request.params as JobParameters).job, options.shards);
+    const viewJob = async (request: FastifyRequest, reply: FastifyReply): Promise<JobAnswer | undefined> => {
+        const message = parseJobReference((request.params as JobParameters).job, options.shardCount);
         const answer = await owners.call(
             message.shard,
-            lookLimit,
+            viewTimeout,
             (calls, signal) => calls.view.query(message, { signal }),
-            lookLimit / 3,
+            viewTimeout / 3,
         );
-        return checkFound(answer, reply);
+        return requireJob(answer, reply);
     };
 
     server.post("/jobs", (request, reply) => submit(request, reply, options));
 
-    server.get("/jobs/:job", async (request, reply) => (await look(request, reply))?.view ?? reply);
+    server.get("/jobs/:job", async (request, reply) => (await viewJob(request, reply))?.view ?? reply);
 
     server.get("/jobs/:job/explain", async (request, reply) => {
-        const answer = await look(request, reply);
+        const answer = await viewJob(request, reply);
         return answer === undefined ? reply : { job: answer.view, decisions: answer.history };
     });
 
     server.get("/jobs/:job/result", async (request, reply) => {
-        const answer = await look(request, reply);
+        const answer = await viewJob(request, reply);
         if (answer === undefined) {
             return reply;
         }
@@ -72,26 +72,26 @@
     });
 
     server.get("/jobs/:job/wait", async (request, reply) => {
-        const wait = Number((request.query as { milliseconds?: string; }).milliseconds ?? longestWait);
-        if (!(wait >= 0 && wait <= longestWait)) {
-            const findings = [{ place: "query milliseconds", message: `must be from 0 to ${longestWait}` }];
+        const wait = Number((request.query as { milliseconds?: string; }).milliseconds ?? maxWait);
+        if (!(wait >= 0 && wait <= maxWait)) {
+            const findings = [{ place: "query milliseconds", message: `must be from 0 to ${maxWait}` }];
             return sendError(reply, "bad-request", { findings });
         }
-        const message = requestOf((request.params as JobParameters).job, options.shards);
+        const message = parseJobReference((request.params as JobParameters).job, options.shardCount);
         return waitForEnd(message, wait, reply, options);
     });
 
     server.delete("/jobs/:job", async (request, reply) => {
-        const message = requestOf((request.params as JobParameters).job, options.shards);
+        const message = parseJobReference((request.params as JobParameters).job, options.shardCount);
         const answer = await owners.call(
             message.shard,
-            submitLimit,
+            submitTimeout,
             (calls, signal) => calls.cancel.mutate(message, { signal }),
         );
         if (answer.kind === "not-recorded") {
             return sendError(reply, "not-recorded", { retryAfterMilliseconds: answer.retryAfter });
         }
-        return checkFound(answer, reply)?.view ?? reply;
+        return requireJob(answer, reply)?.view ?? reply;
     });
 };
 
@@ -109,14 +109,14 @@
         return sendError(reply, "bad-request", { findings });
     }
     // A key of our own makes the submission safe to send again while the owner is being replaced.
-    const hasKey = parsed.data.key !== undefined;
+    const hasCallerKey = parsed.data.key !== undefined;
     const submission: JobSubmission = { ...parsed.data, key: parsed.data.key ?? `drawn-${options.random.name()}` };
-    const shard = shardOfText(submission.service ?? submission.key!, options.shards);
+    const shard = shardOfText(submission.service ?? submission.key!, options.shardCount);
     const message = { shard, submission, digest: digestOf(submission) };
     try {
         const answer = await options.owners.call(
             shard,
-            submitLimit,
+            submitTimeout,
             (calls, signal) => calls.submit.mutate(message, { signal }),
         );
         if (answer.kind === "accepted") {
@@ -130,19 +130,24 @@
             const { error, reason, retryAfter } = answer.refusal;
             return sendError(reply, error, { reason, retryAfterMilliseconds: retryAfter });
         }
-        return sendUnknown(reply, submission.key!, hasKey, answer.retryAfter);
+        return sendNotRecorded(reply, submission.key!, hasCallerKey, answer.retryAfter);
     }
     catch (cause) {
         if (cause instanceof NoOwnerError && cause.mayHaveArrived) {
-            return sendUnknown(reply, submission.key!, hasKey, noOwnerRetryAfter);
+            return sendNotRecorded(reply, submission.key!, hasCallerKey, noOwnerRetryAfter);
         }
         throw cause;
     }
 };
 
-const sendUnknown = (reply: FastifyReply, key: string, hasKey: boolean, retryAfter: Milliseconds): FastifyReply =>
+const sendNotRecorded = (
+    reply: FastifyReply,
+    key: string,
+    hasCallerKey: boolean,
+    retryAfter: Milliseconds,
+): FastifyReply =>
     sendError(reply, "not-recorded", {
-        reason: hasKey ? `ask again with key ${key}` : `send it again with "key": "${key}"`,
+        reason: hasCallerKey ? `ask again with key ${key}` : `send it again with "key": "${key}"`,
         retryAfterMilliseconds: retryAfter,
     });
 
@@ -152,26 +157,26 @@
     reply: FastifyReply,
     options: JobRoutesOptions,
 ): Promise<unknown> => {
-    const started = options.clock.monotonic();
+    const startedAt = options.clock.monotonic();
     while (true) {
-        const rest = Math.max(0, wait - (options.clock.monotonic() - started));
-        const slice = Math.min(rest, waitSlice);
+        const remaining = Math.max(0, wait - (options.clock.monotonic() - startedAt));
+        const callWait = Math.min(remaining, maxCallWait);
         const answer = await options.owners.call(
             message.shard,
-            slice + lookLimit,
-            (calls, signal) => calls.wait.query({ ...message, wait: slice }, { signal }),
+            callWait + viewTimeout,
+            (calls, signal) => calls.wait.query({ ...message, wait: callWait }, { signal }),
         );
-        const found = checkFound(answer, reply);
-        if (found === undefined) {
+        const job = requireJob(answer, reply);
+        if (job === undefined) {
             return reply;
         }
-        if (isFinalState(found.view.state) || rest <= slice) {
-            return found.view;
+        if (isFinalState(job.view.state) || remaining <= callWait) {
+            return job.view;
         }
     }
 };
 
-const checkFound = (answer: JobAnswer | NoJob, reply: FastifyReply): JobAnswer | undefined => {
+const requireJob = (answer: JobAnswer | NoJob, reply: FastifyReply): JobAnswer | undefined => {
     if (answer.kind === "no-job") {
         void sendError(reply, "no-such-job");
         return undefined;
@@ -180,11 +185,11 @@
 };
 
 /** A path names a job by its id, or as `key:KEY` by its caller's key. */
-const requestOf = (text: string, shards: number): JobRequest & { shard: ShardId; } => {
-    if (text.startsWith("key:")) {
-        const key = text.slice("key:".length);
-        return { shard: shardOfText(key, shards), key };
+const parseJobReference = (reference: string, shardCount: number): JobRequest & { shard: ShardId; } => {
+    if (reference.startsWith("key:")) {
+        const key = reference.slice("key:".length);
+        return { shard: shardOfText(key, shardCount), key };
     }
-    const job: JobId = jobId(text);
-    return { shard: text.includes(".") ? shardOfJob(job) : shardOfText(text, shards), job };
+    const job: JobId = jobId(reference);
+    return { shard: reference.includes(".") ? shardOfJob(job) : shardOfText(reference, shardCount), job };
 };
--- a/packages/gateway/src/callers/services.ts
+++ b/packages/gateway/src/callers/service-routes.ts
@@ -12,23 +12,23 @@
 import { type BurnRecorder, digestOf, type EventLogger, type Metrics, shardOfText } from "@pebbledale/runtime";
 import type { FastifyInstance, FastifyReply, FastifyRequest } from "fastify";
 import { Forwarder, type LiveRequest, requestIdHeader, RetryBudget, type Slot, SlotBroker } from "../live/index.js";
-import type { OwnerCalls } from "../owners/index.js";
-import { sendError } from "./replies.js";
+import type { OwnerClient } from "../owners/index.js";
+import { sendError } from "./send-error.js";
 
 /** What the paths need. */
 export interface ServiceRoutesOptions {
-    readonly owners: OwnerCalls;
+    readonly owners: OwnerClient;
     readonly clock: Clock;
     readonly random: Random;
     readonly logger: EventLogger;
     readonly metrics: Metrics;
     readonly burn: BurnRecorder;
-    readonly shards: number;
+    readonly shardCount: number;
     readonly gateway: string;
     readonly dataHall: string;
-    readonly path: TreePath;
-    readonly tree: () => SettingsTree;
-    readonly noteRevision: (revision: number) => void;
+    readonly settingsPath: TreePath;
+    readonly settingsTree: () => SettingsTree;
+    readonly onSettingsRevision: (revision: number) => void;
     /** Fires once all requests are answered. */
     readonly signal: AbortSignal;
 }
@@ -39,17 +39,17 @@
 const deadlineHeader = "pebbledale-deadline-milliseconds";
 
 const defaultDeadline: Milliseconds = 30_000;
-const longestDeadline: Milliseconds = 3_600_000;
-const acquireLimit: Milliseconds = 1_000;
-const acquireAttemptLimit: Milliseconds = 300;
-const onceLimit: Milliseconds = 3_000;
+const maxDeadline: Milliseconds = 3_600_000;
+const acquireTimeout: Milliseconds = 1_000;
+const acquireAttemptTimeout: Milliseconds = 300;
+const recordTimeout: Milliseconds = 3_000;
 /** Sends of one request at the most. */
-const mostSends = 4;
+const maxAttempts = 4;
 const statusServerError = 500;
 const idPattern = /^[A-Za-z0-9._:-]{1,200}$/;
 
 /** One request on its way. */
-interface Passage {
+interface RequestContext {
     readonly request: LiveRequest;
     readonly service: string;
     readonly unrepeatable: boolean;
@@ -58,13 +58,13 @@
     readonly signal: AbortSignal;
 }
 
-/** What a passage came to. */
-interface PassageEnd {
+/** What a context came to. */
+interface RequestOutcome {
     readonly error?: ErrorName;
     readonly status?: number;
     readonly reason?: string;
     readonly retryAfter?: Milliseconds;
-    readonly isWhole: boolean;
+    readonly isComplete: boolean;
 }
 
 /** Serves live requests. */
@@ -72,12 +72,12 @@
     readonly forwarder = new Forwarder();
     readonly #brokers = new Map<string, SlotBroker>();
     readonly #budgets = new Map<string, RetryBudget>();
-    readonly #waiting;
-    readonly #ended;
+    readonly #slotWaits;
+    readonly #requestCounter;
 
     constructor(private readonly options: ServiceRoutesOptions) {
-        this.#waiting = options.metrics.waiting("pebbledale_live_waiting_seconds", "Wait for a slot", ["service"]);
-        this.#ended = options.metrics.counter("pebbledale_live_requests_total", "Live requests by their end", [
+        this.#slotWaits = options.metrics.waiting("pebbledale_live_waiting_seconds", "Wait for a slot", ["service"]);
+        this.#requestCounter = options.metrics.counter("pebbledale_live_requests_total", "Live requests by their end", [
             "service",
             "end",
         ]);
@@ -94,131 +94,131 @@
 
     async #serve(request: FastifyRequest, reply: FastifyReply): Promise<FastifyReply> {
         const { clock, burn, random } = this.options;
-        const started = clock.monotonic();
-        const findings = headerFindings(request);
+        const startedAt = clock.monotonic();
+        const findings = validateHeaders(request);
         if (findings.length > 0) {
             return sendError(reply, "bad-request", { findings });
         }
         const id = headerOf(request, requestIdHeader) ?? random.name();
         void reply.header(requestIdHeader, id);
         const { service } = request.params as { service: string; };
-        const gone = new AbortController();
-        reply.raw.once("close", () => gone.abort());
-        const passage: Passage = {
-            request: liveRequestOf(request, id, service),
+        const disconnected = new AbortController();
+        reply.raw.once("close", () => disconnected.abort());
+        const context: RequestContext = {
+            request: toLiveRequest(request, id, service),
             service,
             unrepeatable: headerOf(request, unrepeatableHeader) === "true",
             reply,
-            deadline: started + Number(headerOf(request, deadlineHeader) ?? defaultDeadline),
-            signal: gone.signal,
+            deadline: startedAt + Number(headerOf(request, deadlineHeader) ?? defaultDeadline),
+            signal: disconnected.signal,
         };
-        const end = passage.unrepeatable
-            ? await this.#passOnce(passage, headerOf(request, keyHeader) ?? id)
-            : await this.#pass(passage);
-        this.#ended.inc({ service, end: end.error ?? (end.isWhole ? "answered" : "cut") });
-        const { tree, path } = this.options;
-        const isInTime =
-            clock.monotonic() - started <= tree().number("objective.waiting", { ...path, workloadClass: "live" });
-        const isGood = end.isWhole && (end.status ?? statusServerError) < statusServerError && isInTime;
+        const result = context.unrepeatable
+            ? await this.#forwardUnrepeatable(context, headerOf(request, keyHeader) ?? id)
+            : await this.#forward(context);
+        this.#requestCounter.inc({ service, end: result.error ?? (result.isComplete ? "answered" : "cut") });
+        const { settingsTree, settingsPath } = this.options;
+        const isInTime = clock.monotonic() - startedAt
+            <= settingsTree().number("objective.waiting", { ...settingsPath, workloadClass: "live" });
+        const isGood = result.isComplete && (result.status ?? statusServerError) < statusServerError && isInTime;
         burn.record(service, isGood);
-        if (end.error !== undefined) {
-            return sendError(reply, end.error, { reason: end.reason, retryAfterMilliseconds: end.retryAfter });
+        if (result.error !== undefined) {
+            return sendError(reply, result.error, { reason: result.reason, retryAfterMilliseconds: result.retryAfter });
         }
         return reply;
     }
 
     /** An unrepeatable request is recorded before it is sent, and sent once. */
-    async #passOnce(passage: Passage, key: string): Promise<PassageEnd> {
-        const { owners, random, shards } = this.options;
-        const { method, path, body } = passage.request;
+    async #forwardUnrepeatable(context: RequestContext, key: string): Promise<RequestOutcome> {
+        const { owners, random, shardCount } = this.options;
+        const { method, path, body } = context.request;
         const digest = digestOf({ method, path, body: body?.toString("base64") });
-        const message = { shard: shardOfText(key, shards), key, digest, nonce: random.name() };
+        const message = { shard: shardOfText(key, shardCount), key, digest, nonce: random.name() };
         const answer = await owners.call(
             message.shard,
-            onceLimit,
+            recordTimeout,
             (calls, signal) => calls.beginOnce.mutate(message, { signal }),
         );
         if (answer.kind === "not-recorded") {
-            return { error: "not-recorded", retryAfter: answer.retryAfter, isWhole: false };
+            return { error: "not-recorded", retryAfter: answer.retryAfter, isComplete: false };
         }
         if (answer.earlier !== undefined) {
             const { status } = answer.earlier;
             const reason = status === undefined ? "its answer is not known" : `it was answered with status ${status}`;
-            return { error: "already-sent", reason, isWhole: false };
+            return { error: "already-sent", reason, isComplete: false };
         }
-        const end = await this.#pass(passage);
-        if (end.status !== undefined || isSurelyNotRun(end)) {
-            const ended = { ...message, status: end.status };
-            void owners.call(message.shard, onceLimit, (calls, signal) => calls.endOnce.mutate(ended, { signal }))
+        const result = await this.#forward(context);
+        if (result.status !== undefined || isKnownNotRun(result)) {
+            const ending = { ...message, status: result.status };
+            void owners.call(message.shard, recordTimeout, (calls, signal) => calls.endOnce.mutate(ending, { signal }))
                 .catch(() => undefined);
         }
-        return end;
+        return result;
     }
 
-    async #pass(passage: Passage): Promise<PassageEnd> {
+    async #forward(context: RequestContext): Promise<RequestOutcome> {
         const { clock, logger } = this.options;
-        const budget = this.#budgetOf(passage.service);
-        budget.noteFirst(this.#tree("live.retry_share"));
-        let last: PassageEnd = { error: "instance-unreachable", isWhole: false };
-        for (let sends = 0; sends < mostSends; sends++) {
-            const asked = clock.monotonic();
-            const outcome = await this.#brokerOf(passage.service).take();
-            this.#waiting.observe({ service: passage.service }, (clock.monotonic() - asked) / 1000);
+        const budget = this.#budgetOf(context.service);
+        budget.recordFirstAttempt(this.#setting("live.retry_share"));
+        let lastResult: RequestOutcome = { error: "instance-unreachable", isComplete: false };
+        for (let attempt = 0; attempt < maxAttempts; attempt++) {
+            const waitStartedAt = clock.monotonic();
+            const outcome = await this.#brokerOf(context.service).take();
+            this.#slotWaits.observe({ service: context.service }, (clock.monotonic() - waitStartedAt) / 1000);
             if (outcome.kind !== "slot") {
-                return refusalOf(outcome);
+                return toRequestOutcome(outcome);
             }
-            const end = await this.#sendOnce(passage, outcome.slot);
-            if (end.mayRepeat !== true) {
-                return end;
+            const result = await this.#attempt(context, outcome.slot);
+            if (result.isRetryable !== true) {
+                return result;
             }
-            last = end;
-            if (!budget.takeRetry()) {
+            lastResult = result;
+            if (!budget.tryConsume()) {
                 break;
             }
-            logger.log(logEvents.requestRetried, { request: passage.request.id, reason: end.reason });
+            logger.log(logEvents.requestRetried, { request: context.request.id, reason: result.reason });
         }
-        return last;
+        return lastResult;
     }
 
-    async #sendOnce(passage: Passage, slot: Slot): Promise<PassageEnd & { mayRepeat?: boolean; }> {
+    async #attempt(context: RequestContext, slot: Slot): Promise<RequestOutcome & { isRetryable?: boolean; }> {
         const { clock, logger } = this.options;
-        const { request, reply } = passage;
-        const sent = clock.monotonic();
-        const timeout = Math.max(1, Math.ceil(passage.deadline - sent));
-        const outcome = await this.forwarder.send(request, slot.address, reply.raw, timeout, passage.signal);
-        const failed = outcome.kind !== "answered" && !passage.signal.aborted;
-        this.#brokerOf(passage.service).release(slot, clock.monotonic() - sent, failed);
+        const { request, reply } = context;
+        const sentAt = clock.monotonic();
+        const timeout = Math.max(1, Math.ceil(context.deadline - sentAt));
+        const outcome = await this.forwarder.send(request, slot.address, reply.raw, timeout, context.signal);
+        const failed = outcome.kind !== "answered" && !context.signal.aborted;
+        this.#brokerOf(context.service).release(slot, clock.monotonic() - sentAt, failed);
         if (failed) {
             logger.log(logEvents.requestFailed, { request: request.id, worker: slot.worker, ...outcome });
         }
         switch (outcome.kind) {
             case "answered":
                 reply.hijack();
-                return { status: outcome.status, isWhole: true };
+                return { status: outcome.status, isComplete: true };
             case "cut":
                 reply.hijack();
-                return { isWhole: false };
+                return { isComplete: false };
             case "not-run":
                 return {
                     error: "instance-unreachable",
                     reason: outcome.cause,
                     retryAfter: unreachableRetryAfter,
-                    isWhole: false,
-                    mayRepeat: true,
+                    isComplete: false,
+                    isRetryable: true,
                 };
             case "may-have-run":
                 return {
                     error: "instance-failed",
                     reason: outcome.cause,
-                    isWhole: false,
-                    mayRepeat: !passage.unrepeatable && !passage.signal.aborted,
+                    isComplete: false,
+                    isRetryable: !context.unrepeatable && !context.signal.aborted,
                 };
         }
     }
 
-    #tree(key: "live.retry_share" | "live.wait_limit"): number {
-        const { tree, path } = this.options;
-        return tree().number(key, { ...path, workloadClass: "live" });
+    #setting(key: "live.retry_share" | "live.wait_limit"): number {
+        const { settingsTree, settingsPath } = this.options;
+        return settingsTree().number(key, { ...settingsPath, workloadClass: "live" });
     }
 
     #budgetOf(service: string): RetryBudget {
@@ -228,30 +228,30 @@
     }
 
     #brokerOf(service: string): SlotBroker {
-        const known = this.#brokers.get(service);
-        if (known !== undefined) {
-            return known;
+        const existing = this.#brokers.get(service);
+        if (existing !== undefined) {
+            return existing;
         }
-        const { clock, signal, gateway, dataHall, owners, shards, noteRevision } = this.options;
-        const shard = shardOfText(service, shards);
+        const { clock, signal, gateway, dataHall, owners, shardCount, onSettingsRevision } = this.options;
+        const shard = shardOfText(service, shardCount);
         const broker = new SlotBroker({
             clock,
             signal,
             gateway: processId(gateway),
             dataHall,
-            waitLimit: () => this.#tree("live.wait_limit"),
+            waitLimit: () => this.#setting("live.wait_limit"),
             ask: async request => {
                 const message = { shard, service, request };
                 const answer = await owners.call(
                     shard,
-                    acquireLimit,
-                    (calls, limit) => calls.acquire.mutate(message, { signal: limit }),
-                    acquireAttemptLimit,
+                    acquireTimeout,
+                    (calls, callSignal) => calls.acquire.mutate(message, { signal: callSignal }),
+                    acquireAttemptTimeout,
                 );
                 if (answer.kind === "no-service") {
                     return undefined;
                 }
-                noteRevision(answer.revision);
+                onSettingsRevision(answer.revision);
                 return answer;
             },
         });
@@ -265,25 +265,27 @@
 }
 
 /** Errors that are only given when no send can have been run. */
-const notRunErrors: readonly (ErrorName | undefined)[] = [
+const errorsWithoutEffect: readonly (ErrorName | undefined)[] = [
     "overloaded",
     "no-owner",
     "no-such-service",
     "instance-unreachable",
 ];
 
-const isSurelyNotRun = (end: PassageEnd): boolean => notRunErrors.includes(end.error);
+const isKnownNotRun = (result: RequestOutcome): boolean => errorsWithoutEffect.includes(result.error);
 
 const unreachableRetryAfter: Milliseconds = 1_000;
 
-const refusalOf = (outcome: Exclude<Awaited<ReturnType<SlotBroker["take"]>>, { kind: "slot"; }>): PassageEnd => {
+const toRequestOutcome = (
+    outcome: Exclude<Awaited<ReturnType<SlotBroker["take"]>>, { kind: "slot"; }>,
+): RequestOutcome => {
     switch (outcome.kind) {
         case "overloaded":
-            return { error: "overloaded", retryAfter: outcome.retryAfter, isWhole: false };
+            return { error: "overloaded", retryAfter: outcome.retryAfter, isComplete: false };
         case "no-owner":
-            return { error: "no-owner", retryAfter: outcome.retryAfter, isWhole: false };
+            return { error: "no-owner", retryAfter: outcome.retryAfter, isComplete: false };
         case "no-service":
-            return { error: "no-such-service", isWhole: false };
+            return { error: "no-such-service", isComplete: false };
     }
 };
 
@@ -292,24 +294,24 @@
     return Array.isArray(value) ? value[0] : value;
 };
 
-const headerFindings = (request: FastifyRequest): { place: string; message: string; }[] => {
+const validateHeaders = (request: FastifyRequest): { place: string; message: string; }[] => {
     const findings: { place: string; message: string; }[] = [];
-    const check = (name: string, isRight: (value: string) => boolean, message: string) => {
+    const check = (name: string, isValid: (value: string) => boolean, message: string) => {
         const value = headerOf(request, name);
-        if (value !== undefined && !isRight(value)) {
+        if (value !== undefined && !isValid(value)) {
             findings.push({ place: `header ${name}`, message });
         }
     };
     const isDeadline = (value: string) =>
-        Number.isInteger(Number(value)) && Number(value) > 0 && Number(value) <= longestDeadline;
+        Number.isInteger(Number(value)) && Number(value) > 0 && Number(value) <= maxDeadline;
     check(requestIdHeader, value => idPattern.test(value), "must be 1 to 200 letters, digits, dots, colons, hyphens");
     check(keyHeader, value => idPattern.test(value), "must be 1 to 200 letters, digits, dots, colons, hyphens");
     check(unrepeatableHeader, value => value === "true" || value === "false", "must be true or false");
-    check(deadlineHeader, isDeadline, `must be a whole number of milliseconds from 1 to ${longestDeadline}`);
+    check(deadlineHeader, isDeadline, `must be a whole number of milliseconds from 1 to ${maxDeadline}`);
     return findings;
 };
 
-const liveRequestOf = (request: FastifyRequest, id: string, service: string): LiveRequest => {
+const toLiveRequest = (request: FastifyRequest, id: string, service: string): LiveRequest => {
     const rest = request.raw.url!.slice(`/services/${encodeURIComponent(service)}`.length);
     const path = rest.startsWith("/") ? rest : `/${rest}`;
     const body = Buffer.isBuffer(request.body) ? request.body : undefined;
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -40,7 +40,7 @@
         store,
         clock,
         logger,
-        schedulers: values["peers.schedulers"],
+        schedulerAddresses: values["peers.schedulers"],
         signal: background.signal,
     });
     const watch = new SettingsWatch({
@@ -48,7 +48,7 @@
         clock,
         logger,
         signal: background.signal,
-        askPeers: () => owners.heldSettings(),
+        askPeers: () => owners.querySettings(),
     });
     const burn = new BurnRecorder(clock);
     const services = new ServiceRoutes({
@@ -58,17 +58,19 @@
         logger,
         metrics,
         burn,
-        shards: values["cell.shards"],
+        shardCount: values["cell.shards"],
         gateway: values["process.name"],
         dataHall: values["process.data_hall"],
-        path: { region: values["process.region"], site: values["process.site"] },
-        tree: () => watch.tree,
-        noteRevision: revision => void watch.noteRevision(settingsRevision(revision)),
+        settingsPath: { region: values["process.region"], site: values["process.site"] },
+        settingsTree: () => watch.tree,
+        onSettingsRevision: revision => void watch.noteRevision(settingsRevision(revision)),
         signal: background.signal,
     });
     const callers = createCallerServer({ bodyLimit: values["listen.body_limit"], logger, random });
     refuseWithoutSettings(callers, watch);
-    void callers.register(async scope => addJobRoutes(scope, { owners, clock, random, shards: values["cell.shards"] }));
+    void callers.register(async scope =>
+        addJobRoutes(scope, { owners, clock, random, shardCount: values["cell.shards"] })
+    );
     void callers.register(async scope => services.add(scope));
     const administration = createAdministration({
         metrics,
@@ -76,7 +78,7 @@
     });
     administration.get("/burn", async () => burn.buckets());
     metrics.gauge("pebbledale_settings_revision", "Revision of the settings in force", () => watch.revision);
-    await listenAtBoth(administration, callers, values, print);
+    await listenOnBoth(administration, callers, values, print);
     logger.log(logEvents.processStarted, { address: values["listen.callers"] });
     const running = [watch.run(), owners.run()];
     await untilAborted(stop);
@@ -99,7 +101,7 @@
     });
 };
 
-const listenAtBoth = async (
+const listenOnBoth = async (
     administration: FastifyInstance,
     callers: FastifyInstance,
     values: Values,
--- a/packages/gateway/src/live/forward.ts
+++ b/packages/gateway/src/live/forwarder.ts
@@ -30,7 +30,7 @@
 export const refusedHeader = "pebbledale-refused";
 
 /** Headers that belong to one connection and are not passed on. */
-const connectionHeaders = new Set([
+const hopByHopHeaders = new Set([
     "connection",
     "host",
     "keep-alive",
@@ -47,7 +47,7 @@
 const connectTimeout = 1_000;
 
 /** Errors that come before any byte of the request was sent. */
-const unsentCodes = new Set(["ECONNREFUSED", "UND_ERR_CONNECT_TIMEOUT", "EHOSTUNREACH", "ENETUNREACH"]);
+const notSentErrorCodes = new Set(["ECONNREFUSED", "UND_ERR_CONNECT_TIMEOUT", "EHOSTUNREACH", "ENETUNREACH"]);
 
 /** Keeps connections to instances. */
 export class Forwarder {
@@ -61,12 +61,12 @@
         timeout: number,
         signal: AbortSignal,
     ): Promise<SendOutcome> {
-        let answer;
+        let response;
         try {
-            answer = await this.#poolOf(address).request({
+            response = await this.#poolOf(address).request({
                 method: request.method as "GET",
                 path: request.path,
-                headers: { ...passedOn(request.headers), [requestIdHeader]: request.id },
+                headers: { ...endToEndHeaders(request.headers), [requestIdHeader]: request.id },
                 body: request.body,
                 headersTimeout: timeout,
                 bodyTimeout: timeout,
@@ -75,24 +75,24 @@
         }
         catch (cause) {
             const code = (cause as { code?: string; }).code ?? "";
-            return { kind: unsentCodes.has(code) ? "not-run" : "may-have-run", cause: String(cause) };
+            return { kind: notSentErrorCodes.has(code) ? "not-run" : "may-have-run", cause: String(cause) };
         }
-        const refused = answer.headers[refusedHeader];
+        const refused = response.headers[refusedHeader];
         if (refused !== undefined) {
-            await answer.body.dump();
+            await response.body.dump();
             return { kind: "not-run", cause: String(refused) };
         }
-        const answeredId = answer.headers[requestIdHeader];
-        if (answeredId !== undefined && answeredId !== request.id) {
+        const responseId = response.headers[requestIdHeader];
+        if (responseId !== undefined && responseId !== request.id) {
             // An answer to another request: it never reaches this caller.
             // Without a listener the end of an unread body would be an error that nobody takes.
-            answer.body.on("error", () => undefined).destroy();
-            return { kind: "may-have-run", cause: `the answer belongs to request ${answeredId}` };
+            response.body.on("error", () => undefined).destroy();
+            return { kind: "may-have-run", cause: `the answer belongs to request ${responseId}` };
         }
-        reply.writeHead(answer.statusCode, { ...answerHeaders(answer.headers), [requestIdHeader]: request.id });
+        reply.writeHead(response.statusCode, { ...responseHeaders(response.headers), [requestIdHeader]: request.id });
         try {
-            await pipeline(answer.body, reply);
-            return { kind: "answered", status: answer.statusCode };
+            await pipeline(response.body, reply);
+            return { kind: "answered", status: response.statusCode };
         }
         catch (cause) {
             reply.destroy();
@@ -116,19 +116,19 @@
     }
 }
 
-const passedOn = (headers: LiveRequest["headers"]): Record<string, string | string[]> => {
-    const passed: Record<string, string | string[]> = {};
+const endToEndHeaders = (headers: LiveRequest["headers"]): Record<string, string | string[]> => {
+    const kept: Record<string, string | string[]> = {};
     for (const [name, value] of Object.entries(headers)) {
-        if (value !== undefined && !connectionHeaders.has(name)) {
-            passed[name] = value;
+        if (value !== undefined && !hopByHopHeaders.has(name)) {
+            kept[name] = value;
         }
     }
-    return passed;
+    return kept;
 };
 
 /** The answer's own length is kept, so that a caller can tell a whole body from a cut one. */
-const answerHeaders = (headers: LiveRequest["headers"]): Record<string, string | string[]> => {
-    const passed = passedOn(headers);
+const responseHeaders = (headers: LiveRequest["headers"]): Record<string, string | string[]> => {
+    const kept = endToEndHeaders(headers);
     const length = headers["content-length"];
-    return length === undefined ? passed : { ...passed, "content-length": length };
+    return length === undefined ? kept : { ...kept, "content-length": length };
 };
--- a/packages/gateway/src/live/index.ts
+++ b/packages/gateway/src/live/index.ts
@@ -1,4 +1,4 @@
 /** Live requests: slots, limits of waiting and of retries, and sending to an instance. */
-export * from "./forward.js";
+export * from "./forwarder.js";
 export * from "./retry-budget.js";
 export * from "./slot-broker.js";
--- a/packages/gateway/src/live/slot-broker.ts
+++ b/packages/gateway/src/live/slot-broker.ts
@@ -21,14 +21,14 @@
     | { readonly kind: "no-owner"; readonly retryAfter: Milliseconds; };
 
 /** A bundle that was granted. */
-export interface GrantedBundle {
+export interface SlotBundle {
     readonly grants: readonly SlotGrant[];
     /** How long it may be used from when it was asked for. */
     readonly duration: Milliseconds;
 }
 
-/** Asks the shard's owner for slots; undefined when the service is not known. Rejects when no owner answers. */
-export type AskForSlots = (request: SlotRequest) => Promise<GrantedBundle | undefined>;
+/** Asks the shard's owner for slots; undefined when the service is not existing. Rejects when no owner answers. */
+export type RequestSlots = (request: SlotRequest) => Promise<SlotBundle | undefined>;
 
 /** What a broker needs. */
 export interface SlotBrokerOptions {
@@ -36,7 +36,7 @@
     readonly signal: AbortSignal;
     readonly gateway: SlotRequest["gateway"];
     readonly dataHall: string;
-    readonly ask: AskForSlots;
+    readonly ask: RequestSlots;
     /** Longest expected wait for a slot; read at each request. */
     readonly waitLimit: () => Milliseconds;
 }
@@ -47,7 +47,7 @@
     address: string;
     slots: number;
     inUse: number;
-    validUntil: Milliseconds;
+    expiresAt: Milliseconds;
     /** Not chosen before then: it just refused or failed a request. */
     avoidUntil: Milliseconds;
 }
@@ -59,43 +59,43 @@
 /** Time between two renewals of a bundle. */
 const renewInterval: Milliseconds = 500;
 /** Least time between two calls that ask for more. */
-const askInterval: Milliseconds = 50;
+const minRequestInterval: Milliseconds = 50;
 /** Weight of the newest request in the mean time that a slot is held. */
-const heldWeight = 0.05;
+const holdTimeWeight = 0.05;
 /** Mean time that a slot is held before any was. */
-const firstHeld: Milliseconds = 50;
+const initialHoldTime: Milliseconds = 50;
 /** How long an instance that failed a request is not chosen. */
-const avoidFor: Milliseconds = 500;
+const avoidDuration: Milliseconds = 500;
 /** When to come back while no owner answers. */
 const noOwnerRetryAfter: Milliseconds = 1_000;
 /** How long the first request of a service may wait for the first bundle. */
-const firstBundleWait: Milliseconds = 1_500;
+const maxFirstBundleWait: Milliseconds = 1_500;
 /** Share of the greatest demand that is kept from one renewal to the next. */
 const demandDecay = 0.8;
 /** A service without requests for this long gives its bundle up. */
-const idleAfter: Milliseconds = 60_000;
+const idleTimeout: Milliseconds = 60_000;
 
 /** See the module's comment. */
 export class SlotBroker {
     readonly #instances = new Map<TaskId, Instance>();
-    readonly #waiting: Waiter[] = [];
-    #meanHeld = firstHeld;
+    readonly #waiters: Waiter[] = [];
+    #meanHoldTime = initialHoldTime;
     #inUse = 0;
     #demand = 1;
-    #askedAt = -Infinity;
+    #lastRequestAt = -Infinity;
     #lastUsedAt: Milliseconds;
-    #hasAnswer = false;
-    #isKnown = true;
-    #isAsking = false;
-    #ownerAnswers = true;
+    #hasHadBundle = false;
+    #isServiceKnown = true;
+    #isRequesting = false;
+    #isOwnerReachable = true;
 
     constructor(private readonly options: SlotBrokerOptions) {
         this.#lastUsedAt = options.clock.monotonic();
     }
 
     /** Number of requests that wait for a slot. */
-    get waiting(): number {
-        return this.#waiting.length;
+    get waitingCount(): number {
+        return this.#waiters.length;
     }
 
     /** Renews the bundle until the signal fires or the service is idle; resolves then. */
@@ -103,67 +103,67 @@
         const { clock, signal } = this.options;
         while (!signal.aborted) {
             const now = clock.monotonic();
-            if (now - this.#lastUsedAt > idleAfter && this.#inUse === 0 && this.#waiting.length === 0) {
+            if (now - this.#lastUsedAt > idleTimeout && this.#inUse === 0 && this.#waiters.length === 0) {
                 return;
             }
-            await this.#ask();
-            await clock.sleep(this.#hasAnswer || !this.#isKnown ? renewInterval : askInterval, signal);
+            await this.#requestBundle();
+            await clock.sleep(this.#hasHadBundle || !this.#isServiceKnown ? renewInterval : minRequestInterval, signal);
         }
-        this.#waiting.splice(0).forEach(waiter => waiter.resolve({ kind: "no-owner", retryAfter: noOwnerRetryAfter }));
+        this.#waiters.splice(0).forEach(waiter => waiter.resolve({ kind: "no-owner", retryAfter: noOwnerRetryAfter }));
     }
 
     /** Takes a slot, now or after a short wait. */
     async take(): Promise<SlotOutcome> {
         const now = this.options.clock.monotonic();
         this.#lastUsedAt = now;
-        this.#demand = Math.max(this.#demand, this.#inUse + this.#waiting.length + 1);
-        const slot = this.#waiting.length === 0 ? this.#choose(now) : undefined;
+        this.#demand = Math.max(this.#demand, this.#inUse + this.#waiters.length + 1);
+        const slot = this.#waiters.length === 0 ? this.#tryAcquire(now) : undefined;
         if (slot !== undefined) {
             return { kind: "slot", slot };
         }
-        if (!this.#isKnown) {
+        if (!this.#isServiceKnown) {
             return { kind: "no-service" };
         }
-        const refusal = this.#refusal(now);
+        const refusal = this.#checkExpectedWait(now);
         if (refusal !== undefined) {
             return refusal;
         }
-        void this.#ask();
+        void this.#requestBundle();
         return new Promise(resolve => {
             const waiter = { resolve };
-            this.#waiting.push(waiter);
-            void this.#limitWait(waiter);
+            this.#waiters.push(waiter);
+            void this.#expireWaiter(waiter);
         });
     }
 
     /** Gives a slot back. `held`: how long it was used. `failed`: the instance refused or failed. */
-    release(slot: Slot, held: Milliseconds, failed: boolean): void {
+    release(slot: Slot, holdTime: Milliseconds, failed: boolean): void {
         const now = this.options.clock.monotonic();
         this.#inUse--;
         const instance = this.#instances.get(slot.task);
         if (instance !== undefined) {
             instance.inUse--;
-            instance.avoidUntil = failed ? now + avoidFor : instance.avoidUntil;
+            instance.avoidUntil = failed ? now + avoidDuration : instance.avoidUntil;
         }
         if (!failed) {
-            this.#meanHeld += (held - this.#meanHeld) * heldWeight;
+            this.#meanHoldTime += (holdTime - this.#meanHoldTime) * holdTimeWeight;
         }
-        this.#serveWaiting(now);
+        this.#serveWaiters(now);
     }
 
     /** Slots that may be used now. */
-    #usable(now: Milliseconds): number {
+    #usableSlots(now: Milliseconds): number {
         let sum = 0;
         for (const instance of this.#instances.values()) {
-            sum += instance.validUntil > now ? instance.slots : 0;
+            sum += instance.expiresAt > now ? instance.slots : 0;
         }
         return sum;
     }
 
-    #choose(now: Milliseconds): Slot | undefined {
+    #tryAcquire(now: Milliseconds): Slot | undefined {
         let best: Instance | undefined;
         for (const instance of this.#instances.values()) {
-            const isUsable = instance.validUntil > now && instance.inUse < instance.slots;
+            const isUsable = instance.expiresAt > now && instance.inUse < instance.slots;
             if (isUsable && (best === undefined || loadOf(instance, now) < loadOf(best, now))) {
                 best = instance;
             }
@@ -177,83 +177,83 @@
     }
 
     /** Whether a request that comes now would wait too long, from the rate at which slots come free. */
-    #refusal(now: Milliseconds): SlotOutcome | undefined {
-        const slots = this.#usable(now);
+    #checkExpectedWait(now: Milliseconds): SlotOutcome | undefined {
+        const slots = this.#usableSlots(now);
         if (slots === 0) {
-            if (this.#hasAnswer && !this.#ownerAnswers) {
+            if (this.#hasHadBundle && !this.#isOwnerReachable) {
                 return { kind: "no-owner", retryAfter: noOwnerRetryAfter };
             }
             return undefined;
         }
-        const expected = (this.#waiting.length + 1) * this.#meanHeld / slots;
-        return expected <= this.options.waitLimit()
+        const expectedWait = (this.#waiters.length + 1) * this.#meanHoldTime / slots;
+        return expectedWait <= this.options.waitLimit()
             ? undefined
-            : { kind: "overloaded", retryAfter: Math.ceil(expected) };
+            : { kind: "overloaded", retryAfter: Math.ceil(expectedWait) };
     }
 
     /** Answers a request that has waited to the limit; it is not held any longer. */
-    async #limitWait(waiter: Waiter): Promise<void> {
+    async #expireWaiter(waiter: Waiter): Promise<void> {
         const { clock, waitLimit } = this.options;
-        const limit = this.#hasAnswer ? Math.max(waitLimit(), askInterval) : firstBundleWait;
-        await clock.sleep(limit);
-        const index = this.#waiting.indexOf(waiter);
+        const maxWait = this.#hasHadBundle ? Math.max(waitLimit(), minRequestInterval) : maxFirstBundleWait;
+        await clock.sleep(maxWait);
+        const index = this.#waiters.indexOf(waiter);
         if (index >= 0) {
-            this.#waiting.splice(index, 1);
+            this.#waiters.splice(index, 1);
             waiter.resolve(
-                this.#ownerAnswers
-                    ? { kind: "overloaded", retryAfter: Math.max(this.#meanHeld, askInterval) }
+                this.#isOwnerReachable
+                    ? { kind: "overloaded", retryAfter: Math.max(this.#meanHoldTime, minRequestInterval) }
                     : { kind: "no-owner", retryAfter: noOwnerRetryAfter },
             );
         }
     }
 
-    #serveWaiting(now: Milliseconds): void {
-        while (this.#waiting.length > 0) {
-            const slot = this.#choose(now);
+    #serveWaiters(now: Milliseconds): void {
+        while (this.#waiters.length > 0) {
+            const slot = this.#tryAcquire(now);
             if (slot === undefined) {
                 return;
             }
-            this.#waiting.shift()!.resolve({ kind: "slot", slot });
+            this.#waiters.shift()!.resolve({ kind: "slot", slot });
         }
     }
 
-    async #ask(): Promise<void> {
+    async #requestBundle(): Promise<void> {
         const { clock, gateway, dataHall, ask } = this.options;
         const sentAt = clock.monotonic();
-        if (this.#isAsking || sentAt - this.#askedAt < askInterval) {
+        if (this.#isRequesting || sentAt - this.#lastRequestAt < minRequestInterval) {
             return;
         }
-        this.#isAsking = true;
-        this.#askedAt = sentAt;
+        this.#isRequesting = true;
+        this.#lastRequestAt = sentAt;
         try {
             const held = [...this.#instances.values()].map(({ task, slots, inUse }) => ({
                 task,
                 slots: Math.max(slots, inUse),
             }));
             const demand = Math.max(1, Math.ceil(this.#demand));
-            this.#demand = Math.max(this.#inUse + this.#waiting.length, this.#demand * demandDecay);
+            this.#demand = Math.max(this.#inUse + this.#waiters.length, this.#demand * demandDecay);
             const bundle = await ask({ gateway, dataHall, demand, held });
-            this.#ownerAnswers = true;
-            this.#isKnown = bundle !== undefined;
-            this.#hasAnswer = this.#hasAnswer || bundle !== undefined;
+            this.#isOwnerReachable = true;
+            this.#isServiceKnown = bundle !== undefined;
+            this.#hasHadBundle = this.#hasHadBundle || bundle !== undefined;
             if (bundle === undefined) {
-                this.#waiting.splice(0).forEach(waiter => waiter.resolve({ kind: "no-service" }));
+                this.#waiters.splice(0).forEach(waiter => waiter.resolve({ kind: "no-service" }));
             }
             else {
-                this.#takeBundle(bundle, sentAt);
+                this.#applyBundle(bundle, sentAt);
             }
         }
         catch {
-            this.#ownerAnswers = false;
+            this.#isOwnerReachable = false;
         }
         finally {
-            this.#isAsking = false;
+            this.#isRequesting = false;
         }
     }
 
-    #takeBundle(bundle: GrantedBundle, sentAt: Milliseconds): void {
+    #applyBundle(bundle: SlotBundle, sentAt: Milliseconds): void {
         const granted = new Map(bundle.grants.map(grant => [grant.task, grant]));
-        const validUntil = sentAt + bundle.duration;
+        const expiresAt = sentAt + bundle.duration;
         for (const [task, instance] of this.#instances) {
             if (!granted.has(task)) {
                 instance.slots = 0;
@@ -263,20 +263,20 @@
             }
         }
         for (const grant of bundle.grants) {
-            const known = this.#instances.get(grant.task);
-            if (known === undefined) {
+            const existing = this.#instances.get(grant.task);
+            if (existing === undefined) {
                 if (grant.address !== undefined) {
                     const { address } = grant;
-                    this.#instances.set(grant.task, { ...grant, address, inUse: 0, validUntil, avoidUntil: -Infinity });
+                    this.#instances.set(grant.task, { ...grant, address, inUse: 0, expiresAt, avoidUntil: -Infinity });
                 }
             }
             else {
-                known.address = grant.address ?? known.address;
-                known.slots = grant.slots;
-                known.validUntil = validUntil;
+                existing.address = grant.address ?? existing.address;
+                existing.slots = grant.slots;
+                existing.expiresAt = expiresAt;
             }
         }
-        this.#serveWaiting(this.options.clock.monotonic());
+        this.#serveWaiters(this.options.clock.monotonic());
     }
 }
 
--- a/packages/gateway/src/owners/owner-directory.ts
+++ b/packages/gateway/src/owners/owner-directory.ts
@@ -18,12 +18,12 @@
 } from "@pebbledale/runtime";
 
 /** Longest wait in one watch, in milliseconds. */
-const watchDuration = 20_000;
-const retryDelay = 500;
+const maxWatchDuration = 20_000;
+const watchRetryDelay = 500;
 /** How long a scheduler may take to say which shards it owns, in milliseconds. */
-const askLimit = 300;
+const queryTimeout = 300;
 /** Wait before the owner is looked for again, in milliseconds. */
-const lookDelay = 50;
+const lookupDelay = 50;
 
 /** Thrown when no owner answered in time. Whether a call had an effect is not known if `mayHaveArrived`. */
 export class NoOwnerError extends Error {
@@ -35,13 +35,13 @@
 }
 
 /** Calls to the owner of a shard, whoever that is. */
-export interface OwnerCalls {
+export interface OwnerClient {
     /** See {@link OwnerDirectory.call}. */
     call<Answer extends OwnerAnswer>(
         shard: ShardId,
-        limit: Milliseconds,
-        make: (calls: SchedulerCalls, signal: AbortSignal) => Promise<Answer>,
-        attemptLimit?: Milliseconds,
+        timeout: Milliseconds,
+        request: (calls: SchedulerCalls, signal: AbortSignal) => Promise<Answer>,
+        attemptTimeout?: Milliseconds,
     ): Promise<Exclude<Answer, { kind: "not-owner"; }>>;
 }
 
@@ -50,7 +50,7 @@
     readonly store: PlatformStore;
     readonly clock: Clock;
     readonly logger: EventLogger;
-    readonly schedulers: readonly string[];
+    readonly schedulerAddresses: readonly string[];
     readonly signal: AbortSignal;
 }
 
@@ -60,12 +60,12 @@
 }
 
 /** See the module's comment. */
-export class OwnerDirectory implements OwnerCalls {
+export class OwnerDirectory implements OwnerClient {
     readonly #clients: ReadonlyMap<string, SchedulerClient>;
-    readonly #owners = new Map<ShardId, string>();
+    readonly #ownerAddresses = new Map<ShardId, string>();
 
     constructor(private readonly options: OwnerDirectoryOptions) {
-        this.#clients = new Map(options.schedulers.map(address => [address, new SchedulerClient(address)]));
+        this.#clients = new Map(options.schedulerAddresses.map(address => [address, new SchedulerClient(address)]));
     }
 
     /** Watches the owners until the signal fires. */
@@ -75,13 +75,16 @@
         while (!signal.aborted) {
             try {
                 for (const entry of await store.list(ownersPrefix)) {
-                    this.#note(shardId(entry.key.slice(ownersPrefix.length)), JSON.parse(entry.value) as OwnerValue);
+                    this.#setOwner(
+                        shardId(entry.key.slice(ownersPrefix.length)),
+                        JSON.parse(entry.value) as OwnerValue,
+                    );
                 }
-                cursor = (await store.watch(ownersPrefix, cursor, watchDuration, signal)).cursor;
+                cursor = (await store.watch(ownersPrefix, cursor, maxWatchDuration, signal)).cursor;
             }
             catch {
                 cursor = "";
-                await clock.sleep(retryDelay, signal);
+                await clock.sleep(watchRetryDelay, signal);
             }
         }
     }
@@ -92,22 +95,22 @@
      */
     async call<Answer extends OwnerAnswer>(
         shard: ShardId,
-        limit: Milliseconds,
-        make: (calls: SchedulerCalls, signal: AbortSignal) => Promise<Answer>,
-        attemptLimit: Milliseconds = limit,
+        timeout: Milliseconds,
+        request: (calls: SchedulerCalls, signal: AbortSignal) => Promise<Answer>,
+        attemptTimeout: Milliseconds = timeout,
     ): Promise<Exclude<Answer, { kind: "not-owner"; }>> {
         const { clock, signal } = this.options;
-        const until = clock.monotonic() + limit;
+        const deadline = clock.monotonic() + timeout;
         let mayHaveArrived = false;
         while (!signal.aborted) {
-            const rest = until - clock.monotonic();
-            if (rest <= 0) {
+            const remaining = deadline - clock.monotonic();
+            if (remaining <= 0) {
                 break;
             }
-            const client = this.#clients.get(this.#owners.get(shard) ?? "");
+            const client = this.#clients.get(this.#ownerAddresses.get(shard) ?? "");
             if (client !== undefined) {
                 try {
-                    const answer = await client.call(Math.min(rest, attemptLimit), make);
+                    const answer = await client.call(Math.min(remaining, attemptTimeout), request);
                     if (answer.kind !== "not-owner") {
                         return answer as Exclude<Answer, { kind: "not-owner"; }>;
                     }
@@ -119,17 +122,17 @@
                     mayHaveArrived = true;
                 }
             }
-            await this.#lookFor(shard);
-            await clock.sleep(lookDelay, signal);
+            await this.#lookUpOwner(shard);
+            await clock.sleep(lookupDelay, signal);
         }
         throw new NoOwnerError(shard, mayHaveArrived);
     }
 
     /** The settings that each scheduler holds. */
-    async heldSettings(): Promise<StoredSettings[]> {
+    async querySettings(): Promise<StoredSettings[]> {
         const answers = await Promise.allSettled(
             [...this.#clients.values()].map(client =>
-                client.call(askLimit, (calls, signal) => calls.currentSettings.query(undefined, { signal }))
+                client.call(queryTimeout, (calls, signal) => calls.currentSettings.query(undefined, { signal }))
             ),
         );
         return answers.flatMap(answer =>
@@ -143,24 +146,24 @@
     }
 
     /** Asks every scheduler which shards it owns. One that was cut off may believe it still does; the epoch tells. */
-    async #lookFor(shard: ShardId): Promise<void> {
-        let highest = 0;
+    async #lookUpOwner(shard: ShardId): Promise<void> {
+        let highestEpoch = 0;
         await Promise.allSettled([...this.#clients].map(async ([address, client]) => {
             const owned = await client.call(
-                askLimit,
+                queryTimeout,
                 (calls, signal) => calls.ownedShards.query(undefined, { signal }),
             );
             const epoch = owned.find(entry => entry.shard === shard)?.epoch ?? 0;
-            if (epoch > highest) {
-                highest = epoch;
-                this.#owners.set(shard, address);
+            if (epoch > highestEpoch) {
+                highestEpoch = epoch;
+                this.#ownerAddresses.set(shard, address);
             }
         }));
     }
 
-    #note(shard: ShardId, owner: OwnerValue): void {
-        if (this.#owners.get(shard) !== owner.address) {
-            this.#owners.set(shard, owner.address);
+    #setOwner(shard: ShardId, owner: OwnerValue): void {
+        if (this.#ownerAddresses.get(shard) !== owner.address) {
+            this.#ownerAddresses.set(shard, owner.address);
             this.options.logger.log(logEvents.ownerChanged, { shard, owner: owner.process });
         }
     }
--- a/packages/gateway/test/callers/bad-input.test.ts
+++ b/packages/gateway/test/callers/invalid-input.test.ts
@@ -2,10 +2,10 @@
 import { expect } from "earl";
 import { connect } from "node:net";
 import { describe, it } from "node:test";
-import { addJobRoutes, createCallerServer, NoOwnerError, type OwnerAnswer, type OwnerCalls } from "../../src/index.js";
+import { addJobRoutes, createCallerServer, NoOwnerError, type OwnerAnswer, type OwnerClient } from "../../src/index.js";
 
 /** An owner that answers every call with what a test says, and keeps what it was sent. */
-class FakeOwners implements OwnerCalls {
+class FakeOwnerClient implements OwnerClient {
     readonly sent: unknown[] = [];
     answer: OwnerAnswer | Error = { kind: "accepted", job: "shard-0.1.1", repeated: false } as OwnerAnswer;
 
@@ -28,13 +28,13 @@
 }
 
 const start = () => {
-    const owners = new FakeOwners();
+    const owners = new FakeOwnerClient();
     const server = createCallerServer({
         bodyLimit: 2_000,
         logger: { log: () => undefined },
         random: new SeededRandom(1),
     });
-    addJobRoutes(server, { owners, clock: new SystemClock(), random: new SeededRandom(2), shards: 1 });
+    addJobRoutes(server, { owners, clock: new SystemClock(), random: new SeededRandom(2), shardCount: 1 });
     const post = async (body: string) => {
         const answer = await server.inject({
             method: "POST",
--- a/packages/gateway/test/live/slot-broker.test.ts
+++ b/packages/gateway/test/live/slot-broker.test.ts
@@ -75,7 +75,7 @@
         // One slot, held for 50 ms in the mean at first: four may wait, the fifth would wait for 250 ms.
         const waiting = [1, 2, 3, 4].map(() => bench.broker.take());
         expect(await bench.broker.take()).toEqual({ kind: "overloaded", retryAfter: 250 });
-        expect(bench.broker.waiting).toEqual(4);
+        expect(bench.broker.waitingCount).toEqual(4);
         await bench.advance(250);
         expect((await Promise.all(waiting)).map(outcome => outcome.kind)).toEqual(
             Array.from({ length: 4 }, () => "overloaded"),
@@ -150,9 +150,9 @@
 describe("RetryBudget", () => {
     it("allows a burst, then a share of first sends", () => {
         const budget = new RetryBudget();
-        const burst = Array.from({ length: 20 }, () => budget.takeRetry()).filter(taken => taken).length;
+        const burst = Array.from({ length: 20 }, () => budget.tryConsume()).filter(taken => taken).length;
         expect(burst).toEqual(10);
-        Array.from({ length: 25 }, () => budget.noteFirst(0.1));
-        expect([budget.takeRetry(), budget.takeRetry(), budget.takeRetry()]).toEqual([true, true, false]);
+        Array.from({ length: 25 }, () => budget.recordFirstAttempt(0.1));
+        expect([budget.tryConsume(), budget.tryConsume(), budget.tryConsume()]).toEqual([true, true, false]);
     });
 });
--- a/packages/scheduler/src/ownership/owned-shard.ts
+++ b/packages/scheduler/src/ownership/owned-shard.ts
@@ -22,7 +22,7 @@
 } from "@pebbledale/core";
 import { linkSignals, type NotRecorded, shardOfText, withLinkedSignal } from "@pebbledale/runtime";
 import { WorkerLink } from "../workers/index.js";
-import { recordLimit, stalledAfter, stalledRetryAfter, tickInterval } from "./constants.js";
+import { commitTimeout, journalStalledRetryAfter, journalStallThreshold, tickInterval } from "./constants.js";
 import type { LinkedShard, OwnedShardOptions } from "./types.js";
 
 /** Thrown when a record was not confirmed in time; it may still be kept later. */
@@ -32,28 +32,31 @@
 
 /** See the module's comment. */
 export class OwnedShard implements LinkedShard {
-    readonly core: ShardScheduler;
+    readonly scheduler: ShardScheduler;
     readonly #links = new Map<WorkerId, WorkerLink>();
-    readonly #waiting = new Map<JobId, Set<() => void>>();
+    readonly #changeListeners = new Map<JobId, Set<() => void>>();
     readonly #settings = new Map<WorkloadClass | undefined, ShardSettings>();
     #settingsTree: SettingsTree | undefined;
-    #scheduleRequested = false;
+    #isCycleRequested = false;
     #isStalled = false;
     #isHandingOver = false;
 
     constructor(readonly options: OwnedShardOptions) {
         const { shard, journal, contents, clock, random } = options;
-        this.core = new ShardScheduler({
+        this.scheduler = new ShardScheduler({
             shard,
             epoch: journal.epoch,
             clock,
             random,
             settings: workloadClass => this.#settingsOf(workloadClass),
-            lastContact: () => Math.max(journal.lastContact, options.contact.at),
+            lastContact: () => Math.max(journal.lastContact, options.lastRenewal.at),
             hasFormerOwner: contents.epoch > 1,
         });
-        this.core.recover(contents.snapshot as ShardSnapshot | undefined, contents.records as readonly ShardRecord[]);
-        journal.setSnapshotSource(() => this.core.registry.snapshot());
+        this.scheduler.recover(
+            contents.snapshot as ShardSnapshot | undefined,
+            contents.records as readonly ShardRecord[],
+        );
+        journal.setSnapshotSource(() => this.scheduler.registry.snapshot());
     }
 
     /** Whether it takes requests: not while it is handed over. */
@@ -64,102 +67,102 @@
     /** Serves until `stop` fires or the shard is lost. Rejects with {@link JournalFencedError} when it is lost. */
     async run(stop: AbortSignal): Promise<void> {
         const { lost, clock } = this.options;
-        const listing = this.#keepListing(lost.signal);
-        const ended = linkSignals([stop, lost.signal]);
+        const followingWorkerList = this.#followWorkerList(lost.signal);
+        const stopOrLost = linkSignals([stop, lost.signal]);
         while (!stop.aborted && !lost.signal.aborted) {
-            this.commit(this.core.tick());
-            this.requestSchedule();
-            this.#watchJournal();
-            await clock.sleep(tickInterval, ended.signal);
+            this.commit(this.scheduler.tick());
+            this.requestCycle();
+            this.#checkJournal();
+            await clock.sleep(tickInterval, stopOrLost.signal);
         }
-        ended.release();
+        stopOrLost.release();
         if (lost.signal.aborted) {
-            await listing;
+            await followingWorkerList;
             throw lost.signal.reason instanceof JournalFencedError
                 ? lost.signal.reason
                 : new JournalFencedError(String(lost.signal.reason));
         }
         await this.#handOver();
         lost.abort(new Error("handed over"));
-        await listing;
+        await followingWorkerList;
     }
 
     /** Keeps the records of a step, then carries its effects out. Resolves when the records are kept. */
-    async commit(step: Transition): Promise<void> {
-        if (step.records.length > 0) {
+    async commit(transition: Transition): Promise<void> {
+        if (transition.records.length > 0) {
             try {
-                await this.options.journal.append(step.records);
+                await this.options.journal.append(transition.records);
             }
             catch (cause) {
                 this.options.lost.abort(cause);
                 return;
             }
-            this.core.onCommitted(step);
-            this.requestSchedule();
+            this.scheduler.onCommitted(transition);
+            this.requestCycle();
         }
         if (!this.options.lost.signal.aborted) {
-            step.effects.forEach(effect => this.#carryOut(effect));
+            transition.effects.forEach(effect => this.#execute(effect));
         }
     }
 
     /** Like {@link commit}, but rejects with {@link NotRecordedError} when the records are not kept in time. */
-    async commitWithin(step: Transition): Promise<void> {
-        const done = this.commit(step).then(() => !this.options.lost.signal.aborted);
-        const isKept = await Promise.race([done, this.options.clock.sleep(recordLimit).then(() => false)]);
-        if (!isKept && step.records.length > 0) {
+    async commitInTime(transition: Transition): Promise<void> {
+        const committed = this.commit(transition).then(() => !this.options.lost.signal.aborted);
+        const isCommitted = await Promise.race([committed, this.options.clock.sleep(commitTimeout).then(() => false)]);
+        if (!isCommitted && transition.records.length > 0) {
             throw new NotRecordedError("the platform did not confirm the record in time");
         }
     }
 
     /** Accepts a job once it is recorded. */
     async submit(submission: Submission): Promise<SubmitOutcome | NotRecorded> {
-        if (this.options.journal.stalledFor() > stalledAfter) {
+        if (this.options.journal.stalledFor() > journalStallThreshold) {
             const refusal: Refusal = {
                 error: "journal-stalled",
                 reason: "the platform's service does not answer",
-                retryAfter: stalledRetryAfter,
+                retryAfter: journalStalledRetryAfter,
             };
             return { kind: "refused", refusal };
         }
-        const { transition: step, outcome } = this.core.submit(submission);
+        const { transition, outcome } = this.scheduler.submit(submission);
         try {
-            await this.commitWithin(step);
+            await this.commitInTime(transition);
             // A repeated submission may meet a first one whose record is still on its way.
-            return outcome.kind === "accepted" && outcome.repeated ? await this.#whenKept(outcome) : outcome;
+            return outcome.kind === "accepted" && outcome.repeated ? await this.#waitForCommit(outcome) : outcome;
         }
         catch (cause) {
             if (cause instanceof NotRecordedError) {
-                return { kind: "not-recorded", retryAfter: stalledRetryAfter };
+                return { kind: "not-recorded", retryAfter: journalStalledRetryAfter };
             }
             throw cause;
         }
     }
 
     /** Resolves when a job changes, or after `wait`. */
-    async untilChanged(job: JobId, wait: Milliseconds, signal: AbortSignal): Promise<void> {
-        const waiting = this.#waiting.get(job) ?? new Set();
-        this.#waiting.set(job, waiting);
+    async waitForChange(job: JobId, wait: Milliseconds, signal: AbortSignal): Promise<void> {
+        const listeners = this.#changeListeners.get(job) ?? new Set();
+        this.#changeListeners.set(job, listeners);
         const finished = new AbortController();
         const wake = () => finished.abort();
-        waiting.add(wake);
+        listeners.add(wake);
         const sources = [finished.signal, signal, this.options.lost.signal];
         await withLinkedSignal(sources, undefined, linked => this.options.clock.sleep(wait, linked));
-        waiting.delete(wake);
-        if (waiting.size === 0 && this.#waiting.get(job) === waiting) {
-            this.#waiting.delete(job);
+        listeners.delete(wake);
+        if (listeners.size === 0 && this.#changeListeners.get(job) === listeners) {
+            this.#changeListeners.delete(job);
         }
     }
 
     /** Places what fits, soon; several requests make one pass. */
-    requestSchedule(): void {
-        if (this.#scheduleRequested) {
+    requestCycle(): void {
+        if (this.#isCycleRequested) {
             return;
         }
-        this.#scheduleRequested = true;
+        this.#isCycleRequested = true;
         setImmediate(() => {
-            this.#scheduleRequested = false;
+            this.#isCycleRequested = false;
             if (this.isServing) {
-                void this.commit(this.core.schedule(this.options.journal.stalledFor() === 0));
+                void this.commit(this.scheduler.schedule(this.options.journal.stalledFor() === 0));
             }
         });
     }
@@ -169,14 +172,14 @@
         this.options.lost.abort(new JournalFencedError(reason));
     }
 
-    async #whenKept(outcome: SubmitOutcome & { kind: "accepted"; }): Promise<SubmitOutcome | NotRecorded> {
-        const entry = this.core.registry.jobs.get(outcome.job);
+    async #waitForCommit(outcome: SubmitOutcome & { kind: "accepted"; }): Promise<SubmitOutcome | NotRecorded> {
+        const entry = this.scheduler.registry.jobs.get(outcome.job);
         if (entry !== undefined && entry.unkept > 0) {
-            await this.commitWithin({ records: [], effects: [] });
-            await this.untilChanged(outcome.job, recordLimit, this.options.lost.signal);
+            await this.commitInTime({ records: [], effects: [] });
+            await this.waitForChange(outcome.job, commitTimeout, this.options.lost.signal);
         }
         return entry !== undefined && entry.unkept > 0
-            ? { kind: "not-recorded", retryAfter: stalledRetryAfter }
+            ? { kind: "not-recorded", retryAfter: journalStalledRetryAfter }
             : outcome;
     }
 
@@ -196,9 +199,9 @@
         return settings;
     }
 
-    #carryOut(effect: Effect): void {
+    #execute(effect: Effect): void {
         if (effect.kind === "job-changed") {
-            this.#waiting.get(effect.job)?.forEach(wake => wake());
+            this.#changeListeners.get(effect.job)?.forEach(wake => wake());
             return;
         }
         const link = this.#links.get(effect.worker);
@@ -210,20 +213,20 @@
             link?.stop(effect.message);
         }
         else if (link === undefined) {
-            void this.commit(this.core.startRefused(effect.task, effect.attempt, undefined));
+            void this.commit(this.scheduler.startRefused(effect.task, effect.attempt, undefined));
         }
         else {
             link.start(effect.task, effect.attempt);
         }
-        this.#waiting.get(effect.kind === "start" ? jobOfTask(effect.task) : jobOfTask(effect.message.task))
+        this.#changeListeners.get(effect.kind === "start" ? jobOfTask(effect.task) : jobOfTask(effect.message.task))
             ?.forEach(wake => wake());
     }
 
-    async #keepListing(signal: AbortSignal): Promise<void> {
+    async #followWorkerList(signal: AbortSignal): Promise<void> {
         const { vmList, clock, logger, values } = this.options;
         while (!signal.aborted) {
             try {
-                this.#takeList(await vmList.read(signal));
+                this.#applyWorkerList(await vmList.read(signal));
             }
             catch (cause) {
                 if (!signal.aborted) {
@@ -235,37 +238,37 @@
         await Promise.all([...this.#links.values()].map(link => link.close()));
     }
 
-    #takeList(workers: readonly ListedWorker[]): void {
+    #applyWorkerList(workers: readonly ListedWorker[]): void {
         const { shard, values } = this.options;
-        const mine = workers.filter(worker => shardOfText(worker.rack, values["cell.shards"]) === shard);
-        void this.commit(this.core.applyWorkerList(mine));
-        for (const worker of mine) {
+        const ownWorkers = workers.filter(worker => shardOfText(worker.rack, values["cell.shards"]) === shard);
+        void this.commit(this.scheduler.applyWorkerList(ownWorkers));
+        for (const worker of ownWorkers) {
             if (!this.#links.has(worker.worker)) {
                 this.#links.set(worker.worker, new WorkerLink(this, worker));
             }
         }
         for (const [name, link] of this.#links) {
-            if (this.core.workers.get(name) === undefined) {
+            if (this.scheduler.workers.get(name) === undefined) {
                 this.#links.delete(name);
                 void link.close();
             }
         }
-        this.requestSchedule();
+        this.requestCycle();
     }
 
     /** Finishes what was accepted before the shard is given to the next owner. */
     async #handOver(): Promise<void> {
         this.#isHandingOver = true;
-        await this.commit(this.core.tick());
+        await this.commit(this.scheduler.tick());
         // Records are kept in order, so once this empty group is kept, so is all that was accepted.
         await this.options.journal.append([]).catch(() => undefined);
     }
 
-    #watchJournal(): void {
-        const stalled = this.options.journal.stalledFor() > stalledAfter;
-        if (stalled && !this.#isStalled) {
+    #checkJournal(): void {
+        const isStalled = this.options.journal.stalledFor() > journalStallThreshold;
+        if (isStalled && !this.#isStalled) {
             this.options.logger.log(logEvents.journalStalled, { shard: this.options.shard });
         }
-        this.#isStalled = stalled;
+        this.#isStalled = isStalled;
     }
 }
--- a/packages/scheduler/src/ownership/candidate.ts
+++ b/packages/scheduler/src/ownership/shard-candidate.ts
@@ -12,12 +12,12 @@
 import {
     claimDelayPerShard,
     claimRetryDelay,
-    journalLargestBytes,
     journalRetryDelay,
     journalRingSize,
-    journalSnapshotEvery,
-    ownerWatchDuration,
+    maxJournalValueBytes,
+    maxOwnerWatch,
     renewalsPerLease,
+    segmentsPerSnapshot,
 } from "./constants.js";
 import { OwnedShard } from "./owned-shard.js";
 import type { CandidateOptions } from "./types.js";
@@ -61,9 +61,9 @@
         const { store, shard, owner, values, random } = this.options;
         const key = ownerKeyOf(shard);
         const { cursor } = await store.watch(key, "", 0, stop);
-        const known = await store.get(key);
-        if (known !== undefined) {
-            await store.watch(key, cursor, ownerWatchDuration, stop);
+        const current = await store.get(key);
+        if (current !== undefined) {
+            await store.watch(key, cursor, maxOwnerWatch, stop);
             return undefined;
         }
         const lease = await store.grantLease(values["owner.lease"]);
@@ -90,8 +90,8 @@
     async #serve(lease: PlatformLeaseId, stop: AbortSignal): Promise<void> {
         const { store, clock, random, logger, shard, owner, values } = this.options;
         const lost = createAbortController();
-        const contact = { at: clock.monotonic() };
-        const renewing = this.#keepLease(lease, lost, contact);
+        const lastRenewal = { at: clock.monotonic() };
+        const renewing = this.#renewLease(lease, lost, lastRenewal);
         try {
             const { journal, contents } = await openJournal({
                 store,
@@ -102,16 +102,16 @@
                 signal: lost.signal,
                 options: {
                     ringSize: journalRingSize,
-                    snapshotEvery: journalSnapshotEvery,
+                    snapshotEvery: segmentsPerSnapshot,
                     commitInterval: values["owner.commit_interval"],
                     retryDelay: journalRetryDelay,
                     repeatAfter: undefined,
                     maxInFlight: 1,
-                    maxValueBytes: journalLargestBytes,
+                    maxValueBytes: maxJournalValueBytes,
                 },
             });
             logger.log(logEvents.shardClaimed, { shard, epoch: journal.epoch, records: contents.records.length });
-            const owned = new OwnedShard({ ...this.options, journal, contents, contact, lost });
+            const owned = new OwnedShard({ ...this.options, journal, contents, lastRenewal, lost });
             this.#owned = owned;
             await owned.run(stop);
         }
@@ -132,20 +132,20 @@
     }
 
     /** Renews the lease; gives the shard up when the platform says that it has ended. */
-    async #keepLease(lease: PlatformLeaseId, lost: AbortController, contact: { at: number; }): Promise<void> {
+    async #renewLease(lease: PlatformLeaseId, lost: AbortController, lastRenewal: { at: number; }): Promise<void> {
         const { store, clock, values } = this.options;
         while (!lost.signal.aborted) {
             await clock.sleep(values["owner.lease"] / renewalsPerLease, lost.signal);
             if (lost.signal.aborted) {
                 return;
             }
-            const sent = clock.monotonic();
+            const sentAt = clock.monotonic();
             try {
                 if (!await store.renewLease(lease)) {
                     lost.abort(new JournalFencedError("the lease on the shard has ended"));
                     return;
                 }
-                contact.at = sent;
+                lastRenewal.at = sentAt;
             }
             catch {
                 // Not an end: the journal's epoch is the fence, and work goes on up to the horizon.
--- a/packages/scheduler/src/ownership/types.ts
+++ b/packages/scheduler/src/ownership/types.ts
@@ -35,7 +35,7 @@
     readonly journal: Journal;
     readonly contents: JournalContents;
     /** When the platform last confirmed the lease, by the monotonic clock. */
-    readonly contact: { readonly at: Milliseconds; };
+    readonly lastRenewal: { readonly at: Milliseconds; };
     /** Fires when the shard is lost. */
     readonly lost: AbortController;
 }
@@ -44,11 +44,11 @@
 export interface LinkedShard {
     readonly options: OwnedShardOptions;
     /** The decisions. */
-    readonly core: ShardScheduler;
+    readonly scheduler: ShardScheduler;
     /** Keeps the records of a step, then carries its effects out. Resolves when the records are kept. */
-    commit(step: Transition): Promise<void>;
+    commit(transition: Transition): Promise<void>;
     /** Plans a pass over what waits. */
-    requestSchedule(): void;
+    requestCycle(): void;
     /** Gives the shard up. */
     stepDown(reason: string): void;
 }
--- a/packages/scheduler/src/scheduler.ts
+++ b/packages/scheduler/src/scheduler.ts
@@ -26,7 +26,7 @@
 type Values = ProgramValues<typeof schedulerSchema>;
 
 /** How long a peer may take to say which settings it holds, in milliseconds. */
-const peerLimit = 500;
+const peerQueryTimeout = 500;
 
 /** Runs the program; resolves to its exit code. `print` shows findings to the operator. */
 export const runScheduler = (file: string, checkOnly: boolean, print: PrintLine): Promise<number> =>
@@ -51,7 +51,7 @@
         clock,
         logger,
         signal: background.signal,
-        askPeers: () => askPeers(peers),
+        askPeers: () => queryPeers(peers),
     });
     const owner = processId(values["process.name"]);
     const candidates = allShards(values["cell.shards"]).map(shard =>
@@ -77,10 +77,10 @@
     logger.log(logEvents.processStarted, { address: values["listen.peers"] });
     const watching = watch.run();
     await Promise.race([watch.ready, untilAborted(stop)]);
-    const owning = candidates.map(candidate => candidate.run(stop));
+    const campaigns = candidates.map(candidate => candidate.run(stop));
     await untilAborted(stop);
     logger.log(logEvents.processStopping);
-    await Promise.race([Promise.all(owning), clock.sleep(values["process.stop_within"])]);
+    await Promise.race([Promise.all(campaigns), clock.sleep(values["process.stop_within"])]);
     background.abort();
     await watching;
     protocol.close();
@@ -88,9 +88,11 @@
     await Promise.all([store.close(), vmList.close(), ...peers.map(peer => peer.close())]);
 };
 
-const askPeers = async (peers: readonly SchedulerClient[]): Promise<StoredSettings[]> => {
+const queryPeers = async (peers: readonly SchedulerClient[]): Promise<StoredSettings[]> => {
     const answers = await Promise.allSettled(
-        peers.map(peer => peer.call(peerLimit, (calls, signal) => calls.currentSettings.query(undefined, { signal }))),
+        peers.map(peer =>
+            peer.call(peerQueryTimeout, (calls, signal) => calls.currentSettings.query(undefined, { signal }))
+        ),
     );
     return answers.flatMap(answer => answer.status === "fulfilled" && answer.value !== undefined ? [answer.value] : []);
 };
--- a/packages/scheduler/src/service/index.ts
+++ b/packages/scheduler/src/service/index.ts
@@ -1,2 +1,2 @@
 /** What the scheduler answers to gateways, peers and operators. */
-export * from "./local-service.js";
+export * from "./local-scheduler-service.js";
--- a/packages/scheduler/src/service/local-service.ts
+++ b/packages/scheduler/src/service/local-scheduler-service.ts
@@ -32,12 +32,12 @@
     WaitRequest,
     WorkerStatus,
 } from "@pebbledale/runtime";
-import { stalledRetryAfter } from "../ownership/constants.js";
+import { journalStalledRetryAfter } from "../ownership/constants.js";
 import { NotRecordedError, type OwnedShard, type ShardCandidate } from "../ownership/index.js";
 
 const notOwner: NotOwner = { kind: "not-owner" };
 const noJob: NoJob = { kind: "no-job" };
-const notRecorded: NotRecorded = { kind: "not-recorded", retryAfter: stalledRetryAfter };
+const notRecorded: NotRecorded = { kind: "not-recorded", retryAfter: journalStalledRetryAfter };
 
 /** Answers for the shards that this process owns. */
 export class LocalSchedulerService implements SchedulerService {
@@ -53,64 +53,64 @@
 
     /** See {@link SchedulerService.submit}. */
     async submit(request: SubmitRequest) {
-        return await this.#owned(request.shard)?.submit(request) ?? notOwner;
+        return await this.#servingShard(request.shard)?.submit(request) ?? notOwner;
     }
 
     /** See {@link SchedulerService.view}. */
     async view(request: JobRequest): Promise<JobAnswer | NoJob | NotOwner> {
-        const owned = this.#owned(request.shard);
-        return owned === undefined ? notOwner : jobAnswer(owned, jobIdOf(owned, request));
+        const owned = this.#servingShard(request.shard);
+        return owned === undefined ? notOwner : buildJobAnswer(owned, findJobId(owned, request));
     }
 
     /** See {@link SchedulerService.wait}. */
     async wait(request: WaitRequest): Promise<JobAnswer | NoJob | NotOwner> {
-        const owned = this.#owned(request.shard);
+        const owned = this.#servingShard(request.shard);
         if (owned === undefined) {
             return notOwner;
         }
         const { clock, lost } = owned.options;
-        const until = clock.monotonic() + request.wait;
-        const job = jobIdOf(owned, request);
-        let answer = jobAnswer(owned, job);
+        const deadline = clock.monotonic() + request.wait;
+        const job = findJobId(owned, request);
+        let answer = buildJobAnswer(owned, job);
         while (job !== undefined && answer.kind === "job" && !isFinalState(answer.view.state)) {
-            const rest = until - clock.monotonic();
-            if (rest <= 0) {
+            const remaining = deadline - clock.monotonic();
+            if (remaining <= 0) {
                 return answer;
             }
-            await owned.untilChanged(job, rest, lost.signal);
+            await owned.waitForChange(job, remaining, lost.signal);
             if (lost.signal.aborted) {
                 return notOwner;
             }
-            answer = jobAnswer(owned, job);
+            answer = buildJobAnswer(owned, job);
         }
         return answer;
     }
 
     /** See {@link SchedulerService.cancel}. */
     async cancel(request: JobRequest): Promise<JobAnswer | NoJob | NotOwner | NotRecorded> {
-        const owned = this.#owned(request.shard);
+        const owned = this.#servingShard(request.shard);
         if (owned === undefined) {
             return notOwner;
         }
-        const job = jobIdOf(owned, request);
-        const step = job === undefined ? undefined : owned.core.cancel(job);
-        if (step === undefined) {
+        const job = findJobId(owned, request);
+        const transition = job === undefined ? undefined : owned.scheduler.cancel(job);
+        if (transition === undefined) {
             return noJob;
         }
-        return whenRecorded(async () => {
-            await owned.commitWithin(step);
-            return jobAnswer(owned, job);
+        return catchNotRecorded(async () => {
+            await owned.commitInTime(transition);
+            return buildJobAnswer(owned, job);
         });
     }
 
     /** See {@link SchedulerService.acquire}. */
     async acquire(request: AcquireRequest): Promise<AcquireAnswer | NoService | NotOwner> {
-        const owned = this.#owned(request.shard);
-        if (owned?.core.hasWorkerList !== true) {
+        const owned = this.#servingShard(request.shard);
+        if (owned?.scheduler.hasWorkerList !== true) {
             // A new owner that knows no workers yet must not tell a gateway that it holds no slots.
             return notOwner;
         }
-        const grants = owned.core.acquireSlots(request.service, request.request);
+        const grants = owned.scheduler.acquireSlots(request.service, request.request);
         if (grants === undefined) {
             return { kind: "no-service" };
         }
@@ -121,25 +121,25 @@
 
     /** See {@link SchedulerService.beginOnce}. */
     async beginOnce(request: OnceRequest): Promise<OnceAnswer | NotOwner | NotRecorded> {
-        const owned = this.#owned(request.shard);
+        const owned = this.#servingShard(request.shard);
         if (owned === undefined) {
             return notOwner;
         }
-        const { transition: step, earlier } = owned.core.beginUnrepeatable(request.key, request.digest, request.nonce);
-        return whenRecorded(async () => {
-            await owned.commitWithin(step);
+        const { transition, earlier } = owned.scheduler.beginUnrepeatable(request.key, request.digest, request.nonce);
+        return catchNotRecorded(async () => {
+            await owned.commitInTime(transition);
             return { kind: "recorded" as const, earlier };
         });
     }
 
     /** See {@link SchedulerService.endOnce}. */
     async endOnce(request: OnceRequest): Promise<OnceAnswer | NotOwner | NotRecorded> {
-        const owned = this.#owned(request.shard);
+        const owned = this.#servingShard(request.shard);
         if (owned === undefined) {
             return notOwner;
         }
-        return whenRecorded(async () => {
-            await owned.commitWithin(owned.core.endUnrepeatable(request.key, request.status));
+        return catchNotRecorded(async () => {
+            await owned.commitInTime(owned.scheduler.endUnrepeatable(request.key, request.status));
             return { kind: "recorded" as const, earlier: undefined };
         });
     }
@@ -152,7 +152,7 @@
             site: this.values["process.site"],
             dataHall: this.values["process.data_hall"],
             revision: this.watch.revision,
-            shards: this.#allOwned().map(shardStatus),
+            shards: this.#allOwned().map(buildShardStatus),
         };
     }
 
@@ -166,7 +166,7 @@
         return this.#allOwned().map(owned => ({ shard: owned.options.shard, epoch: owned.options.journal.epoch }));
     }
 
-    #owned(shard: ShardId): OwnedShard | undefined {
+    #servingShard(shard: ShardId): OwnedShard | undefined {
         const owned = this.#candidates.get(shard)?.owned;
         return owned?.isServing === true ? owned : undefined;
     }
@@ -176,7 +176,7 @@
     }
 }
 
-const whenRecorded = async <Answer>(act: () => Promise<Answer>): Promise<Answer | NotRecorded> => {
+const catchNotRecorded = async <Answer>(act: () => Promise<Answer>): Promise<Answer | NotRecorded> => {
     try {
         return await act();
     }
@@ -188,29 +188,29 @@
     }
 };
 
-const jobIdOf = (owned: OwnedShard, request: JobRequest): JobId | undefined =>
-    request.job ?? (request.key === undefined ? undefined : owned.core.findByKey(request.key));
+const findJobId = (owned: OwnedShard, request: JobRequest): JobId | undefined =>
+    request.job ?? (request.key === undefined ? undefined : owned.scheduler.findByKey(request.key));
 
-const jobAnswer = (owned: OwnedShard, job: JobId | undefined): JobAnswer | NoJob => {
-    const view = job === undefined ? undefined : owned.core.view(job);
+const buildJobAnswer = (owned: OwnedShard, job: JobId | undefined): JobAnswer | NoJob => {
+    const view = job === undefined ? undefined : owned.scheduler.view(job);
     if (view === undefined) {
         return noJob;
     }
-    return { kind: "job", view, history: owned.core.registry.jobs.get(view.job)?.history ?? [] };
+    return { kind: "job", view, history: owned.scheduler.registry.jobs.get(view.job)?.history ?? [] };
 };
 
-const shardStatus = (owned: OwnedShard): ShardStatus => {
-    const { core, options } = owned;
+const buildShardStatus = (owned: OwnedShard): ShardStatus => {
+    const { scheduler, options } = owned;
     const now = options.clock.monotonic();
-    const workers = [...core.workers.values()].map((entry): WorkerStatus => ({
+    const workers = [...scheduler.workers.values()].map((entry): WorkerStatus => ({
         worker: entry.worker,
         dataHall: entry.listed.dataHall,
         rack: entry.listed.rack,
-        open: core.workers.index.isSchedulable(entry.slot),
+        open: scheduler.workers.index.isSchedulable(entry.slot),
         leaving: isLeaving(entry),
         quarantined: entry.quarantinedUntil > now,
         tasks: entry.tasks.size,
-        free: core.workers.index.freeOf(entry.slot),
+        free: scheduler.workers.index.freeOf(entry.slot),
         capacity: entry.listed.capacity,
     }));
     const capacity = workers.reduce((sum, worker) => addResources(sum, worker.capacity), noResources);
@@ -219,7 +219,7 @@
     return {
         shard: options.shard,
         epoch: options.journal.epoch,
-        queued: core.queue.length,
+        queued: scheduler.queue.length,
         running: workers.reduce((sum, worker) => sum + worker.tasks, 0),
         journalWrites: options.journal.writes,
         journalStalled: options.journal.stalledFor(),
--- a/packages/scheduler/src/workers/worker-link.ts
+++ b/packages/scheduler/src/workers/worker-link.ts
@@ -17,15 +17,15 @@
 export class WorkerLink {
     readonly #client: HttpWorkerClient;
     readonly #closed = createAbortController();
-    readonly #linked: LinkedSignal;
+    readonly #linkedSignal: LinkedSignal;
     readonly #signal: AbortSignal;
     readonly #running: Promise<void>;
     #isReachable = true;
 
     constructor(private readonly shard: LinkedShard, private readonly listed: ListedWorker) {
         this.#client = new HttpWorkerClient(listed.address, shard.options.values["worker.timeout"]);
-        this.#linked = linkSignals([this.#closed.signal, shard.options.lost.signal]);
-        this.#signal = this.#linked.signal;
+        this.#linkedSignal = linkSignals([this.#closed.signal, shard.options.lost.signal]);
+        this.#signal = this.#linkedSignal.signal;
         this.#running = this.#run(this.#client);
     }
 
@@ -47,7 +47,7 @@
     /** Ends all messages. */
     async close(): Promise<void> {
         this.#closed.abort();
-        this.#linked.release();
+        this.#linkedSignal.release();
         await this.#running;
         await this.#client.close();
     }
@@ -70,20 +70,20 @@
         try {
             const message = { shard: options.shard, epoch: options.journal.epoch };
             const answer = await client.claim(message, this.#signal);
-            this.#noteReachable();
+            this.#markReachable();
             if (answer.kind === "refused") {
-                this.#noteRefused(answer.refusal);
+                this.#handleRefusal(answer.refusal);
                 return false;
             }
             options.logger.log(logEvents.workerClaimed, {
                 worker: this.listed.worker,
                 running: answer.value.running.length,
             });
-            await this.#take(() => shard.core.claimAnswered(this.listed.worker, answer.value, sentAt));
+            await this.#applyReport(() => shard.scheduler.claimAnswered(this.listed.worker, answer.value, sentAt));
             return true;
         }
         catch (cause) {
-            this.#noteUnreachable(cause);
+            this.#markUnreachable(cause);
             return false;
         }
     }
@@ -93,57 +93,57 @@
         const { shard } = this;
         const { clock, watch, values } = shard.options;
         const path = { region: values["process.region"], site: values["process.site"] };
-        const message = shard.core.nextHeartbeat(this.listed.worker, watch.tree.number("worker.heartbeat", path));
+        const message = shard.scheduler.nextHeartbeat(this.listed.worker, watch.tree.number("worker.heartbeat", path));
         if (message === undefined) {
             return false;
         }
         const sentAt = clock.monotonic();
         try {
             const answer = await client.heartbeat(message, this.#signal);
-            this.#noteReachable();
+            this.#markReachable();
             if (answer.kind === "refused") {
-                shard.core.heartbeatFailed(this.listed.worker, message);
-                this.#noteRefused(answer.refusal);
+                shard.scheduler.heartbeatFailed(this.listed.worker, message);
+                this.#handleRefusal(answer.refusal);
                 return answer.refusal !== WorkerRefusal.OldEpoch;
             }
-            await this.#take(() => shard.core.heartbeatAnswered(this.listed.worker, answer.value, sentAt));
+            await this.#applyReport(() => shard.scheduler.heartbeatAnswered(this.listed.worker, answer.value, sentAt));
             return true;
         }
         catch (cause) {
-            shard.core.heartbeatFailed(this.listed.worker, message);
-            this.#noteUnreachable(cause);
+            shard.scheduler.heartbeatFailed(this.listed.worker, message);
+            this.#markUnreachable(cause);
             return true;
         }
     }
 
     /** Takes a report in. Its records need not be kept before the next heartbeat: leases must go on. */
-    async #take(report: () => ReturnType<LinkedShard["core"]["tick"]>): Promise<void> {
+    async #applyReport(apply: () => ReturnType<LinkedShard["scheduler"]["tick"]>): Promise<void> {
         if (!this.#signal.aborted) {
-            void this.shard.commit(report());
-            this.shard.requestSchedule();
+            void this.shard.commit(apply());
+            this.shard.requestCycle();
         }
     }
 
     async #start(client: WorkerClient, task: TaskId, attempt: Attempt): Promise<void> {
-        const { core, options } = this.shard;
+        const { scheduler, options } = this.shard;
         let mayHaveArrived = false;
         while (!this.#signal.aborted) {
-            const message = core.startMessage(task, attempt, mayHaveArrived);
+            const message = scheduler.startMessage(task, attempt, mayHaveArrived);
             if (message === undefined) {
                 if (!mayHaveArrived) {
-                    await this.shard.commit(core.startRefused(task, attempt, undefined));
+                    await this.shard.commit(scheduler.startRefused(task, attempt, undefined));
                 }
                 return;
             }
             try {
                 const answer = await client.start(message, this.#signal);
                 if (answer.kind === "accepted") {
-                    await this.shard.commit(core.startAccepted(task, attempt, answer.value));
+                    await this.shard.commit(scheduler.startAccepted(task, attempt, answer.value));
                     return;
                 }
-                this.#noteRefused(answer.refusal);
+                this.#handleRefusal(answer.refusal);
                 if (answer.refusal !== WorkerRefusal.OldEpoch) {
-                    await this.shard.commit(core.startRefused(task, attempt, answer.refusal));
+                    await this.shard.commit(scheduler.startRefused(task, attempt, answer.refusal));
                 }
                 return;
             }
@@ -155,12 +155,12 @@
     }
 
     async #stop(client: WorkerClient, message: StopMessage): Promise<void> {
-        const { core, options } = this.shard;
+        const { scheduler, options } = this.shard;
         do {
             try {
                 const answer = await client.stop(message, this.#signal);
                 if (answer.kind === "refused") {
-                    this.#noteRefused(answer.refusal);
+                    this.#handleRefusal(answer.refusal);
                 }
                 return;
             }
@@ -168,10 +168,10 @@
                 await options.clock.sleep(workerRetryDelay, this.#signal);
             }
         }
-        while (!this.#signal.aborted && core.isCurrent(message.task, message.attempt));
+        while (!this.#signal.aborted && scheduler.isCurrent(message.task, message.attempt));
     }
 
-    #noteRefused(refusal: WorkerRefusal): void {
+    #handleRefusal(refusal: WorkerRefusal): void {
         const { logger } = this.shard.options;
         logger.log(logEvents.workerRefused, { worker: this.listed.worker, refusal });
         if (refusal === WorkerRefusal.OldEpoch) {
@@ -179,11 +179,11 @@
         }
     }
 
-    #noteReachable(): void {
+    #markReachable(): void {
         this.#isReachable = true;
     }
 
-    #noteUnreachable(cause: unknown): void {
+    #markUnreachable(cause: unknown): void {
         if (this.#isReachable && !this.#signal.aborted) {
             this.shard.options.logger.log(logEvents.workerUnreachable, {
                 worker: this.listed.worker,
