--- a/packages/scheduler/src/index.ts
+++ b/packages/scheduler/src/index.ts
@@ -1,2 +1,2 @@
-/** The scheduler program, for the evidence package. */
+/** Exports the scheduler program, so that the evidence package can run it in its own process. */
 export { runScheduler } from "./scheduler.js";
--- a/packages/scheduler/src/ownership/constants.ts
+++ b/packages/scheduler/src/ownership/constants.ts
@@ -1,28 +1,28 @@
-/** Times and sizes of ownership that are not settings. All times in milliseconds. */
+/** Sizes, intervals and timeouts that are not configurable. Durations are in milliseconds. */
 
-/** Keys of a journal's ring. */
+/** Number of store keys in the ring that a journal writes its segments to. */
 export const journalRingSize = 256;
-/** Segments after which a snapshot replaces them. */
+/** Number of segments after which the journal writes a snapshot that replaces them. */
 export const segmentsPerSnapshot = 64;
-/** Largest value that the journal writes, well below the platform's limit. */
+/** Maximum size of a journal segment or snapshot part in bytes, well below the limit of the platform's store. */
 export const maxJournalValueBytes = 700_000;
-/** Wait before a write without an answer is settled. */
+/** Delay before a failed journal write is retried. */
 export const journalRetryDelay = 100;
-/** Each shard that a scheduler owns already makes it wait this long before it claims another. */
+/** Delay before claiming a shard, per shard already owned, so that the shards spread over the schedulers. */
 export const claimDelayPerShard = 300;
-/** Wait before a failed claim is tried again. */
+/** Delay before a failed claim is retried. */
 export const claimRetryDelay = 500;
-/** Longest wait in one watch of a shard's owner. */
+/** Maximum duration of one watch on the key of a shard's owner. */
 export const maxOwnerWatch = 10_000;
-/** A lease is renewed this many times in its length. */
+/** Number of renewals per duration of the lease on a shard. */
 export const renewalsPerLease = 3;
-/** Time between two looks at what time asks for. */
+/** Interval at which leases, deadlines, retries and retention are checked. */
 export const tickInterval = 100;
-/** Wait before a message without an answer is sent to a worker again. */
+/** Delay before an unanswered message to a worker is sent again. */
 export const workerRetryDelay = 100;
-/** How long a record may take before its caller is told that it is not known to be kept. */
+/** Time within which a record must be committed; after it the caller receives `not-recorded`. */
 export const commitTimeout = 2_000;
-/** A journal that has not been answered for this long takes no new work. */
+/** New jobs are refused once the journal has gone without an answer from the platform for this long. */
 export const journalStallThreshold = 500;
-/** When a caller that was refused for a stalled journal is to come back. */
+/** Retry delay given to callers whose request could not be recorded. */
 export const journalStalledRetryAfter = 2_000;
--- a/packages/scheduler/src/ownership/index.ts
+++ b/packages/scheduler/src/ownership/index.ts
@@ -1,4 +1,4 @@
-/** Owning shards: campaigning for them, and what an owner does while it has one. */
+/** Claiming shards and serving those that this process owns. */
 export * from "./constants.js";
 export * from "./owned-shard.js";
 export * from "./shard-candidate.js";
--- a/packages/scheduler/src/ownership/owned-shard.ts
+++ b/packages/scheduler/src/ownership/owned-shard.ts
@@ -1,4 +1,4 @@
-/** A shard while this process owns it: drives the decisions with reports, messages and time. */
+/** A shard while this process owns it. */
 import {
     type Effect,
     type JobId,
@@ -25,12 +25,17 @@
 import { commitTimeout, journalStalledRetryAfter, journalStallThreshold, tickInterval } from "./constants.js";
 import type { LinkedShard, OwnedShardOptions } from "./types.js";
 
-/** Thrown when a record was not confirmed in time; it may still be kept later. */
+/** Thrown when a record was not committed in time. It may still be committed later. */
 export class NotRecordedError extends Error {
     override readonly name = "NotRecordedError";
 }
 
-/** See the module's comment. */
+/**
+ * Drives the scheduler of a shard that this process owns.
+ *
+ * Feeds it worker reports, the list of workers, requests and a periodic tick, commits the records that result to the
+ * journal, and only then executes their effects, such as starting a task on a worker.
+ */
 export class OwnedShard implements LinkedShard {
     readonly scheduler: ShardScheduler;
     readonly #links = new Map<WorkerId, WorkerLink>();
@@ -59,7 +64,7 @@
         journal.setSnapshotSource(() => this.scheduler.registry.snapshot());
     }
 
-    /** Whether it takes requests: not while it is handed over. */
+    /** False while the shard is handed over and once it is lost. */
     get isServing(): boolean {
         return !this.#isHandingOver && !this.options.lost.signal.aborted;
     }
@@ -87,7 +92,10 @@
         await followingWorkerList;
     }
 
-    /** Keeps the records of a step, then carries its effects out. Resolves when the records are kept. */
+    /**
+     * Commits the records of a transition to the journal, then executes its effects. If the journal refuses the records, the
+     * shard is lost and the effects are dropped; the promise resolves all the same.
+     */
     async commit(transition: Transition): Promise<void> {
         if (transition.records.length > 0) {
             try {
@@ -105,16 +113,16 @@
         }
     }
 
-    /** Like {@link commit}, but rejects with {@link NotRecordedError} when the records are not kept in time. */
+    /** Like {@link commit}, but rejects with {@link NotRecordedError} when the records are not committed in time. */
     async commitInTime(transition: Transition): Promise<void> {
         const committed = this.commit(transition).then(() => !this.options.lost.signal.aborted);
         const isCommitted = await Promise.race([committed, this.options.clock.sleep(commitTimeout).then(() => false)]);
         if (!isCommitted && transition.records.length > 0) {
-            throw new NotRecordedError("the platform did not confirm the record in time");
+            throw new NotRecordedError(`the records were not committed within ${commitTimeout} ms`);
         }
     }
 
-    /** Accepts a job once it is recorded. */
+    /** Submits a job; it is reported as accepted only once its record is committed. */
     async submit(submission: Submission): Promise<SubmitOutcome | NotRecorded> {
         if (this.options.journal.stalledFor() > journalStallThreshold) {
             const refusal: Refusal = {
@@ -127,7 +135,7 @@
         const { transition, outcome } = this.scheduler.submit(submission);
         try {
             await this.commitInTime(transition);
-            // A repeated submission may meet a first one whose record is still on its way.
+            // The record of the first submission of a repeated key may still be in flight.
             return outcome.kind === "accepted" && outcome.repeated ? await this.#waitForCommit(outcome) : outcome;
         }
         catch (cause) {
@@ -138,7 +146,7 @@
         }
     }
 
-    /** Resolves when a job changes, or after `wait`. */
+    /** Resolves when the job changes, after `wait`, or when a signal fires. */
     async waitForChange(job: JobId, wait: Milliseconds, signal: AbortSignal): Promise<void> {
         const listeners = this.#changeListeners.get(job) ?? new Set();
         this.#changeListeners.set(job, listeners);
@@ -153,7 +161,6 @@
         }
     }
 
-    /** Places what fits, soon; several requests make one pass. */
     requestCycle(): void {
         if (this.#isCycleRequested) {
             return;
@@ -167,7 +174,6 @@
         });
     }
 
-    /** Gives the shard up: a worker has seen a newer epoch. */
     stepDown(reason: string): void {
         this.options.lost.abort(new JournalFencedError(reason));
     }
@@ -183,7 +189,7 @@
             : outcome;
     }
 
-    /** Settings are read from the tree once a revision and class. */
+    /** Cached per revision of the settings and workload class. */
     #settingsOf(workloadClass: WorkloadClass | undefined): ShardSettings {
         const { watch, values } = this.options;
         if (this.#settingsTree !== watch.tree) {
@@ -256,11 +262,11 @@
         this.requestCycle();
     }
 
-    /** Finishes what was accepted before the shard is given to the next owner. */
+    /** Stops serving and waits until everything accepted so far is committed. */
     async #handOver(): Promise<void> {
         this.#isHandingOver = true;
         await this.commit(this.scheduler.tick());
-        // Records are kept in order, so once this empty group is kept, so is all that was accepted.
+        // The journal commits in order: once this empty group is committed, so are all records before it.
         await this.options.journal.append([]).catch(() => undefined);
     }
 
--- a/packages/scheduler/src/ownership/shard-candidate.ts
+++ b/packages/scheduler/src/ownership/shard-candidate.ts
@@ -1,4 +1,4 @@
-/** Campaigns for one shard: claims it when it has no owner, serves it, and leaves it when it is lost or handed over. */
+/** Claiming, serving and releasing one shard. */
 import {
     absentVersion,
     JournalDamagedError,
@@ -22,18 +22,24 @@
 import { OwnedShard } from "./owned-shard.js";
 import type { CandidateOptions } from "./types.js";
 
-/** One scheduler's candidacy for one shard. */
+/**
+ * A scheduler's candidacy for one shard.
+ *
+ * Waits until the shard has no owner, claims it with a key in the platform's store that is bound to a lease, and serves it
+ * until it is lost to another owner or handed over at shutdown. Two processes may both believe that they own the shard for
+ * a while; the epoch of the journal decides which of them can commit.
+ */
 export class ShardCandidate {
     #owned: OwnedShard | undefined;
 
     constructor(readonly options: CandidateOptions) {}
 
-    /** The shard while this process owns it. */
+    /** Undefined while this process does not own the shard. */
     get owned(): OwnedShard | undefined {
         return this.#owned;
     }
 
-    /** Campaigns until the signal fires; then hands the shard over. */
+    /** Claims and serves the shard until the signal fires, then hands it over. Failures are logged and retried. */
     async run(stop: AbortSignal): Promise<void> {
         const { clock, logger, shard, random, countOwned } = this.options;
         while (!stop.aborted) {
@@ -56,7 +62,7 @@
         }
     }
 
-    /** Takes the owner's key if nobody has it; else waits until it changes. */
+    /** Resolves to the lease if this process wrote the owner key; if another holds the key, waits for it to change first. */
     async #claimKey(stop: AbortSignal): Promise<PlatformLeaseId | undefined> {
         const { store, shard, owner, values, random } = this.options;
         const key = ownerKeyOf(shard);
@@ -71,7 +77,7 @@
         return await this.#writeOwner(key, value, lease) ? lease : undefined;
     }
 
-    /** Writes the owner's key if it is free. A lost answer is settled by reading: the nonce tells whose the key is. */
+    /** Creates the owner key. If the answer was lost, the nonce in the stored value tells whether this write succeeded. */
     async #writeOwner(key: string, value: OwnerValue, lease: PlatformLeaseId): Promise<boolean> {
         const { store } = this.options;
         try {
@@ -125,13 +131,13 @@
             this.#owned = undefined;
             lost.abort();
             await renewing;
-            // The next owner need not wait for the lease to lapse.
+            // Revoking the lease lets the next owner claim the shard without waiting for the lease to expire.
             await store.revokeLease(lease).catch(() => undefined);
             logger.log(logEvents.shardReleased, { shard });
         }
     }
 
-    /** Renews the lease; gives the shard up when the platform says that it has ended. */
+    /** Renews the lease until the shard is lost; aborts `lost` when the platform reports that the lease has expired. */
     async #renewLease(lease: PlatformLeaseId, lost: AbortController, lastRenewal: { at: number; }): Promise<void> {
         const { store, clock, values } = this.options;
         while (!lost.signal.aborted) {
@@ -142,13 +148,14 @@
             const sentAt = clock.monotonic();
             try {
                 if (!await store.renewLease(lease)) {
-                    lost.abort(new JournalFencedError("the lease on the shard has ended"));
+                    lost.abort(new JournalFencedError("the lease on the shard has expired"));
                     return;
                 }
                 lastRenewal.at = sentAt;
             }
             catch {
-                // Not an end: the journal's epoch is the fence, and work goes on up to the horizon.
+                // A failed renewal does not end ownership: the epoch of the journal fences off former owners, and leases to workers
+                // are granted only up to the horizon after the last confirmation.
             }
         }
     }
--- a/packages/scheduler/src/ownership/types.ts
+++ b/packages/scheduler/src/ownership/types.ts
@@ -1,4 +1,4 @@
-/** Words of owning shards. */
+/** Options of shard candidates and owned shards, and the view of a shard that worker links use. */
 import type {
     Clock,
     Journal,
@@ -14,7 +14,7 @@
 } from "@pebbledale/core";
 import type { EventLogger, Metrics, ProgramValues, schedulerSchema, SettingsWatch } from "@pebbledale/runtime";
 
-/** What a candidate needs. */
+/** Dependencies and settings of a shard candidate. */
 export interface CandidateOptions {
     readonly values: ProgramValues<typeof schedulerSchema>;
     readonly shard: ShardId;
@@ -26,29 +26,28 @@
     readonly logger: EventLogger;
     readonly watch: SettingsWatch;
     readonly metrics: Metrics;
-    /** Number of shards that this process owns. */
+    /** Number of shards that this process owns now. */
     readonly countOwned: () => number;
 }
 
-/** What an owned shard needs. */
+/** What an owned shard needs beyond the options of its candidate. */
 export interface OwnedShardOptions extends CandidateOptions {
     readonly journal: Journal;
     readonly contents: JournalContents;
-    /** When the platform last confirmed the lease, by the monotonic clock. */
+    /** `at` is when the last successful renewal of the lease on the shard was sent, by the monotonic clock. */
     readonly lastRenewal: { readonly at: Milliseconds; };
-    /** Fires when the shard is lost. */
+    /** Aborted when the shard is lost or handed over. */
     readonly lost: AbortController;
 }
 
-/** What the links to workers know of the shard that they are for. */
+/** The part of an owned shard that its worker links use. */
 export interface LinkedShard {
     readonly options: OwnedShardOptions;
-    /** The decisions. */
     readonly scheduler: ShardScheduler;
-    /** Keeps the records of a step, then carries its effects out. Resolves when the records are kept. */
+    /** Commits the records of a transition to the journal, then executes its effects. Resolves even if the shard is lost. */
     commit(transition: Transition): Promise<void>;
-    /** Plans a pass over what waits. */
+    /** Schedules a scheduling cycle; requests made before it starts are merged. */
     requestCycle(): void;
-    /** Gives the shard up. */
+    /** Gives up ownership; `reason` is logged. */
     stepDown(reason: string): void;
 }
--- a/packages/scheduler/src/scheduler.ts
+++ b/packages/scheduler/src/scheduler.ts
@@ -1,4 +1,4 @@
-/** Puts a scheduler together from its settings file and runs it until it is asked to stop. */
+/** Runs a scheduler process from its settings file until SIGTERM or SIGINT. */
 import { logEvents, processId, type StoredSettings, SystemClock, SystemRandom } from "@pebbledale/core";
 import {
     allShards,
@@ -25,10 +25,13 @@
 
 type Values = ProgramValues<typeof schedulerSchema>;
 
-/** How long a peer may take to say which settings it holds, in milliseconds. */
+/** Timeout of asking one peer for its settings, in milliseconds. */
 const peerQueryTimeout = 500;
 
-/** Runs the program; resolves to its exit code. `print` shows findings to the operator. */
+/**
+ * Runs a scheduler, or only validates its settings file if `checkOnly` is set. Resolves to the process exit code; `print`
+ * writes validation errors for the operator.
+ */
 export const runScheduler = (file: string, checkOnly: boolean, print: PrintLine): Promise<number> =>
     runFromFile({ name: "pebbledale-scheduler", schema: schedulerSchema, serve }, file, checkOnly, print);
 
--- a/packages/scheduler/src/service/index.ts
+++ b/packages/scheduler/src/service/index.ts
@@ -1,2 +1,2 @@
-/** What the scheduler answers to gateways, peers and operators. */
+/** The service that a scheduler offers to gateways, peers and operators. */
 export * from "./local-scheduler-service.js";
--- a/packages/scheduler/src/service/local-scheduler-service.ts
+++ b/packages/scheduler/src/service/local-scheduler-service.ts
@@ -1,4 +1,4 @@
-/** The scheduler's side of the protocol. */
+/** The scheduler's implementation of the protocol between processes. */
 import {
     addResources,
     isFinalState,
@@ -39,7 +39,7 @@
 const noJob: NoJob = { kind: "no-job" };
 const notRecorded: NotRecorded = { kind: "not-recorded", retryAfter: journalStalledRetryAfter };
 
-/** Answers for the shards that this process owns. */
+/** Serves requests for the shards that this process owns and answers `not-owner` for all others. */
 export class LocalSchedulerService implements SchedulerService {
     readonly #candidates: ReadonlyMap<ShardId, ShardCandidate>;
 
@@ -51,18 +51,15 @@
         this.#candidates = new Map(candidates.map(candidate => [candidate.options.shard, candidate]));
     }
 
-    /** See {@link SchedulerService.submit}. */
     async submit(request: SubmitRequest) {
         return await this.#servingShard(request.shard)?.submit(request) ?? notOwner;
     }
 
-    /** See {@link SchedulerService.view}. */
     async view(request: JobRequest): Promise<JobAnswer | NoJob | NotOwner> {
         const owned = this.#servingShard(request.shard);
         return owned === undefined ? notOwner : buildJobAnswer(owned, findJobId(owned, request));
     }
 
-    /** See {@link SchedulerService.wait}. */
     async wait(request: WaitRequest): Promise<JobAnswer | NoJob | NotOwner> {
         const owned = this.#servingShard(request.shard);
         if (owned === undefined) {
@@ -86,7 +83,6 @@
         return answer;
     }
 
-    /** See {@link SchedulerService.cancel}. */
     async cancel(request: JobRequest): Promise<JobAnswer | NoJob | NotOwner | NotRecorded> {
         const owned = this.#servingShard(request.shard);
         if (owned === undefined) {
@@ -103,11 +99,10 @@
         });
     }
 
-    /** See {@link SchedulerService.acquire}. */
     async acquire(request: AcquireRequest): Promise<AcquireAnswer | NoService | NotOwner> {
         const owned = this.#servingShard(request.shard);
         if (owned?.scheduler.hasWorkerList !== true) {
-            // A new owner that knows no workers yet must not tell a gateway that it holds no slots.
+            // Until the worker list has been read, an empty grant would make the gateway drop the slots that it holds.
             return notOwner;
         }
         const grants = owned.scheduler.acquireSlots(request.service, request.request);
@@ -119,7 +114,6 @@
         return { kind: "granted", grants, duration, revision: this.watch.revision };
     }
 
-    /** See {@link SchedulerService.beginOnce}. */
     async beginOnce(request: OnceRequest): Promise<OnceAnswer | NotOwner | NotRecorded> {
         const owned = this.#servingShard(request.shard);
         if (owned === undefined) {
@@ -132,7 +126,6 @@
         });
     }
 
-    /** See {@link SchedulerService.endOnce}. */
     async endOnce(request: OnceRequest): Promise<OnceAnswer | NotOwner | NotRecorded> {
         const owned = this.#servingShard(request.shard);
         if (owned === undefined) {
@@ -144,7 +137,6 @@
         });
     }
 
-    /** See {@link SchedulerService.status}. */
     async status(): Promise<SchedulerStatus> {
         return {
             process: processId(this.values["process.name"]),
@@ -156,12 +148,10 @@
         };
     }
 
-    /** See {@link SchedulerService.currentSettings}. */
     async currentSettings(): Promise<StoredSettings | undefined> {
         return this.watch.stored;
     }
 
-    /** See {@link SchedulerService.ownedShards}. */
     async ownedShards(): Promise<readonly OwnedShardName[]> {
         return this.#allOwned().map(owned => ({ shard: owned.options.shard, epoch: owned.options.journal.epoch }));
     }
--- a/packages/scheduler/src/workers/index.ts
+++ b/packages/scheduler/src/workers/index.ts
@@ -1,2 +1,2 @@
-/** Messages between an owner and its workers. */
+/** Connections from the owner of a shard to its workers. */
 export * from "./worker-link.js";
--- a/packages/scheduler/src/workers/worker-link.ts
+++ b/packages/scheduler/src/workers/worker-link.ts
@@ -1,4 +1,4 @@
-/** One worker's messages: claims it, keeps its heartbeat going, sends starts and stops until they are answered. */
+/** Messages from the owner of a shard to one worker. */
 import {
     type Attempt,
     type ListedWorker,
@@ -13,7 +13,12 @@
 import { workerRetryDelay } from "../ownership/constants.js";
 import type { LinkedShard } from "../ownership/types.js";
 
-/** See the module's comment. */
+/**
+ * Claims a worker for the epoch of this owner, keeps its heartbeat going, and sends starts and stops until they are
+ * answered.
+ *
+ * If the worker refuses a message because it has seen a newer epoch, the shard is given up.
+ */
 export class WorkerLink {
     readonly #client: HttpWorkerClient;
     readonly #closed = createAbortController();
@@ -29,22 +34,22 @@
         this.#running = this.#run(this.#client);
     }
 
-    /** Starts an attempt; ends once the worker has answered or the attempt is no longer to be started. */
+    /** Sends a start until the worker has answered or the attempt is no longer to be started. */
     start(task: TaskId, attempt: Attempt): void {
         void this.#start(this.#client, task, attempt);
     }
 
-    /** Stops an attempt; ends once the worker has answered or the attempt is gone. */
+    /** Sends a stop until the worker has answered or the attempt is no longer current. */
     stop(message: StopMessage): void {
         void this.#stop(this.#client, message);
     }
 
-    /** Holds a task to its grant. Sent once: the next report that shows too much use leads to another. */
+    /** Limits a task to its grant. Not retried: the next report that shows excess use triggers another. */
     throttle(message: ThrottleMessage): void {
         void this.#client.throttle(message, this.#signal).catch(() => undefined);
     }
 
-    /** Ends all messages. */
+    /** Cancels all messages in flight and closes the connection. */
     async close(): Promise<void> {
         this.#closed.abort();
         this.#linkedSignal.release();
@@ -88,7 +93,7 @@
         }
     }
 
-    /** One heartbeat; resolves to whether the worker still knows this owner. */
+    /** Sends one heartbeat. Resolves to false when the worker has to be claimed again. */
     async #heartbeat(client: WorkerClient): Promise<boolean> {
         const { shard } = this;
         const { clock, watch, values } = shard.options;
@@ -116,7 +121,7 @@
         }
     }
 
-    /** Takes a report in. Its records need not be kept before the next heartbeat: leases must go on. */
+    /** Applies a report without waiting for its records to be committed, so that the next heartbeat renews leases in time. */
     async #applyReport(apply: () => ReturnType<LinkedShard["scheduler"]["tick"]>): Promise<void> {
         if (!this.#signal.aborted) {
             void this.shard.commit(apply());
