--- a/packages/gateway/src/callers/caller-server.ts
+++ b/packages/gateway/src/callers/caller-server.ts
@@ -1,24 +1,24 @@
-/** The HTTP server that faces callers. */
+/** HTTP server for callers. */
 import { errorBody, type ErrorName, logEvents, type Random } from "@pebbledale/core";
 import type { EventLogger } from "@pebbledale/runtime";
 import fastify, { type FastifyInstance } from "fastify";
 import { NoOwnerError } from "../owners/index.js";
 import { sendError } from "./send-error.js";
 
-/** A caller that sends its head more slowly than this is cut off, in milliseconds. */
+/** Time within which a caller must have sent its whole request, in milliseconds. */
 const receiveTimeout = 10_000;
 const keepAliveTimeout = 30_000;
 const noOwnerRetryAfter = 1_000;
 
-/** What the server needs. */
+/** Dependencies and limits of the caller server. */
 export interface CallerServerOptions {
-    /** Largest body in bytes. */
+    /** Maximum size of a request body in bytes. */
     readonly bodyLimit: number;
     readonly logger: EventLogger;
     readonly random: Random;
 }
 
-/** Makes the server that faces callers, without its paths: limits, and one form for all errors. */
+/** Creates the server without routes: it sets the limits and answers every error with a body of the error catalogue. */
 export const createCallerServer = ({ bodyLimit, logger, random }: CallerServerOptions): FastifyInstance => {
     const server = fastify({
         logger: false,
@@ -29,7 +29,8 @@
         forceCloseConnections: "idle",
         genReqId: () => random.name(),
         clientErrorHandler: (error, socket) => {
-            // What is not HTTP, or a head that never ends, gets one clear answer and the end of its connection.
+            // Input that cannot be parsed as HTTP, such as an oversized head, is answered once; then the connection is
+            // closed.
             if (socket.writable) {
                 const body = JSON.stringify(errorBody("bad-request", { reason: error.message }));
                 socket.write(
--- a/packages/gateway/src/callers/index.ts
+++ b/packages/gateway/src/callers/index.ts
@@ -1,4 +1,4 @@
-/** The callers' HTTP interface. */
+/** The HTTP interface for callers. */
 export * from "./caller-server.js";
 export * from "./job-routes.js";
 export * from "./send-error.js";
--- a/packages/gateway/src/callers/job-routes.ts
+++ b/packages/gateway/src/callers/job-routes.ts
@@ -1,4 +1,4 @@
-/** Paths of jobs: submit, look, wait, result, cancel, explain. */
+/** Routes that submit, view, explain, await and cancel jobs. */
 import {
     type Clock,
     isFinalState,
@@ -15,7 +15,7 @@
 import { NoOwnerError, type OwnerClient } from "../owners/index.js";
 import { sendError } from "./send-error.js";
 
-/** What the paths need. */
+/** Dependencies of the job routes. */
 export interface JobRoutesOptions {
     readonly owners: OwnerClient;
     readonly clock: Clock;
@@ -23,22 +23,24 @@
     readonly shardCount: number;
 }
 
-/** How long a call may take until an owner has answered, in milliseconds. */
+/** Timeout of a call that changes a job, including the search for a shard owner that answers. */
 const submitTimeout: Milliseconds = 5_000;
+/** Timeout of a call that reads a job, including the search for a shard owner that answers. */
 const viewTimeout: Milliseconds = 3_000;
+/** Maximum time that a caller may wait for the end of a job. */
 const maxWait: Milliseconds = 60_000;
-/** One call that waits at the owner; shorter than a caller's wait, so that a replaced owner is noticed. */
+/** Maximum wait per call to the owner; shorter than {@link maxWait}, so that a replaced owner is noticed. */
 const maxCallWait: Milliseconds = 10_000;
-/** When to come back while no owner answers. */
+/** Retry delay given to callers while no owner answers. */
 const noOwnerRetryAfter: Milliseconds = 1_000;
-/** When to come back for a result that is not there yet. */
+/** Retry delay given to callers for a result that is not available yet. */
 const resultRetryAfter: Milliseconds = 1_000;
 const statusCreated = 201;
 const statusFound = 200;
 
 type JobParameters = { job: string; };
 
-/** Adds the paths to a server. */
+/** Adds the `/jobs` routes to a server. */
 export const addJobRoutes = (server: FastifyInstance, options: JobRoutesOptions): void => {
     const { owners } = options;
     const viewJob = async (request: FastifyRequest, reply: FastifyReply): Promise<JobAnswer | undefined> => {
@@ -108,7 +110,7 @@
         }));
         return sendError(reply, "bad-request", { findings });
     }
-    // A key of our own makes the submission safe to send again while the owner is being replaced.
+    // A generated key allows the submission to be sent again while the owner is being replaced.
     const hasCallerKey = parsed.data.key !== undefined;
     const submission: JobSubmission = { ...parsed.data, key: parsed.data.key ?? `drawn-${options.random.name()}` };
     const shard = shardOfText(submission.service ?? submission.key!, options.shardCount);
@@ -184,7 +186,7 @@
     return answer;
 };
 
-/** A path names a job by its id, or as `key:KEY` by its caller's key. */
+/** Parses a job reference in a path: the id of a job, or `key:KEY` with the key that its caller chose. */
 const parseJobReference = (reference: string, shardCount: number): JobRequest & { shard: ShardId; } => {
     if (reference.startsWith("key:")) {
         const key = reference.slice("key:".length);
--- a/packages/gateway/src/callers/send-error.ts
+++ b/packages/gateway/src/callers/send-error.ts
@@ -1,8 +1,8 @@
-/** Answers of errors, in one form for all paths. */
+/** Error responses. */
 import { type ErrorBody, errorBody, type ErrorName, statusOf } from "@pebbledale/core";
 import type { FastifyReply } from "fastify";
 
-/** Sends an error of the catalogue; a time to come back goes into `Retry-After`, in whole seconds rounded up. */
+/** Sends an error of the catalogue. A retry delay is also sent as `Retry-After`, in seconds rounded up, at least 1. */
 export const sendError = (reply: FastifyReply, error: ErrorName, details: Partial<ErrorBody> = {}): FastifyReply => {
     const { retryAfterMilliseconds } = details;
     if (retryAfterMilliseconds !== undefined) {
--- a/packages/gateway/src/callers/service-routes.ts
+++ b/packages/gateway/src/callers/service-routes.ts
@@ -1,4 +1,4 @@
-/** Paths of live requests: `/services/NAME/...` goes to an instance of the service. */
+/** Routes that forward live requests. */
 import {
     type Clock,
     type ErrorName,
@@ -15,7 +15,7 @@
 import type { OwnerClient } from "../owners/index.js";
 import { sendError } from "./send-error.js";
 
-/** What the paths need. */
+/** Dependencies of the service routes. */
 export interface ServiceRoutesOptions {
     readonly owners: OwnerClient;
     readonly clock: Clock;
@@ -29,11 +29,13 @@
     readonly settingsPath: TreePath;
     readonly settingsTree: () => SettingsTree;
     readonly onSettingsRevision: (revision: number) => void;
-    /** Fires once all requests are answered. */
+    /**
+     * Ends the renewal of slots. Fires once all requests are answered, or at the latest after `process.stop_within`.
+     */
     readonly signal: AbortSignal;
 }
 
-/** Headers by which a caller says more of its request. */
+/** Headers by which a caller marks a request as unrepeatable, identifies it and limits its duration. */
 const unrepeatableHeader = "pebbledale-unrepeatable";
 const keyHeader = "pebbledale-key";
 const deadlineHeader = "pebbledale-deadline-milliseconds";
@@ -43,12 +45,12 @@
 const acquireTimeout: Milliseconds = 1_000;
 const acquireAttemptTimeout: Milliseconds = 300;
 const recordTimeout: Milliseconds = 3_000;
-/** Sends of one request at the most. */
+/** Maximum number of sends of one request. */
 const maxAttempts = 4;
 const statusServerError = 500;
 const idPattern = /^[A-Za-z0-9._:-]{1,200}$/;
 
-/** One request on its way. */
+/** A request that is being forwarded. */
 interface RequestContext {
     readonly request: LiveRequest;
     readonly service: string;
@@ -58,7 +60,7 @@
     readonly signal: AbortSignal;
 }
 
-/** What a context came to. */
+/** Result of forwarding a request. Without `error` the response, complete or not, has gone to the caller. */
 interface RequestOutcome {
     readonly error?: ErrorName;
     readonly status?: number;
@@ -67,7 +69,12 @@
     readonly isComplete: boolean;
 }
 
-/** Serves live requests. */
+/**
+ * Forwards `/services/NAME/...` to an instance of the service.
+ *
+ * Each send needs a slot of the service. Failed sends are repeated within a retry budget, unless the request is
+ * unrepeatable and may have run.
+ */
 export class ServiceRoutes {
     readonly forwarder = new Forwarder();
     readonly #brokers = new Map<string, SlotBroker>();
@@ -83,9 +90,8 @@
         ]);
     }
 
-    /** Adds the paths to a server. */
     add(server: FastifyInstance): void {
-        // A body is passed on byte for byte, whatever it says it is.
+        // Bodies are forwarded byte for byte, whatever their content type.
         server.removeAllContentTypeParsers();
         server.addContentTypeParser("*", { parseAs: "buffer" }, async (_request: unknown, body: Buffer) => body);
         server.all("/services/:service", (request, reply) => this.#serve(request, reply));
@@ -127,7 +133,10 @@
         return reply;
     }
 
-    /** An unrepeatable request is recorded before it is sent, and sent once. */
+    /**
+     * Records the request at the shard's owner before forwarding it, so that a second request of the same key is
+     * refused.
+     */
     async #forwardUnrepeatable(context: RequestContext, key: string): Promise<RequestOutcome> {
         const { owners, random, shardCount } = this.options;
         const { method, path, body } = context.request;
@@ -264,7 +273,7 @@
     }
 }
 
-/** Errors that are only given when no send can have been run. */
+/** Errors after which an unrepeatable request has certainly not been run. */
 const errorsWithoutEffect: readonly (ErrorName | undefined)[] = [
     "overloaded",
     "no-owner",
--- a/packages/gateway/src/cli/main.ts
+++ b/packages/gateway/src/cli/main.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** `pebbledale-gateway`: faces callers over HTTP. */
+/** Command line of `pebbledale-gateway`. */
 import { Builtins, Cli, Command, Option } from "clipanion";
 
 const version = "0.1.0";
@@ -25,5 +25,5 @@
 cli.register(RunCommand);
 cli.register(Builtins.HelpCommand);
 cli.register(Builtins.VersionCommand);
-// A connection that is still being opened must not keep a stopped process alive.
+// Exits explicitly, because a connection that is still being opened would keep the process alive.
 process.exit(await cli.run(process.argv.slice(2)));
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -1,4 +1,4 @@
-/** Puts a gateway together from its settings file and runs it until it is asked to stop. */
+/** Runs a gateway process from its settings file until SIGTERM or SIGINT. */
 import { logEvents, settingsRevision, SystemClock, SystemRandom } from "@pebbledale/core";
 import {
     BurnRecorder,
@@ -25,7 +25,10 @@
 
 const noOwnerRetryAfter = 1_000;
 
-/** Runs the program; resolves to its exit code. `print` shows findings to the operator. */
+/**
+ * Runs a gateway, or only validates its settings file if `checkOnly` is set. Resolves to the process exit code; `print`
+ * writes validation errors for the operator.
+ */
 export const runGateway = (file: string, checkOnly: boolean, print: PrintLine): Promise<number> =>
     runFromFile({ name: "pebbledale-gateway", schema: gatewaySchema, serve }, file, checkOnly, print);
 
@@ -83,7 +86,7 @@
     const running = [watch.run(), owners.run()];
     await untilAborted(stop);
     logger.log(logEvents.processStopping);
-    // The balancer sees that this gateway is not ready before it closes; what was sent until then is served.
+    // Keeps serving while the load balancer takes notice that this gateway is no longer ready.
     await clock.sleep(values["listen.drain"]);
     await Promise.race([callers.close(), clock.sleep(values["process.stop_within"])]);
     background.abort();
@@ -91,7 +94,7 @@
     await Promise.all([owners.close(), services.forwarder.close(), store.close(), administration.close()]);
 };
 
-/** A gateway without settings guesses none: it serves nothing yet. */
+/** Rejects all requests until the first settings revision has been read: defaults may differ from what is in force. */
 const refuseWithoutSettings = (callers: FastifyInstance, watch: SettingsWatch): void => {
     callers.addHook("onRequest", async (_request, reply) => {
         if (watch.revision > 0) {
--- a/packages/gateway/src/index.ts
+++ b/packages/gateway/src/index.ts
@@ -1,4 +1,4 @@
-/** The gateway program and its parts that tests reach. */
+/** Public interface of the gateway package. */
 export * from "./callers/index.js";
 export { runGateway } from "./gateway.js";
 export * from "./live/index.js";
--- a/packages/gateway/src/live/forwarder.ts
+++ b/packages/gateway/src/live/forwarder.ts
@@ -1,35 +1,35 @@
-/** Sends one live request to an instance and its answer back, byte for byte. */
+/** Forwards live requests to instances. */
 import type { ServerResponse } from "node:http";
 import { pipeline } from "node:stream/promises";
 import { Pool } from "undici";
 
-/** A caller's request, read whole so that it can be sent again. */
+/** A caller's request, buffered whole so that it can be sent again. */
 export interface LiveRequest {
     readonly id: string;
     readonly method: string;
-    /** Path and query as the instance is to see them. */
+    /** Path and query that are sent to the instance. */
     readonly path: string;
     readonly headers: Readonly<Record<string, string | string[] | undefined>>;
     readonly body: Buffer | undefined;
 }
 
-/** What became of one send. */
+/** Result of sending a request to an instance once. */
 export type SendOutcome =
-    /** The whole answer went to the caller. */
+    /** The caller received the whole response. */
     | { readonly kind: "answered"; readonly status: number; }
-    /** The answer broke off; the caller sees its connection end. */
+    /** The response broke off; the caller's connection was closed. */
     | { readonly kind: "cut"; readonly cause: string; }
-    /** The instance surely did not run it. */
+    /** The instance has certainly not run the request. */
     | { readonly kind: "not-run"; readonly cause: string; }
-    /** No answer began; it may have run. */
+    /** No usable response arrived; the instance may have run the request. */
     | { readonly kind: "may-have-run"; readonly cause: string; };
 
-/** The header that carries a request's id. */
+/** The header that carries the id of a request, in both directions. */
 export const requestIdHeader = "pebbledale-request-id";
-/** The header by which an instance says that it did not run the request. */
+/** The header by which an instance reports that it did not run the request. */
 export const refusedHeader = "pebbledale-refused";
 
-/** Headers that belong to one connection and are not passed on. */
+/** Headers that apply to a single connection and are not forwarded. */
 const hopByHopHeaders = new Set([
     "connection",
     "host",
@@ -46,14 +46,20 @@
 const keepAliveTimeout = 20_000;
 const connectTimeout = 1_000;
 
-/** Errors that come before any byte of the request was sent. */
+/** Codes of errors that occur before any byte of the request is sent. */
 const notSentErrorCodes = new Set(["ECONNREFUSED", "UND_ERR_CONNECT_TIMEOUT", "EHOSTUNREACH", "ENETUNREACH"]);
 
-/** Keeps connections to instances. */
+/**
+ * Sends requests to instances over pooled connections and streams their responses back to the callers, byte for byte.
+ */
 export class Forwarder {
     readonly #pools = new Map<string, Pool>();
 
-    /** Sends a request to an instance; the answer's head and body go to `reply` as they come. */
+    /**
+     * Sends a request to the instance at `address` and streams its response to `reply`. Writes nothing to `reply` if
+     * the outcome is `not-run` or `may-have-run`. `timeout` in milliseconds limits the wait for the head and for each
+     * part of the body.
+     */
     async send(
         request: LiveRequest,
         address: string,
@@ -84,8 +90,8 @@
         }
         const responseId = response.headers[requestIdHeader];
         if (responseId !== undefined && responseId !== request.id) {
-            // An answer to another request: it never reaches this caller.
-            // Without a listener the end of an unread body would be an error that nobody takes.
+            // A response to another request must not reach this caller.
+            // Destroying an unread body emits an error, which would be uncaught without a listener.
             response.body.on("error", () => undefined).destroy();
             return { kind: "may-have-run", cause: `the answer belongs to request ${responseId}` };
         }
@@ -100,7 +106,6 @@
         }
     }
 
-    /** Ends all connections. */
     async close(): Promise<void> {
         await Promise.all([...this.#pools.values()].map(pool => pool.close()));
     }
@@ -108,7 +113,7 @@
     #poolOf(address: string): Pool {
         let pool = this.#pools.get(address);
         if (pool === undefined) {
-            // The slots bound how many requests go to an instance at once, and so its connections.
+            // No limit on connections: slots already limit the concurrent requests to an instance.
             pool = new Pool(`http://${address}`, { pipelining: 1, keepAliveTimeout, connectTimeout });
             this.#pools.set(address, pool);
         }
@@ -126,7 +131,7 @@
     return kept;
 };
 
-/** The answer's own length is kept, so that a caller can tell a whole body from a cut one. */
+/** Keeps the instance's `content-length`, so that a caller can detect a truncated body. */
 const responseHeaders = (headers: LiveRequest["headers"]): Record<string, string | string[]> => {
     const kept = endToEndHeaders(headers);
     const length = headers["content-length"];
--- a/packages/gateway/src/live/index.ts
+++ b/packages/gateway/src/live/index.ts
@@ -1,4 +1,4 @@
-/** Live requests: slots, limits of waiting and of retries, and sending to an instance. */
+/** Forwarding of live requests: slots, the retry budget, and connections to instances. */
 export * from "./forwarder.js";
 export * from "./retry-budget.js";
 export * from "./slot-broker.js";
--- a/packages/gateway/src/live/retry-budget.ts
+++ b/packages/gateway/src/live/retry-budget.ts
@@ -1,18 +1,21 @@
-/** Limits repeated sends to a share of first sends, so that retries do not multiply under overload. */
+/** Limit on the retries of live requests. */
 
-/** Sends that may be repeated at once after a quiet time. */
+/** Number of retries that are allowed in a burst. */
 const maxTokens = 10;
 
-/** A budget that first sends fill and repeated sends use. */
+/**
+ * A token bucket that limits retries to a share of first attempts, so that retries do not multiply the load when
+ * instances are overloaded.
+ */
 export class RetryBudget {
     #tokens = maxTokens;
 
-    /** Notes a first send. `share`: repeated sends allowed a first send. */
+    /** Adds `retryShare` tokens: the number of retries allowed per first attempt. */
     recordFirstAttempt(retryShare: number): void {
         this.#tokens = Math.min(maxTokens, this.#tokens + retryShare);
     }
 
-    /** Takes one repeated send; false when the budget is used up. */
+    /** Takes the token for one retry; returns false if there is none. */
     tryConsume(): boolean {
         if (this.#tokens < 1) {
             return false;
--- a/packages/gateway/src/live/slot-broker.ts
+++ b/packages/gateway/src/live/slot-broker.ts
@@ -1,43 +1,41 @@
-/**
- * Slots of one service at one gateway.
- *
- * The gateway holds a standing bundle that it renews while it lasts, so a request takes a slot without a call, also
- * while the shard's owner is being replaced. A request that would wait longer than the limit is refused at once.
- */
+/** Allocation of the slots of one service to the live requests at one gateway. */
 import type { Clock, Milliseconds, SlotGrant, SlotRequest, TaskId, WorkerId } from "@pebbledale/core";
 
-/** A slot that a request holds until it is released. */
+/** A slot of an instance: the right to have one request in flight there until the slot is released. */
 export interface Slot {
     readonly task: TaskId;
     readonly worker: WorkerId;
     readonly address: string;
 }
 
-/** What became of asking for a slot. */
+/** Result of acquiring a slot. */
 export type SlotOutcome =
     | { readonly kind: "slot"; readonly slot: Slot; }
     | { readonly kind: "overloaded"; readonly retryAfter: Milliseconds; }
     | { readonly kind: "no-service"; }
     | { readonly kind: "no-owner"; readonly retryAfter: Milliseconds; };
 
-/** A bundle that was granted. */
+/** Slots of a service that the shard's owner has granted to this gateway for a limited time. */
 export interface SlotBundle {
     readonly grants: readonly SlotGrant[];
-    /** How long it may be used from when it was asked for. */
+    /** How long the slots may be used, counted from when the request for them was sent. */
     readonly duration: Milliseconds;
 }
 
-/** Asks the shard's owner for slots; undefined when the service is not existing. Rejects when no owner answers. */
+/**
+ * Requests slots from the owner of the shard. Resolves to undefined if the service is unknown; rejects if no owner
+ * answers.
+ */
 export type RequestSlots = (request: SlotRequest) => Promise<SlotBundle | undefined>;
 
-/** What a broker needs. */
+/** Dependencies and limits of a slot broker. */
 export interface SlotBrokerOptions {
     readonly clock: Clock;
     readonly signal: AbortSignal;
     readonly gateway: SlotRequest["gateway"];
     readonly dataHall: string;
     readonly ask: RequestSlots;
-    /** Longest expected wait for a slot; read at each request. */
+    /** Returns the maximum expected wait for a slot; read for each request. */
     readonly waitLimit: () => Milliseconds;
 }
 
@@ -48,7 +46,7 @@
     slots: number;
     inUse: number;
     expiresAt: Milliseconds;
-    /** Not chosen before then: it just refused or failed a request. */
+    /** Other instances are preferred until then, because this one has failed a request. */
     avoidUntil: Milliseconds;
 }
 
@@ -56,26 +54,32 @@
     readonly resolve: (outcome: SlotOutcome) => void;
 }
 
-/** Time between two renewals of a bundle. */
+/** Interval between renewals of the bundle. */
 const renewInterval: Milliseconds = 500;
-/** Least time between two calls that ask for more. */
+/** Minimum interval between requests to the shard's owner. */
 const minRequestInterval: Milliseconds = 50;
-/** Weight of the newest request in the mean time that a slot is held. */
+/** Weight of the newest request in the moving average of the time that a slot is held. */
 const holdTimeWeight = 0.05;
-/** Mean time that a slot is held before any was. */
+/** Assumed time that a slot is held, before the first measurement. */
 const initialHoldTime: Milliseconds = 50;
-/** How long an instance that failed a request is not chosen. */
+/** How long other instances are preferred after an instance has failed a request. */
 const avoidDuration: Milliseconds = 500;
-/** When to come back while no owner answers. */
+/** Retry delay given to callers while no owner answers. */
 const noOwnerRetryAfter: Milliseconds = 1_000;
-/** How long the first request of a service may wait for the first bundle. */
+/** Maximum wait of requests that arrive before the first bundle. */
 const maxFirstBundleWait: Milliseconds = 1_500;
-/** Share of the greatest demand that is kept from one renewal to the next. */
+/** Factor by which the peak demand decays from one renewal to the next. */
 const demandDecay = 0.8;
-/** A service without requests for this long gives its bundle up. */
+/** The bundle is no longer renewed after this time without requests. */
 const idleTimeout: Milliseconds = 60_000;
 
-/** See the module's comment. */
+/**
+ * Allocates the slots of one service at one gateway.
+ *
+ * The broker renews a bundle of slots in the background, so that a request acquires a slot without a call, even while
+ * the owner of the shard is being replaced. Requests without a free slot wait in order of arrival; one whose expected
+ * wait exceeds the limit is refused at once.
+ */
 export class SlotBroker {
     readonly #instances = new Map<TaskId, Instance>();
     readonly #waiters: Waiter[] = [];
@@ -93,7 +97,6 @@
         this.#lastUsedAt = options.clock.monotonic();
     }
 
-    /** Number of requests that wait for a slot. */
     get waitingCount(): number {
         return this.#waiters.length;
     }
@@ -112,7 +115,7 @@
         this.#waiters.splice(0).forEach(waiter => waiter.resolve({ kind: "no-owner", retryAfter: noOwnerRetryAfter }));
     }
 
-    /** Takes a slot, now or after a short wait. */
+    /** Acquires a slot, waiting for one if necessary. Never rejects. */
     async take(): Promise<SlotOutcome> {
         const now = this.options.clock.monotonic();
         this.#lastUsedAt = now;
@@ -136,7 +139,7 @@
         });
     }
 
-    /** Gives a slot back. `held`: how long it was used. `failed`: the instance refused or failed. */
+    /** Returns a slot. `holdTime` is how long it was held; `failed` makes other instances preferred for a while. */
     release(slot: Slot, holdTime: Milliseconds, failed: boolean): void {
         const now = this.options.clock.monotonic();
         this.#inUse--;
@@ -151,7 +154,7 @@
         this.#serveWaiters(now);
     }
 
-    /** Slots that may be used now. */
+    /** Number of unexpired slots, both free and in use. */
     #usableSlots(now: Milliseconds): number {
         let sum = 0;
         for (const instance of this.#instances.values()) {
@@ -176,7 +179,7 @@
         return { task: best.task, worker: best.worker, address: best.address };
     }
 
-    /** Whether a request that comes now would wait too long, from the rate at which slots come free. */
+    /** Returns a refusal if a new request would wait too long, estimated from the mean time that slots are held. */
     #checkExpectedWait(now: Milliseconds): SlotOutcome | undefined {
         const slots = this.#usableSlots(now);
         if (slots === 0) {
@@ -191,7 +194,7 @@
             : { kind: "overloaded", retryAfter: Math.ceil(expectedWait) };
     }
 
-    /** Answers a request that has waited to the limit; it is not held any longer. */
+    /** Refuses a waiting request that has not received a slot within the limit. */
     async #expireWaiter(waiter: Waiter): Promise<void> {
         const { clock, waitLimit } = this.options;
         const maxWait = this.#hasHadBundle ? Math.max(waitLimit(), minRequestInterval) : maxFirstBundleWait;
@@ -280,6 +283,6 @@
     }
 }
 
-/** Share of an instance's slots in use; an instance to be avoided comes after all others. */
+/** Share of an instance's slots in use, increased by 1 while it is to be avoided, so that it is selected last. */
 const loadOf = (instance: Instance, now: Milliseconds): number =>
     instance.inUse / instance.slots + (instance.avoidUntil > now ? 1 : 0);
--- a/packages/gateway/src/owners/index.ts
+++ b/packages/gateway/src/owners/index.ts
@@ -1,2 +1,2 @@
-/** Which scheduler owns each shard, and calls to it. */
+/** Discovery of the shard owners and calls to them. */
 export * from "./owner-directory.js";
--- a/packages/gateway/src/owners/owner-directory.ts
+++ b/packages/gateway/src/owners/owner-directory.ts
@@ -1,4 +1,4 @@
-/** Finds the owner of a shard: from a watch on the platform, and from the schedulers themselves while that is silent. */
+/** Discovery of the shard owners and calls to them. */
 import {
     type Clock,
     logEvents,
@@ -17,15 +17,15 @@
     SchedulerUnreachableError,
 } from "@pebbledale/runtime";
 
-/** Longest wait in one watch, in milliseconds. */
+/** Maximum duration of one watch on the owner keys, in milliseconds. */
 const maxWatchDuration = 20_000;
 const watchRetryDelay = 500;
-/** How long a scheduler may take to say which shards it owns, in milliseconds. */
+/** Timeout of a query to one scheduler for its shards or settings, in milliseconds. */
 const queryTimeout = 300;
-/** Wait before the owner is looked for again, in milliseconds. */
+/** Delay before a call is repeated after the owner was looked up again, in milliseconds. */
 const lookupDelay = 50;
 
-/** Thrown when no owner answered in time. Whether a call had an effect is not known if `mayHaveArrived`. */
+/** Thrown when no owner answered in time. If `mayHaveArrived` is set, a call may have taken effect. */
 export class NoOwnerError extends Error {
     override readonly name = "NoOwnerError";
 
@@ -34,9 +34,12 @@
     }
 }
 
-/** Calls to the owner of a shard, whoever that is. */
+/** Calls the owner of a shard, whichever scheduler that is. */
 export interface OwnerClient {
-    /** See {@link OwnerDirectory.call}. */
+    /**
+     * Calls the owner of a shard and, if that fails, whichever scheduler owns it by then; the call must therefore be
+     * safe to repeat. Rejects with {@link NoOwnerError} if no owner has answered within `timeout`.
+     */
     call<Answer extends OwnerAnswer>(
         shard: ShardId,
         timeout: Milliseconds,
@@ -45,7 +48,7 @@
     ): Promise<Exclude<Answer, { kind: "not-owner"; }>>;
 }
 
-/** What the directory needs. */
+/** Dependencies of the owner directory. */
 export interface OwnerDirectoryOptions {
     readonly store: PlatformStore;
     readonly clock: Clock;
@@ -54,12 +57,17 @@
     readonly signal: AbortSignal;
 }
 
-/** Every answer says its kind. */
+/** Common form of all answers to calls, told apart by `kind`. */
 export interface OwnerAnswer {
     readonly kind: string;
 }
 
-/** See the module's comment. */
+/**
+ * Tracks which scheduler owns each shard.
+ *
+ * Owners are read from a watch on the platform's store. When a call to an owner fails, all schedulers are asked which
+ * shards they own, so that calls also find a new owner while the platform does not answer.
+ */
 export class OwnerDirectory implements OwnerClient {
     readonly #clients: ReadonlyMap<string, SchedulerClient>;
     readonly #ownerAddresses = new Map<ShardId, string>();
@@ -68,7 +76,7 @@
         this.#clients = new Map(options.schedulerAddresses.map(address => [address, new SchedulerClient(address)]));
     }
 
-    /** Watches the owners until the signal fires. */
+    /** Watches the owner keys in the platform's store until the signal fires. */
     async run(): Promise<void> {
         const { store, clock, signal } = this.options;
         let cursor = "";
@@ -89,10 +97,6 @@
         }
     }
 
-    /**
-     * Makes a call to the owner of a shard, whoever that is by then; for calls that may be made twice.
-     * Rejects with {@link NoOwnerError} when none answered within `limit` milliseconds.
-     */
     async call<Answer extends OwnerAnswer>(
         shard: ShardId,
         timeout: Milliseconds,
@@ -128,7 +132,7 @@
         throw new NoOwnerError(shard, mayHaveArrived);
     }
 
-    /** The settings that each scheduler holds. */
+    /** Queries all schedulers for the settings they hold; those that do not answer in time are left out. */
     async querySettings(): Promise<StoredSettings[]> {
         const answers = await Promise.allSettled(
             [...this.#clients.values()].map(client =>
@@ -140,12 +144,14 @@
         );
     }
 
-    /** Ends all connections. */
     async close(): Promise<void> {
         await Promise.all([...this.#clients.values()].map(client => client.close()));
     }
 
-    /** Asks every scheduler which shards it owns. One that was cut off may believe it still does; the epoch tells. */
+    /**
+     * Asks all schedulers which shards they own. Several may claim the same shard; the one with the highest epoch owns
+     * it.
+     */
     async #lookUpOwner(shard: ShardId): Promise<void> {
         let highestEpoch = 0;
         await Promise.allSettled([...this.#clients].map(async ([address, client]) => {
--- a/packages/scheduler/src/index.ts
+++ b/packages/scheduler/src/index.ts
@@ -1,2 +1,2 @@
-/** Exports the scheduler program, so that the evidence package can run it in its own process. */
+/** Public interface of the scheduler package. */
 export { runScheduler } from "./scheduler.js";
--- a/packages/scheduler/src/ownership/owned-shard.ts
+++ b/packages/scheduler/src/ownership/owned-shard.ts
@@ -93,8 +93,8 @@
     }
 
     /**
-     * Commits the records of a transition to the journal, then executes its effects. If the journal refuses the records, the
-     * shard is lost and the effects are dropped; the promise resolves all the same.
+     * Commits the records of a transition to the journal, then executes its effects. If the journal refuses the
+     * records, the shard is lost and the effects are dropped; the promise resolves all the same.
      */
     async commit(transition: Transition): Promise<void> {
         if (transition.records.length > 0) {
@@ -118,7 +118,7 @@
         const committed = this.commit(transition).then(() => !this.options.lost.signal.aborted);
         const isCommitted = await Promise.race([committed, this.options.clock.sleep(commitTimeout).then(() => false)]);
         if (!isCommitted && transition.records.length > 0) {
-            throw new NotRecordedError(`the records were not committed within ${commitTimeout} ms`);
+            throw new NotRecordedError("the records were not committed in time");
         }
     }
 
--- a/packages/scheduler/src/ownership/shard-candidate.ts
+++ b/packages/scheduler/src/ownership/shard-candidate.ts
@@ -25,9 +25,9 @@
 /**
  * A scheduler's candidacy for one shard.
  *
- * Waits until the shard has no owner, claims it with a key in the platform's store that is bound to a lease, and serves it
- * until it is lost to another owner or handed over at shutdown. Two processes may both believe that they own the shard for
- * a while; the epoch of the journal decides which of them can commit.
+ * Waits until the shard has no owner, claims it with a key in the platform's store that is bound to a lease, and serves
+ * it until it is lost to another owner or handed over at shutdown. Two processes may both believe that they own the
+ * shard for a while; the epoch of the journal decides which of them can commit.
  */
 export class ShardCandidate {
     #owned: OwnedShard | undefined;
@@ -62,7 +62,10 @@
         }
     }
 
-    /** Resolves to the lease if this process wrote the owner key; if another holds the key, waits for it to change first. */
+    /**
+     * Resolves to the lease if this process wrote the owner key; if another holds the key, waits for it to change
+     * first.
+     */
     async #claimKey(stop: AbortSignal): Promise<PlatformLeaseId | undefined> {
         const { store, shard, owner, values, random } = this.options;
         const key = ownerKeyOf(shard);
@@ -77,7 +80,9 @@
         return await this.#writeOwner(key, value, lease) ? lease : undefined;
     }
 
-    /** Creates the owner key. If the answer was lost, the nonce in the stored value tells whether this write succeeded. */
+    /**
+     * Creates the owner key. If the answer was lost, the nonce in the stored value tells whether this write succeeded.
+     */
     async #writeOwner(key: string, value: OwnerValue, lease: PlatformLeaseId): Promise<boolean> {
         const { store } = this.options;
         try {
@@ -154,8 +159,8 @@
                 lastRenewal.at = sentAt;
             }
             catch {
-                // A failed renewal does not end ownership: the epoch of the journal fences off former owners, and leases to workers
-                // are granted only up to the horizon after the last confirmation.
+                // A failed renewal does not end ownership: the epoch of the journal fences off former owners, and
+                // leases to workers are granted only up to the horizon after the last confirmation.
             }
         }
     }
--- a/packages/scheduler/src/ownership/types.ts
+++ b/packages/scheduler/src/ownership/types.ts
@@ -44,7 +44,10 @@
 export interface LinkedShard {
     readonly options: OwnedShardOptions;
     readonly scheduler: ShardScheduler;
-    /** Commits the records of a transition to the journal, then executes its effects. Resolves even if the shard is lost. */
+    /**
+     * Commits the records of a transition to the journal, then executes its effects. Resolves even if the shard is
+     * lost.
+     */
     commit(transition: Transition): Promise<void>;
     /** Schedules a scheduling cycle; requests made before it starts are merged. */
     requestCycle(): void;
--- a/packages/scheduler/src/scheduler.ts
+++ b/packages/scheduler/src/scheduler.ts
@@ -29,8 +29,8 @@
 const peerQueryTimeout = 500;
 
 /**
- * Runs a scheduler, or only validates its settings file if `checkOnly` is set. Resolves to the process exit code; `print`
- * writes validation errors for the operator.
+ * Runs a scheduler, or only validates its settings file if `checkOnly` is set. Resolves to the process exit code;
+ * `print` writes validation errors for the operator.
  */
 export const runScheduler = (file: string, checkOnly: boolean, print: PrintLine): Promise<number> =>
     runFromFile({ name: "pebbledale-scheduler", schema: schedulerSchema, serve }, file, checkOnly, print);
--- a/packages/scheduler/src/workers/worker-link.ts
+++ b/packages/scheduler/src/workers/worker-link.ts
@@ -121,7 +121,10 @@
         }
     }
 
-    /** Applies a report without waiting for its records to be committed, so that the next heartbeat renews leases in time. */
+    /**
+     * Applies a report without waiting for its records to be committed, so that the next heartbeat renews leases in
+     * time.
+     */
     async #applyReport(apply: () => ReturnType<LinkedShard["scheduler"]["tick"]>): Promise<void> {
         if (!this.#signal.aborted) {
             void this.shard.commit(apply());
