--- a/packages/gateway/test/live/forwarder.test.ts
+++ b/packages/gateway/test/live/forwarder.test.ts
@@ -7,20 +7,20 @@
 
 type Handler = (request: IncomingMessage, response: ServerResponse) => void;
 
-const closing: (() => void)[] = [];
+const cleanups: (() => void)[] = [];
 
 const listen = (handler: Handler): Promise<string> =>
     new Promise(resolve => {
         const server: Server = createServer(handler).listen(0, "127.0.0.1", () => {
             resolve(`127.0.0.1:${(server.address() as AddressInfo).port}`);
         });
-        closing.push(() => {
+        cleanups.push(() => {
             server.closeAllConnections();
             server.close();
         });
     });
 
-const live: LiveRequest = {
+const liveRequest: LiveRequest = {
     id: "request-1",
     method: "POST",
     path: "/x?y=1",
@@ -28,24 +28,24 @@
     body: Buffer.from("body"),
 };
 
-/** Passes one request through a forwarder to an instance; the outcome, and what the caller saw. */
-const pass = async (
+/** Forwards one request to an instance; resolves to the outcome and the response that the caller received. */
+const forward = async (
     address: string,
 ): Promise<{ outcome: SendOutcome; status?: number; text?: string; headers?: IncomingMessage["headers"]; }> => {
     const forwarder = new Forwarder();
-    let settle!: (outcome: SendOutcome) => void;
+    let resolveOutcome!: (outcome: SendOutcome) => void;
     const outcome = new Promise<SendOutcome>(resolve => {
-        settle = resolve;
+        resolveOutcome = resolve;
     });
-    const front = await listen(async (_request, response) => {
-        const result = await forwarder.send(live, address, response, 5_000, new AbortController().signal);
+    const gateway = await listen(async (_request, response) => {
+        const result = await forwarder.send(liveRequest, address, response, 5_000, new AbortController().signal);
         if (result.kind === "not-run" || result.kind === "may-have-run") {
             response.writeHead(502).end();
         }
-        settle(result);
+        resolveOutcome(result);
     });
     try {
-        const answer = await request(`http://${front}/`);
+        const answer = await request(`http://${gateway}/`);
         const text = await answer.body.text();
         return {
             outcome: await outcome,
@@ -60,9 +60,9 @@
 };
 
 describe("Forwarder", () => {
-    afterEach(() => closing.splice(0).forEach(close => close()));
+    afterEach(() => cleanups.splice(0).forEach(close => close()));
 
-    it("keeps method, headers, status and body, byte for byte", async () => {
+    it("forwards method, headers, status and body unchanged", async () => {
         const address = await listen((incoming, response) => {
             const chunks: Buffer[] = [];
             incoming.on("data", (chunk: Buffer) => chunks.push(chunk)).on("end", () => {
@@ -73,7 +73,7 @@
                 response.end(Buffer.concat(chunks));
             });
         });
-        const { outcome, status, text, headers } = await pass(address);
+        const { outcome, status, text, headers } = await forward(address);
         expect(outcome).toEqual({ kind: "answered", status: 418 });
         expect(status).toEqual(418);
         expect(text).toEqual("first body");
@@ -82,41 +82,41 @@
     });
 
     for (const framing of ["of known length", "in chunks"]) {
-        it(`makes an answer ${framing} that breaks off an error at the caller, never a short success`, async () => {
+        it(`fails the connection of the caller when a response ${framing} breaks off`, async () => {
             const address = await listen((_incoming, response) => {
                 response.writeHead(200, framing === "in chunks" ? {} : { "content-length": 100 });
                 response.write("only half", () => response.destroy());
             });
-            const { outcome, text } = await pass(address);
+            const { outcome, text } = await forward(address);
             expect(outcome.kind).toEqual("cut");
             expect(text).toEqual(undefined);
         });
     }
 
-    it("gives no caller the answer to another request", async () => {
+    it("does not forward a response to another request", async () => {
         const address = await listen((_incoming, response) => {
             response.writeHead(200, { "pebbledale-request-id": "request-2" }).end("not yours");
         });
-        const { outcome, status } = await pass(address);
+        const { outcome, status } = await forward(address);
         expect(outcome.kind).toEqual("may-have-run");
         expect(status).toEqual(502);
     });
 
-    it("knows that a refused request was not run", async () => {
+    it("reports a request that the instance refused as not run", async () => {
         const address = await listen((_incoming, response) => {
             response.writeHead(503, { "pebbledale-refused": "busy" }).end();
         });
-        expect((await pass(address)).outcome).toEqual({ kind: "not-run", cause: "busy" });
+        expect((await forward(address)).outcome).toEqual({ kind: "not-run", cause: "busy" });
     });
 
-    it("knows that a request was not run when nothing listens", async () => {
+    it("reports a request as not run when the connection is refused", async () => {
         const address = await listen(() => undefined);
-        closing.splice(0).forEach(close => close());
-        expect((await pass(address)).outcome.kind).toEqual("not-run");
+        cleanups.splice(0).forEach(close => close());
+        expect((await forward(address)).outcome.kind).toEqual("not-run");
     });
 
-    it("does not know when the connection ends before an answer began", async () => {
+    it("reports that a request may have run when the connection closes before a response", async () => {
         const address = await listen(incoming => incoming.socket.destroy());
-        expect((await pass(address)).outcome.kind).toEqual("may-have-run");
+        expect((await forward(address)).outcome.kind).toEqual("may-have-run");
     });
 });
--- a/packages/gateway/test/live/slot-broker.test.ts
+++ b/packages/gateway/test/live/slot-broker.test.ts
@@ -3,8 +3,8 @@
 import { describe, it } from "node:test";
 import { RetryBudget, type Slot, SlotBroker, type SlotOutcome } from "../../src/index.js";
 
-/** Lets promises settle. */
-const settle = () => new Promise<void>(resolve => setImmediate(resolve));
+/** Waits until pending promise callbacks have run. */
+const flushPromises = () => new Promise<void>(resolve => setImmediate(resolve));
 
 const grantOf = (index: number, slots: number): SlotGrant => ({
     task: `shard-0.1.1/${index}` as TaskId,
@@ -13,13 +13,13 @@
     slots,
 });
 
-/** A broker whose owner answers as the test says, in time that the test moves. */
-class Bench {
+/** A broker on a manual clock, with an owner whose answers the test sets. */
+class BrokerFixture {
     readonly clock = new ManualClock();
     readonly end = new AbortController();
-    readonly asked: SlotRequest[] = [];
+    readonly requests: SlotRequest[] = [];
     grants: SlotGrant[] | undefined = [];
-    ownerAnswers = true;
+    isOwnerReachable = true;
     readonly broker = new SlotBroker({
         clock: this.clock,
         signal: this.end.signal,
@@ -27,8 +27,8 @@
         dataHall: "hall-0",
         waitLimit: () => 200,
         ask: async request => {
-            this.asked.push(request);
-            if (!this.ownerAnswers) {
+            this.requests.push(request);
+            if (!this.isOwnerReachable) {
                 throw new Error("no owner");
             }
             return this.grants === undefined ? undefined : { grants: this.grants, duration: 10_000 };
@@ -43,7 +43,7 @@
     async advance(duration: number): Promise<void> {
         for (let passed = 0; passed < duration; passed += 50) {
             this.clock.advance(50);
-            await settle();
+            await flushPromises();
         }
     }
 }
@@ -56,99 +56,99 @@
 };
 
 describe("SlotBroker", () => {
-    it("takes slots without a call and spreads them by load", async () => {
-        const bench = new Bench([grantOf(0, 2), grantOf(1, 2)]);
-        await settle();
-        const calls = bench.asked.length;
-        const slots = await Promise.all([1, 2, 3, 4].map(() => bench.broker.take()));
+    it("acquires slots without a call and balances them by load", async () => {
+        const fixture = new BrokerFixture([grantOf(0, 2), grantOf(1, 2)]);
+        await flushPromises();
+        const calls = fixture.requests.length;
+        const slots = await Promise.all([1, 2, 3, 4].map(() => fixture.broker.take()));
         expect(slots.map(outcome => slotOf(outcome).worker).sort()).toEqual(
             ["worker-0", "worker-0", "worker-1", "worker-1"].map(workerId),
         );
-        expect(bench.asked.length).toEqual(calls);
-        bench.end.abort();
+        expect(fixture.requests.length).toEqual(calls);
+        fixture.end.abort();
     });
 
-    it("refuses at once what would wait longer than the limit, and says when to come back", async () => {
-        const bench = new Bench([grantOf(0, 1)]);
-        await settle();
-        await bench.broker.take();
-        // One slot, held for 50 ms in the mean at first: four may wait, the fifth would wait for 250 ms.
-        const waiting = [1, 2, 3, 4].map(() => bench.broker.take());
-        expect(await bench.broker.take()).toEqual({ kind: "overloaded", retryAfter: 250 });
-        expect(bench.broker.waitingCount).toEqual(4);
-        await bench.advance(250);
+    it("refuses a request at once if its expected wait exceeds the limit, with a retry delay", async () => {
+        const fixture = new BrokerFixture([grantOf(0, 1)]);
+        await flushPromises();
+        await fixture.broker.take();
+        // One slot with an assumed hold time of 50 ms: four requests may wait, the fifth would wait 250 ms.
+        const waiting = [1, 2, 3, 4].map(() => fixture.broker.take());
+        expect(await fixture.broker.take()).toEqual({ kind: "overloaded", retryAfter: 250 });
+        expect(fixture.broker.waitingCount).toEqual(4);
+        await fixture.advance(250);
         expect((await Promise.all(waiting)).map(outcome => outcome.kind)).toEqual(
             Array.from({ length: 4 }, () => "overloaded"),
         );
-        bench.end.abort();
+        fixture.end.abort();
     });
 
-    it("serves those who wait in the order they came", async () => {
-        const bench = new Bench([grantOf(0, 1)]);
-        await settle();
-        const first = slotOf(await bench.broker.take());
+    it("serves waiting requests in order of arrival", async () => {
+        const fixture = new BrokerFixture([grantOf(0, 1)]);
+        await flushPromises();
+        const first = slotOf(await fixture.broker.take());
         const order: number[] = [];
         const takeAs = async (place: number): Promise<SlotOutcome> => {
-            const outcome = await bench.broker.take();
+            const outcome = await fixture.broker.take();
             order.push(place);
             return outcome;
         };
         const second = takeAs(1);
         const third = takeAs(2);
-        bench.broker.release(first, 10, false);
-        bench.broker.release(slotOf(await second), 10, false);
+        fixture.broker.release(first, 10, false);
+        fixture.broker.release(slotOf(await second), 10, false);
         await third;
         expect(order).toEqual([1, 2]);
-        bench.end.abort();
+        fixture.end.abort();
     });
 
-    it("goes on with its bundle while no owner answers, and not beyond its end", async () => {
-        const bench = new Bench([grantOf(0, 1)]);
-        await settle();
-        bench.ownerAnswers = false;
-        await bench.advance(9_000);
-        const slot = slotOf(await bench.broker.take());
-        bench.broker.release(slot, 10, false);
-        await bench.advance(1_500);
-        expect((await bench.broker.take()).kind).toEqual("no-owner");
-        bench.end.abort();
+    it("uses its bundle while no owner answers, but not after it has expired", async () => {
+        const fixture = new BrokerFixture([grantOf(0, 1)]);
+        await flushPromises();
+        fixture.isOwnerReachable = false;
+        await fixture.advance(9_000);
+        const slot = slotOf(await fixture.broker.take());
+        fixture.broker.release(slot, 10, false);
+        await fixture.advance(1_500);
+        expect((await fixture.broker.take()).kind).toEqual("no-owner");
+        fixture.end.abort();
     });
 
-    it("prefers another instance after one failed", async () => {
-        const bench = new Bench([grantOf(0, 4), grantOf(1, 4)]);
-        await settle();
-        const first = slotOf(await bench.broker.take());
-        bench.broker.release(first, 1, true);
-        const next = slotOf(await bench.broker.take());
-        const after = slotOf(await bench.broker.take());
+    it("prefers other instances after one has failed", async () => {
+        const fixture = new BrokerFixture([grantOf(0, 4), grantOf(1, 4)]);
+        await flushPromises();
+        const first = slotOf(await fixture.broker.take());
+        fixture.broker.release(first, 1, true);
+        const next = slotOf(await fixture.broker.take());
+        const after = slotOf(await fixture.broker.take());
         expect([next.worker, after.worker].includes(first.worker)).toEqual(false);
-        bench.end.abort();
+        fixture.end.abort();
     });
 
-    it("drops an instance that is no longer granted and tells the owner what it uses", async () => {
-        const bench = new Bench([grantOf(0, 2)]);
-        await settle();
-        const used = slotOf(await bench.broker.take());
-        bench.grants = [grantOf(1, 2)];
-        await bench.advance(600);
-        expect(slotOf(await bench.broker.take()).worker).toEqual(workerId("worker-1"));
-        await bench.advance(600);
-        expect(bench.asked.at(-1)?.held).toEqual([
+    it("drops an instance that is no longer granted and reports its slots in use to the owner", async () => {
+        const fixture = new BrokerFixture([grantOf(0, 2)]);
+        await flushPromises();
+        const used = slotOf(await fixture.broker.take());
+        fixture.grants = [grantOf(1, 2)];
+        await fixture.advance(600);
+        expect(slotOf(await fixture.broker.take()).worker).toEqual(workerId("worker-1"));
+        await fixture.advance(600);
+        expect(fixture.requests.at(-1)?.held).toEqual([
             { task: used.task, slots: 1 },
             { task: grantOf(1, 2).task, slots: 2 },
         ]);
-        bench.end.abort();
+        fixture.end.abort();
     });
 
-    it("says that a service is not known", async () => {
-        const bench = new Bench(undefined);
-        expect(await bench.broker.take()).toEqual({ kind: "no-service" });
-        bench.end.abort();
+    it("reports an unknown service", async () => {
+        const fixture = new BrokerFixture(undefined);
+        expect(await fixture.broker.take()).toEqual({ kind: "no-service" });
+        fixture.end.abort();
     });
 });
 
 describe("RetryBudget", () => {
-    it("allows a burst, then a share of first sends", () => {
+    it("allows a burst, then a share of first attempts", () => {
         const budget = new RetryBudget();
         const burst = Array.from({ length: 20 }, () => budget.tryConsume()).filter(taken => taken).length;
         expect(burst).toEqual(10);
