--- a/packages/gateway/src/callers/service-routes.ts
+++ b/packages/gateway/src/callers/service-routes.ts
@@ -22,7 +22,7 @@
     readonly random: Random;
     readonly logger: EventLogger;
     readonly metrics: Metrics;
-    readonly burn: BurnRecorder;
+    readonly burnRecorder: BurnRecorder;
     readonly shardCount: number;
     readonly gateway: string;
     readonly dataHall: string;
@@ -90,7 +90,7 @@
         ]);
     }
 
-    add(server: FastifyInstance): void {
+    addTo(server: FastifyInstance): void {
         // Bodies are forwarded byte for byte, whatever their content type.
         server.removeAllContentTypeParsers();
         server.addContentTypeParser("*", { parseAs: "buffer" }, async (_request: unknown, body: Buffer) => body);
@@ -99,7 +99,7 @@
     }
 
     async #serve(request: FastifyRequest, reply: FastifyReply): Promise<FastifyReply> {
-        const { clock, burn, random } = this.options;
+        const { clock, burnRecorder, random } = this.options;
         const startedAt = clock.monotonic();
         const findings = validateHeaders(request);
         if (findings.length > 0) {
@@ -126,7 +126,7 @@
         const isInTime = clock.monotonic() - startedAt
             <= settingsTree().number("objective.waiting", { ...settingsPath, workloadClass: "live" });
         const isGood = result.isComplete && (result.status ?? statusServerError) < statusServerError && isInTime;
-        burn.record(service, isGood);
+        burnRecorder.record(service, isGood);
         if (result.error !== undefined) {
             return sendError(reply, result.error, { reason: result.reason, retryAfterMilliseconds: result.retryAfter });
         }
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -46,58 +46,58 @@
         schedulerAddresses: values["peers.schedulers"],
         signal: background.signal,
     });
-    const watch = new SettingsWatch({
+    const sharedSettings = new SettingsWatch({
         store,
         clock,
         logger,
         signal: background.signal,
         askPeers: () => owners.querySettings(),
     });
-    const burn = new BurnRecorder(clock);
-    const services = new ServiceRoutes({
+    const burnRecorder = new BurnRecorder(clock);
+    const serviceRoutes = new ServiceRoutes({
         owners,
         clock,
         random,
         logger,
         metrics,
-        burn,
+        burnRecorder,
         shardCount: values["cell.shards"],
         gateway: values["process.name"],
         dataHall: values["process.data_hall"],
         settingsPath: { region: values["process.region"], site: values["process.site"] },
-        settingsTree: () => watch.tree,
-        onSettingsRevision: revision => void watch.noteRevision(settingsRevision(revision)),
+        settingsTree: () => sharedSettings.tree,
+        onSettingsRevision: revision => void sharedSettings.noteRevision(settingsRevision(revision)),
         signal: background.signal,
     });
-    const callers = createCallerServer({ bodyLimit: values["listen.body_limit"], logger, random });
-    refuseWithoutSettings(callers, watch);
-    void callers.register(async scope =>
+    const callerServer = createCallerServer({ bodyLimit: values["listen.body_limit"], logger, random });
+    refuseWithoutSettings(callerServer, sharedSettings);
+    void callerServer.register(async scope =>
         addJobRoutes(scope, { owners, clock, random, shardCount: values["cell.shards"] })
     );
-    void callers.register(async scope => services.add(scope));
+    void callerServer.register(async scope => serviceRoutes.addTo(scope));
     const administration = createAdministration({
         metrics,
-        notReady: () => stop.aborted ? "stopping" : watch.revision === 0 ? "no settings yet" : undefined,
+        notReady: () => stop.aborted ? "stopping" : sharedSettings.revision === 0 ? "no settings yet" : undefined,
     });
-    administration.get("/burn", async () => burn.buckets());
-    metrics.gauge("pebbledale_settings_revision", "Revision of the settings in force", () => watch.revision);
-    await listenOnBoth(administration, callers, values, print);
+    administration.get("/burn", async () => burnRecorder.buckets());
+    metrics.gauge("pebbledale_settings_revision", "Revision of the settings in force", () => sharedSettings.revision);
+    await listenOnBoth(administration, callerServer, values, print);
     logger.log(logEvents.processStarted, { address: values["listen.callers"] });
-    const running = [watch.run(), owners.run()];
+    const backgroundTasks = [sharedSettings.run(), owners.run()];
     await untilAborted(stop);
     logger.log(logEvents.processStopping);
     // Keeps serving while the load balancer takes notice that this gateway is no longer ready.
     await clock.sleep(values["listen.drain"]);
-    await Promise.race([callers.close(), clock.sleep(values["process.stop_within"])]);
+    await Promise.race([callerServer.close(), clock.sleep(values["process.stop_within"])]);
     background.abort();
-    await Promise.all(running);
-    await Promise.all([owners.close(), services.forwarder.close(), store.close(), administration.close()]);
+    await Promise.all(backgroundTasks);
+    await Promise.all([owners.close(), serviceRoutes.forwarder.close(), store.close(), administration.close()]);
 };
 
 /** Rejects all requests until the first settings revision has been read: defaults may differ from what is in force. */
-const refuseWithoutSettings = (callers: FastifyInstance, watch: SettingsWatch): void => {
-    callers.addHook("onRequest", async (_request, reply) => {
-        if (watch.revision > 0) {
+const refuseWithoutSettings = (callerServer: FastifyInstance, sharedSettings: SettingsWatch): void => {
+    callerServer.addHook("onRequest", async (_request, reply) => {
+        if (sharedSettings.revision > 0) {
             return undefined;
         }
         return sendError(reply, "no-owner", { reason: "no settings yet", retryAfterMilliseconds: noOwnerRetryAfter });
@@ -106,13 +106,13 @@
 
 const listenOnBoth = async (
     administration: FastifyInstance,
-    callers: FastifyInstance,
+    callerServer: FastifyInstance,
     values: Values,
     print: PrintLine,
 ): Promise<void> => {
     try {
         await listenAt(administration, values["listen.administration"]);
-        await listenAt(callers, values["listen.callers"]);
+        await listenAt(callerServer, values["listen.callers"]);
     }
     catch (cause) {
         if (isAddressInUse(cause)) {
--- a/packages/gateway/src/live/slot-broker.ts
+++ b/packages/gateway/src/live/slot-broker.ts
@@ -101,7 +101,7 @@
         return this.#waiters.length;
     }
 
-    /** Renews the bundle until the signal fires or the service is idle; resolves then. */
+    /** Renews the bundle; resolves once the signal has fired or the service has been idle for a while. */
     async run(): Promise<void> {
         const { clock, signal } = this.options;
         while (!signal.aborted) {
@@ -139,7 +139,7 @@
         });
     }
 
-    /** Returns a slot. `holdTime` is how long it was held; `failed` makes other instances preferred for a while. */
+    /** Releases a slot that was held for `holdTime`. After a failure other instances are preferred for a while. */
     release(slot: Slot, holdTime: Milliseconds, failed: boolean): void {
         const now = this.options.clock.monotonic();
         this.#inUse--;
--- a/packages/scheduler/src/ownership/owned-shard.ts
+++ b/packages/scheduler/src/ownership/owned-shard.ts
@@ -191,15 +191,15 @@
 
     /** Cached per revision of the settings and workload class. */
     #settingsOf(workloadClass: WorkloadClass | undefined): ShardSettings {
-        const { watch, values } = this.options;
-        if (this.#settingsTree !== watch.tree) {
+        const { sharedSettings, values } = this.options;
+        if (this.#settingsTree !== sharedSettings.tree) {
             this.#settings.clear();
-            this.#settingsTree = watch.tree;
+            this.#settingsTree = sharedSettings.tree;
         }
         let settings = this.#settings.get(workloadClass);
         if (settings === undefined) {
             const path = { region: values["process.region"], site: values["process.site"] };
-            settings = shardSettingsOf(watch.tree, path, workloadClass);
+            settings = shardSettingsOf(sharedSettings.tree, path, workloadClass);
             this.#settings.set(workloadClass, settings);
         }
         return settings;
--- a/packages/scheduler/src/ownership/shard-candidate.ts
+++ b/packages/scheduler/src/ownership/shard-candidate.ts
@@ -20,7 +20,7 @@
     segmentsPerSnapshot,
 } from "./constants.js";
 import { OwnedShard } from "./owned-shard.js";
-import type { CandidateOptions } from "./types.js";
+import type { ShardCandidateOptions } from "./types.js";
 
 /**
  * A scheduler's candidacy for one shard.
@@ -32,7 +32,7 @@
 export class ShardCandidate {
     #owned: OwnedShard | undefined;
 
-    constructor(readonly options: CandidateOptions) {}
+    constructor(readonly options: ShardCandidateOptions) {}
 
     /** Undefined while this process does not own the shard. */
     get owned(): OwnedShard | undefined {
--- a/packages/scheduler/src/ownership/types.ts
+++ b/packages/scheduler/src/ownership/types.ts
@@ -15,7 +15,7 @@
 import type { EventLogger, Metrics, ProgramValues, schedulerSchema, SettingsWatch } from "@pebbledale/runtime";
 
 /** Dependencies and settings of a shard candidate. */
-export interface CandidateOptions {
+export interface ShardCandidateOptions {
     readonly values: ProgramValues<typeof schedulerSchema>;
     readonly shard: ShardId;
     readonly owner: ProcessId;
@@ -24,14 +24,14 @@
     readonly clock: Clock;
     readonly random: Random;
     readonly logger: EventLogger;
-    readonly watch: SettingsWatch;
+    readonly sharedSettings: SettingsWatch;
     readonly metrics: Metrics;
     /** Number of shards that this process owns now. */
     readonly countOwned: () => number;
 }
 
 /** What an owned shard needs beyond the options of its candidate. */
-export interface OwnedShardOptions extends CandidateOptions {
+export interface OwnedShardOptions extends ShardCandidateOptions {
     readonly journal: Journal;
     readonly contents: JournalContents;
     /** `at` is when the last successful renewal of the lease on the shard was sent, by the monotonic clock. */
--- a/packages/scheduler/src/scheduler.ts
+++ b/packages/scheduler/src/scheduler.ts
@@ -49,7 +49,7 @@
     const vmList = new HttpVmList(values["platform.vm_list"], values["platform.timeout"]);
     const peers = values["peers.schedulers"].filter(address => address !== values["listen.peers"])
         .map(address => new SchedulerClient(address));
-    const watch = new SettingsWatch({
+    const sharedSettings = new SettingsWatch({
         store,
         clock,
         logger,
@@ -58,18 +58,30 @@
     });
     const owner = processId(values["process.name"]);
     const candidates = allShards(values["cell.shards"]).map(shard =>
-        new ShardCandidate({ values, shard, owner, store, vmList, clock, random, logger, watch, metrics, countOwned })
+        new ShardCandidate({
+            values,
+            shard,
+            owner,
+            store,
+            vmList,
+            clock,
+            random,
+            logger,
+            sharedSettings,
+            metrics,
+            countOwned,
+        })
     );
     function countOwned(): number {
         return candidates.filter(candidate => candidate.owned !== undefined).length;
     }
-    const service = new LocalSchedulerService(values, watch, candidates);
+    const service = new LocalSchedulerService(values, sharedSettings, candidates);
     const server = createAdministration({
         metrics,
-        notReady: () => stop.aborted ? "stopping" : watch.revision === 0 ? "no settings yet" : undefined,
+        notReady: () => stop.aborted ? "stopping" : sharedSettings.revision === 0 ? "no settings yet" : undefined,
     });
     metrics.gauge("pebbledale_shards_owned", "Shards that this scheduler owns", countOwned);
-    metrics.gauge("pebbledale_settings_revision", "Revision of the settings in force", () => watch.revision);
+    metrics.gauge("pebbledale_settings_revision", "Revision of the settings in force", () => sharedSettings.revision);
     const protocol = serveProtocol(server, service);
     await listenAt(server, values["listen.peers"]).catch(cause => {
         if (isAddressInUse(cause)) {
@@ -78,14 +90,14 @@
         throw cause;
     });
     logger.log(logEvents.processStarted, { address: values["listen.peers"] });
-    const watching = watch.run();
-    await Promise.race([watch.ready, untilAborted(stop)]);
+    const followingSettings = sharedSettings.run();
+    await Promise.race([sharedSettings.ready, untilAborted(stop)]);
     const campaigns = candidates.map(candidate => candidate.run(stop));
     await untilAborted(stop);
     logger.log(logEvents.processStopping);
     await Promise.race([Promise.all(campaigns), clock.sleep(values["process.stop_within"])]);
     background.abort();
-    await watching;
+    await followingSettings;
     protocol.close();
     await server.close();
     await Promise.all([store.close(), vmList.close(), ...peers.map(peer => peer.close())]);
--- a/packages/scheduler/src/service/local-scheduler-service.ts
+++ b/packages/scheduler/src/service/local-scheduler-service.ts
@@ -45,7 +45,7 @@
 
     constructor(
         private readonly values: ProgramValues<typeof schedulerSchema>,
-        private readonly watch: SettingsWatch,
+        private readonly sharedSettings: SettingsWatch,
         candidates: readonly ShardCandidate[],
     ) {
         this.#candidates = new Map(candidates.map(candidate => [candidate.options.shard, candidate]));
@@ -110,8 +110,8 @@
             return { kind: "no-service" };
         }
         const path = { region: this.values["process.region"], site: this.values["process.site"] };
-        const duration = this.watch.tree.number("live.slot_grant", path);
-        return { kind: "granted", grants, duration, revision: this.watch.revision };
+        const duration = this.sharedSettings.tree.number("live.slot_grant", path);
+        return { kind: "granted", grants, duration, revision: this.sharedSettings.revision };
     }
 
     async beginOnce(request: OnceRequest): Promise<OnceAnswer | NotOwner | NotRecorded> {
@@ -143,13 +143,13 @@
             region: this.values["process.region"],
             site: this.values["process.site"],
             dataHall: this.values["process.data_hall"],
-            revision: this.watch.revision,
+            revision: this.sharedSettings.revision,
             shards: this.#allOwned().map(buildShardStatus),
         };
     }
 
     async currentSettings(): Promise<StoredSettings | undefined> {
-        return this.watch.stored;
+        return this.sharedSettings.stored;
     }
 
     async ownedShards(): Promise<readonly OwnedShardName[]> {
--- a/packages/scheduler/src/workers/worker-link.ts
+++ b/packages/scheduler/src/workers/worker-link.ts
@@ -96,9 +96,12 @@
     /** Sends one heartbeat. Resolves to false when the worker has to be claimed again. */
     async #heartbeat(client: WorkerClient): Promise<boolean> {
         const { shard } = this;
-        const { clock, watch, values } = shard.options;
+        const { clock, sharedSettings, values } = shard.options;
         const path = { region: values["process.region"], site: values["process.site"] };
-        const message = shard.scheduler.nextHeartbeat(this.listed.worker, watch.tree.number("worker.heartbeat", path));
+        const message = shard.scheduler.nextHeartbeat(
+            this.listed.worker,
+            sharedSettings.tree.number("worker.heartbeat", path),
+        );
         if (message === undefined) {
             return false;
         }
