--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -1,4 +1,4 @@
-/** Puts a gateway together from its settings file and runs it until it is asked to stop. */
+/** Runs a gateway process from its settings file until SIGTERM or SIGINT. */
 import { logEvents, settingsRevision, SystemClock, SystemRandom } from "@pebbledale/core";
 import {
     BurnRecorder,
@@ -25,7 +25,10 @@
 
 const noOwnerRetryAfter = 1_000;
 
-/** Runs the program; resolves to its exit code. `print` shows findings to the operator. */
+/**
+ * Runs a gateway, or only validates its settings file if `checkOnly` is set. Resolves to the process exit code; `print`
+ * writes validation errors for the operator.
+ */
 export const runGateway = (file: string, checkOnly: boolean, print: PrintLine): Promise<number> =>
     runFromFile({ name: "pebbledale-gateway", schema: gatewaySchema, serve }, file, checkOnly, print);
 
@@ -40,74 +43,76 @@
         store,
         clock,
         logger,
-        schedulers: values["peers.schedulers"],
+        schedulerAddresses: values["peers.schedulers"],
         signal: background.signal,
     });
-    const watch = new SettingsWatch({
+    const sharedSettings = new SettingsWatch({
         store,
         clock,
         logger,
         signal: background.signal,
-        askPeers: () => owners.heldSettings(),
+        askPeers: () => owners.querySettings(),
     });
-    const burn = new BurnRecorder(clock);
-    const services = new ServiceRoutes({
+    const burnRecorder = new BurnRecorder(clock);
+    const serviceRoutes = new ServiceRoutes({
         owners,
         clock,
         random,
         logger,
         metrics,
-        burn,
-        shards: values["cell.shards"],
+        burnRecorder,
+        shardCount: values["cell.shards"],
         gateway: values["process.name"],
         dataHall: values["process.data_hall"],
-        path: { region: values["process.region"], site: values["process.site"] },
-        tree: () => watch.tree,
-        noteRevision: revision => void watch.noteRevision(settingsRevision(revision)),
+        settingsPath: { region: values["process.region"], site: values["process.site"] },
+        settingsTree: () => sharedSettings.tree,
+        onSettingsRevision: revision => void sharedSettings.noteRevision(settingsRevision(revision)),
         signal: background.signal,
     });
-    const callers = createCallerServer({ bodyLimit: values["listen.body_limit"], logger, random });
-    refuseWithoutSettings(callers, watch);
-    void callers.register(async scope => addJobRoutes(scope, { owners, clock, random, shards: values["cell.shards"] }));
-    void callers.register(async scope => services.add(scope));
+    const callerServer = createCallerServer({ bodyLimit: values["listen.body_limit"], logger, random });
+    refuseWithoutSettings(callerServer, sharedSettings);
+    void callerServer.register(async scope =>
+        addJobRoutes(scope, { owners, clock, random, shardCount: values["cell.shards"] })
+    );
+    void callerServer.register(async scope => serviceRoutes.addTo(scope));
     const administration = createAdministration({
         metrics,
-        notReady: () => stop.aborted ? "stopping" : watch.revision === 0 ? "no settings yet" : undefined,
+        notReady: () => stop.aborted ? "stopping" : sharedSettings.revision === 0 ? "no settings yet" : undefined,
     });
-    administration.get("/burn", async () => burn.buckets());
-    metrics.gauge("pebbledale_settings_revision", "Revision of the settings in force", () => watch.revision);
-    await listenAtBoth(administration, callers, values, print);
+    administration.get("/burn", async () => burnRecorder.buckets());
+    metrics.gauge("pebbledale_settings_revision", "Revision of the settings in force", () => sharedSettings.revision);
+    await listenOnBoth(administration, callerServer, values, print);
     logger.log(logEvents.processStarted, { address: values["listen.callers"] });
-    const running = [watch.run(), owners.run()];
+    const backgroundTasks = [sharedSettings.run(), owners.run()];
     await untilAborted(stop);
     logger.log(logEvents.processStopping);
-    // The balancer sees that this gateway is not ready before it closes; what was sent until then is served.
+    // Keeps serving while the load balancer takes notice that this gateway is no longer ready.
     await clock.sleep(values["listen.drain"]);
-    await Promise.race([callers.close(), clock.sleep(values["process.stop_within"])]);
+    await Promise.race([callerServer.close(), clock.sleep(values["process.stop_within"])]);
     background.abort();
-    await Promise.all(running);
-    await Promise.all([owners.close(), services.forwarder.close(), store.close(), administration.close()]);
+    await Promise.all(backgroundTasks);
+    await Promise.all([owners.close(), serviceRoutes.forwarder.close(), store.close(), administration.close()]);
 };
 
-/** A gateway without settings guesses none: it serves nothing yet. */
-const refuseWithoutSettings = (callers: FastifyInstance, watch: SettingsWatch): void => {
-    callers.addHook("onRequest", async (_request, reply) => {
-        if (watch.revision > 0) {
+/** Rejects all requests until the first settings revision has been read: defaults may differ from what is in force. */
+const refuseWithoutSettings = (callerServer: FastifyInstance, sharedSettings: SettingsWatch): void => {
+    callerServer.addHook("onRequest", async (_request, reply) => {
+        if (sharedSettings.revision > 0) {
             return undefined;
         }
         return sendError(reply, "no-owner", { reason: "no settings yet", retryAfterMilliseconds: noOwnerRetryAfter });
     });
 };
 
-const listenAtBoth = async (
+const listenOnBoth = async (
     administration: FastifyInstance,
-    callers: FastifyInstance,
+    callerServer: FastifyInstance,
     values: Values,
     print: PrintLine,
 ): Promise<void> => {
     try {
         await listenAt(administration, values["listen.administration"]);
-        await listenAt(callers, values["listen.callers"]);
+        await listenAt(callerServer, values["listen.callers"]);
     }
     catch (cause) {
         if (isAddressInUse(cause)) {
--- a/packages/gateway/src/owners/owner-directory.ts
+++ b/packages/gateway/src/owners/owner-directory.ts
@@ -1,4 +1,4 @@
-/** Finds the owner of a shard: from a watch on the platform, and from the schedulers themselves while that is silent. */
+/** Discovery of the shard owners and calls to them. */
 import {
     type Clock,
     logEvents,
@@ -17,15 +17,15 @@
     SchedulerUnreachableError,
 } from "@pebbledale/runtime";
 
-/** Longest wait in one watch, in milliseconds. */
-const watchDuration = 20_000;
-const retryDelay = 500;
-/** How long a scheduler may take to say which shards it owns, in milliseconds. */
-const askLimit = 300;
-/** Wait before the owner is looked for again, in milliseconds. */
-const lookDelay = 50;
+/** Maximum duration of one watch on the owner keys, in milliseconds. */
+const maxWatchDuration = 20_000;
+const watchRetryDelay = 500;
+/** Timeout of a query to one scheduler for its shards or settings, in milliseconds. */
+const queryTimeout = 300;
+/** Delay before a call is repeated after the owner was looked up again, in milliseconds. */
+const lookupDelay = 50;
 
-/** Thrown when no owner answered in time. Whether a call had an effect is not known if `mayHaveArrived`. */
+/** Thrown when no owner answered in time. If `mayHaveArrived` is set, a call may have taken effect. */
 export class NoOwnerError extends Error {
     override readonly name = "NoOwnerError";
 
@@ -34,80 +34,87 @@
     }
 }
 
-/** Calls to the owner of a shard, whoever that is. */
-export interface OwnerCalls {
-    /** See {@link OwnerDirectory.call}. */
+/** Calls the owner of a shard, whichever scheduler that is. */
+export interface OwnerClient {
+    /**
+     * Calls the owner of a shard and, if that fails, whichever scheduler owns it by then; the call must therefore be
+     * safe to repeat. Rejects with {@link NoOwnerError} if no owner has answered within `timeout`.
+     */
     call<Answer extends OwnerAnswer>(
         shard: ShardId,
-        limit: Milliseconds,
-        make: (calls: SchedulerCalls, signal: AbortSignal) => Promise<Answer>,
-        attemptLimit?: Milliseconds,
+        timeout: Milliseconds,
+        request: (calls: SchedulerCalls, signal: AbortSignal) => Promise<Answer>,
+        attemptTimeout?: Milliseconds,
     ): Promise<Exclude<Answer, { kind: "not-owner"; }>>;
 }
 
-/** What the directory needs. */
+/** Dependencies of the owner directory. */
 export interface OwnerDirectoryOptions {
     readonly store: PlatformStore;
     readonly clock: Clock;
     readonly logger: EventLogger;
-    readonly schedulers: readonly string[];
+    readonly schedulerAddresses: readonly string[];
     readonly signal: AbortSignal;
 }
 
-/** Every answer says its kind. */
+/** Common form of all answers to calls, told apart by `kind`. */
 export interface OwnerAnswer {
     readonly kind: string;
 }
 
-/** See the module's comment. */
-export class OwnerDirectory implements OwnerCalls {
+/**
+ * Tracks which scheduler owns each shard.
+ *
+ * Owners are read from a watch on the platform's store. When a call to an owner fails, all schedulers are asked which
+ * shards they own, so that calls also find a new owner while the platform does not answer.
+ */
+export class OwnerDirectory implements OwnerClient {
     readonly #clients: ReadonlyMap<string, SchedulerClient>;
-    readonly #owners = new Map<ShardId, string>();
+    readonly #ownerAddresses = new Map<ShardId, string>();
 
     constructor(private readonly options: OwnerDirectoryOptions) {
-        this.#clients = new Map(options.schedulers.map(address => [address, new SchedulerClient(address)]));
+        this.#clients = new Map(options.schedulerAddresses.map(address => [address, new SchedulerClient(address)]));
     }
 
-    /** Watches the owners until the signal fires. */
+    /** Watches the owner keys in the platform's store until the signal fires. */
     async run(): Promise<void> {
         const { store, clock, signal } = this.options;
         let cursor = "";
         while (!signal.aborted) {
             try {
                 for (const entry of await store.list(ownersPrefix)) {
-                    this.#note(shardId(entry.key.slice(ownersPrefix.length)), JSON.parse(entry.value) as OwnerValue);
+                    this.#setOwner(
+                        shardId(entry.key.slice(ownersPrefix.length)),
+                        JSON.parse(entry.value) as OwnerValue,
+                    );
                 }
-                cursor = (await store.watch(ownersPrefix, cursor, watchDuration, signal)).cursor;
+                cursor = (await store.watch(ownersPrefix, cursor, maxWatchDuration, signal)).cursor;
             }
             catch {
                 cursor = "";
-                await clock.sleep(retryDelay, signal);
+                await clock.sleep(watchRetryDelay, signal);
             }
         }
     }
 
-    /**
-     * Makes a call to the owner of a shard, whoever that is by then; for calls that may be made twice.
-     * Rejects with {@link NoOwnerError} when none answered within `limit` milliseconds.
-     */
     async call<Answer extends OwnerAnswer>(
         shard: ShardId,
-        limit: Milliseconds,
-        make: (calls: SchedulerCalls, signal: AbortSignal) => Promise<Answer>,
-        attemptLimit: Milliseconds = limit,
+        timeout: Milliseconds,
+        request: (calls: SchedulerCalls, signal: AbortSignal) => Promise<Answer>,
+        attemptTimeout: Milliseconds = timeout,
     ): Promise<Exclude<Answer, { kind: "not-owner"; }>> {
         const { clock, signal } = this.options;
-        const until = clock.monotonic() + limit;
+        const deadline = clock.monotonic() + timeout;
         let mayHaveArrived = false;
         while (!signal.aborted) {
-            const rest = until - clock.monotonic();
-            if (rest <= 0) {
+            const remaining = deadline - clock.monotonic();
+            if (remaining <= 0) {
                 break;
             }
-            const client = this.#clients.get(this.#owners.get(shard) ?? "");
+            const client = this.#clients.get(this.#ownerAddresses.get(shard) ?? "");
             if (client !== undefined) {
                 try {
-                    const answer = await client.call(Math.min(rest, attemptLimit), make);
+                    const answer = await client.call(Math.min(remaining, attemptTimeout), request);
                     if (answer.kind !== "not-owner") {
                         return answer as Exclude<Answer, { kind: "not-owner"; }>;
                     }
@@ -119,17 +126,17 @@
                     mayHaveArrived = true;
                 }
             }
-            await this.#lookFor(shard);
-            await clock.sleep(lookDelay, signal);
+            await this.#lookUpOwner(shard);
+            await clock.sleep(lookupDelay, signal);
         }
         throw new NoOwnerError(shard, mayHaveArrived);
     }
 
-    /** The settings that each scheduler holds. */
-    async heldSettings(): Promise<StoredSettings[]> {
+    /** Queries all schedulers for the settings they hold; those that do not answer in time are left out. */
+    async querySettings(): Promise<StoredSettings[]> {
         const answers = await Promise.allSettled(
             [...this.#clients.values()].map(client =>
-                client.call(askLimit, (calls, signal) => calls.currentSettings.query(undefined, { signal }))
+                client.call(queryTimeout, (calls, signal) => calls.currentSettings.query(undefined, { signal }))
             ),
         );
         return answers.flatMap(answer =>
@@ -137,30 +144,32 @@
         );
     }
 
-    /** Ends all connections. */
     async close(): Promise<void> {
         await Promise.all([...this.#clients.values()].map(client => client.close()));
     }
 
-    /** Asks every scheduler which shards it owns. One that was cut off may believe it still does; the epoch tells. */
-    async #lookFor(shard: ShardId): Promise<void> {
-        let highest = 0;
+    /**
+     * Asks all schedulers which shards they own. Several may claim the same shard; the one with the highest epoch owns
+     * it.
+     */
+    async #lookUpOwner(shard: ShardId): Promise<void> {
+        let highestEpoch = 0;
         await Promise.allSettled([...this.#clients].map(async ([address, client]) => {
             const owned = await client.call(
-                askLimit,
+                queryTimeout,
                 (calls, signal) => calls.ownedShards.query(undefined, { signal }),
             );
             const epoch = owned.find(entry => entry.shard === shard)?.epoch ?? 0;
-            if (epoch > highest) {
-                highest = epoch;
-                this.#owners.set(shard, address);
+            if (epoch > highestEpoch) {
+                highestEpoch = epoch;
+                this.#ownerAddresses.set(shard, address);
             }
         }));
     }
 
-    #note(shard: ShardId, owner: OwnerValue): void {
-        if (this.#owners.get(shard) !== owner.address) {
-            this.#owners.set(shard, owner.address);
+    #setOwner(shard: ShardId, owner: OwnerValue): void {
+        if (this.#ownerAddresses.get(shard) !== owner.address) {
+            this.#ownerAddresses.set(shard, owner.address);
             this.options.logger.log(logEvents.ownerChanged, { shard, owner: owner.process });
         }
     }
--- a/packages/scheduler/src/index.ts
+++ b/packages/scheduler/src/index.ts
@@ -1,2 +1,2 @@
-/** The scheduler program, for the evidence package. */
+/** Public interface of the scheduler package. */
 export { runScheduler } from "./scheduler.js";
--- a/packages/scheduler/src/ownership/types.ts
+++ b/packages/scheduler/src/ownership/types.ts
@@ -1,4 +1,4 @@
-/** Words of owning shards. */
+/** Options of shard candidates and owned shards, and the view of a shard that worker links use. */
 import type {
     Clock,
     Journal,
@@ -14,8 +14,8 @@
 } from "@pebbledale/core";
 import type { EventLogger, Metrics, ProgramValues, schedulerSchema, SettingsWatch } from "@pebbledale/runtime";
 
-/** What a candidate needs. */
-export interface CandidateOptions {
+/** Dependencies and settings of a shard candidate. */
+export interface ShardCandidateOptions {
     readonly values: ProgramValues<typeof schedulerSchema>;
     readonly shard: ShardId;
     readonly owner: ProcessId;
@@ -24,31 +24,33 @@
     readonly clock: Clock;
     readonly random: Random;
     readonly logger: EventLogger;
-    readonly watch: SettingsWatch;
+    readonly sharedSettings: SettingsWatch;
     readonly metrics: Metrics;
-    /** Number of shards that this process owns. */
+    /** Number of shards that this process owns now. */
     readonly countOwned: () => number;
 }
 
-/** What an owned shard needs. */
-export interface OwnedShardOptions extends CandidateOptions {
+/** What an owned shard needs beyond the options of its candidate. */
+export interface OwnedShardOptions extends ShardCandidateOptions {
     readonly journal: Journal;
     readonly contents: JournalContents;
-    /** When the platform last confirmed the lease, by the monotonic clock. */
-    readonly contact: { readonly at: Milliseconds; };
-    /** Fires when the shard is lost. */
+    /** `at` is when the last successful renewal of the lease on the shard was sent, by the monotonic clock. */
+    readonly lastRenewal: { readonly at: Milliseconds; };
+    /** Aborted when the shard is lost or handed over. */
     readonly lost: AbortController;
 }
 
-/** What the links to workers know of the shard that they are for. */
+/** The part of an owned shard that its worker links use. */
 export interface LinkedShard {
     readonly options: OwnedShardOptions;
-    /** The decisions. */
-    readonly core: ShardScheduler;
-    /** Keeps the records of a step, then carries its effects out. Resolves when the records are kept. */
-    commit(step: Transition): Promise<void>;
-    /** Plans a pass over what waits. */
-    requestSchedule(): void;
-    /** Gives the shard up. */
+    readonly scheduler: ShardScheduler;
+    /**
+     * Commits the records of a transition to the journal, then executes its effects. Resolves even if the shard is
+     * lost.
+     */
+    commit(transition: Transition): Promise<void>;
+    /** Schedules a scheduling cycle; requests made before it starts are merged. */
+    requestCycle(): void;
+    /** Gives up ownership; `reason` is logged. */
     stepDown(reason: string): void;
 }
--- a/packages/scheduler/src/scheduler.ts
+++ b/packages/scheduler/src/scheduler.ts
@@ -1,4 +1,4 @@
-/** Puts a scheduler together from its settings file and runs it until it is asked to stop. */
+/** Runs a scheduler process from its settings file until SIGTERM or SIGINT. */
 import { logEvents, processId, type StoredSettings, SystemClock, SystemRandom } from "@pebbledale/core";
 import {
     allShards,
@@ -25,10 +25,13 @@
 
 type Values = ProgramValues<typeof schedulerSchema>;
 
-/** How long a peer may take to say which settings it holds, in milliseconds. */
-const peerLimit = 500;
+/** Timeout of asking one peer for its settings, in milliseconds. */
+const peerQueryTimeout = 500;
 
-/** Runs the program; resolves to its exit code. `print` shows findings to the operator. */
+/**
+ * Runs a scheduler, or only validates its settings file if `checkOnly` is set. Resolves to the process exit code;
+ * `print` writes validation errors for the operator.
+ */
 export const runScheduler = (file: string, checkOnly: boolean, print: PrintLine): Promise<number> =>
     runFromFile({ name: "pebbledale-scheduler", schema: schedulerSchema, serve }, file, checkOnly, print);
 
@@ -46,27 +49,39 @@
     const vmList = new HttpVmList(values["platform.vm_list"], values["platform.timeout"]);
     const peers = values["peers.schedulers"].filter(address => address !== values["listen.peers"])
         .map(address => new SchedulerClient(address));
-    const watch = new SettingsWatch({
+    const sharedSettings = new SettingsWatch({
         store,
         clock,
         logger,
         signal: background.signal,
-        askPeers: () => askPeers(peers),
+        askPeers: () => queryPeers(peers),
     });
     const owner = processId(values["process.name"]);
     const candidates = allShards(values["cell.shards"]).map(shard =>
-        new ShardCandidate({ values, shard, owner, store, vmList, clock, random, logger, watch, metrics, countOwned })
+        new ShardCandidate({
+            values,
+            shard,
+            owner,
+            store,
+            vmList,
+            clock,
+            random,
+            logger,
+            sharedSettings,
+            metrics,
+            countOwned,
+        })
     );
     function countOwned(): number {
         return candidates.filter(candidate => candidate.owned !== undefined).length;
     }
-    const service = new LocalSchedulerService(values, watch, candidates);
+    const service = new LocalSchedulerService(values, sharedSettings, candidates);
     const server = createAdministration({
         metrics,
-        notReady: () => stop.aborted ? "stopping" : watch.revision === 0 ? "no settings yet" : undefined,
+        notReady: () => stop.aborted ? "stopping" : sharedSettings.revision === 0 ? "no settings yet" : undefined,
     });
     metrics.gauge("pebbledale_shards_owned", "Shards that this scheduler owns", countOwned);
-    metrics.gauge("pebbledale_settings_revision", "Revision of the settings in force", () => watch.revision);
+    metrics.gauge("pebbledale_settings_revision", "Revision of the settings in force", () => sharedSettings.revision);
     const protocol = serveProtocol(server, service);
     await listenAt(server, values["listen.peers"]).catch(cause => {
         if (isAddressInUse(cause)) {
@@ -75,22 +90,24 @@
         throw cause;
     });
     logger.log(logEvents.processStarted, { address: values["listen.peers"] });
-    const watching = watch.run();
-    await Promise.race([watch.ready, untilAborted(stop)]);
-    const owning = candidates.map(candidate => candidate.run(stop));
+    const followingSettings = sharedSettings.run();
+    await Promise.race([sharedSettings.ready, untilAborted(stop)]);
+    const campaigns = candidates.map(candidate => candidate.run(stop));
     await untilAborted(stop);
     logger.log(logEvents.processStopping);
-    await Promise.race([Promise.all(owning), clock.sleep(values["process.stop_within"])]);
+    await Promise.race([Promise.all(campaigns), clock.sleep(values["process.stop_within"])]);
     background.abort();
-    await watching;
+    await followingSettings;
     protocol.close();
     await server.close();
     await Promise.all([store.close(), vmList.close(), ...peers.map(peer => peer.close())]);
 };
 
-const askPeers = async (peers: readonly SchedulerClient[]): Promise<StoredSettings[]> => {
+const queryPeers = async (peers: readonly SchedulerClient[]): Promise<StoredSettings[]> => {
     const answers = await Promise.allSettled(
-        peers.map(peer => peer.call(peerLimit, (calls, signal) => calls.currentSettings.query(undefined, { signal }))),
+        peers.map(peer =>
+            peer.call(peerQueryTimeout, (calls, signal) => calls.currentSettings.query(undefined, { signal }))
+        ),
     );
     return answers.flatMap(answer => answer.status === "fulfilled" && answer.value !== undefined ? [answer.value] : []);
 };
--- a/packages/scheduler/src/service/local-service.ts
+++ b/packages/scheduler/src/service/local-scheduler-service.ts
@@ -1,4 +1,4 @@
-/** The scheduler's side of the protocol. */
+/** The scheduler's implementation of the protocol between processes. */
 import {
     addResources,
     isFinalState,
@@ -32,141 +32,131 @@
     WaitRequest,
     WorkerStatus,
 } from "@pebbledale/runtime";
-import { stalledRetryAfter } from "../ownership/constants.js";
+import { journalStalledRetryAfter } from "../ownership/constants.js";
 import { NotRecordedError, type OwnedShard, type ShardCandidate } from "../ownership/index.js";
 
 const notOwner: NotOwner = { kind: "not-owner" };
 const noJob: NoJob = { kind: "no-job" };
-const notRecorded: NotRecorded = { kind: "not-recorded", retryAfter: stalledRetryAfter };
+const notRecorded: NotRecorded = { kind: "not-recorded", retryAfter: journalStalledRetryAfter };
 
-/** Answers for the shards that this process owns. */
+/** Serves requests for the shards that this process owns and answers `not-owner` for all others. */
 export class LocalSchedulerService implements SchedulerService {
     readonly #candidates: ReadonlyMap<ShardId, ShardCandidate>;
 
     constructor(
         private readonly values: ProgramValues<typeof schedulerSchema>,
-        private readonly watch: SettingsWatch,
+        private readonly sharedSettings: SettingsWatch,
         candidates: readonly ShardCandidate[],
     ) {
         this.#candidates = new Map(candidates.map(candidate => [candidate.options.shard, candidate]));
     }
 
-    /** See {@link SchedulerService.submit}. */
     async submit(request: SubmitRequest) {
-        return await this.#owned(request.shard)?.submit(request) ?? notOwner;
+        return await this.#servingShard(request.shard)?.submit(request) ?? notOwner;
     }
 
-    /** See {@link SchedulerService.view}. */
     async view(request: JobRequest): Promise<JobAnswer | NoJob | NotOwner> {
-        const owned = this.#owned(request.shard);
-        return owned === undefined ? notOwner : jobAnswer(owned, jobIdOf(owned, request));
+        const owned = this.#servingShard(request.shard);
+        return owned === undefined ? notOwner : buildJobAnswer(owned, findJobId(owned, request));
     }
 
-    /** See {@link SchedulerService.wait}. */
     async wait(request: WaitRequest): Promise<JobAnswer | NoJob | NotOwner> {
-        const owned = this.#owned(request.shard);
+        const owned = this.#servingShard(request.shard);
         if (owned === undefined) {
             return notOwner;
         }
         const { clock, lost } = owned.options;
-        const until = clock.monotonic() + request.wait;
-        const job = jobIdOf(owned, request);
-        let answer = jobAnswer(owned, job);
+        const deadline = clock.monotonic() + request.wait;
+        const job = findJobId(owned, request);
+        let answer = buildJobAnswer(owned, job);
         while (job !== undefined && answer.kind === "job" && !isFinalState(answer.view.state)) {
-            const rest = until - clock.monotonic();
-            if (rest <= 0) {
+            const remaining = deadline - clock.monotonic();
+            if (remaining <= 0) {
                 return answer;
             }
-            await owned.untilChanged(job, rest, lost.signal);
+            await owned.waitForChange(job, remaining, lost.signal);
             if (lost.signal.aborted) {
                 return notOwner;
             }
-            answer = jobAnswer(owned, job);
+            answer = buildJobAnswer(owned, job);
         }
         return answer;
     }
 
-    /** See {@link SchedulerService.cancel}. */
     async cancel(request: JobRequest): Promise<JobAnswer | NoJob | NotOwner | NotRecorded> {
-        const owned = this.#owned(request.shard);
+        const owned = this.#servingShard(request.shard);
         if (owned === undefined) {
             return notOwner;
         }
-        const job = jobIdOf(owned, request);
-        const step = job === undefined ? undefined : owned.core.cancel(job);
-        if (step === undefined) {
+        const job = findJobId(owned, request);
+        const transition = job === undefined ? undefined : owned.scheduler.cancel(job);
+        if (transition === undefined) {
             return noJob;
         }
-        return whenRecorded(async () => {
-            await owned.commitWithin(step);
-            return jobAnswer(owned, job);
+        return catchNotRecorded(async () => {
+            await owned.commitInTime(transition);
+            return buildJobAnswer(owned, job);
         });
     }
 
-    /** See {@link SchedulerService.acquire}. */
     async acquire(request: AcquireRequest): Promise<AcquireAnswer | NoService | NotOwner> {
-        const owned = this.#owned(request.shard);
-        if (owned?.core.hasWorkerList !== true) {
-            // A new owner that knows no workers yet must not tell a gateway that it holds no slots.
+        const owned = this.#servingShard(request.shard);
+        if (owned?.scheduler.hasWorkerList !== true) {
+            // Until the worker list has been read, an empty grant would make the gateway drop the slots that it holds.
             return notOwner;
         }
-        const grants = owned.core.acquireSlots(request.service, request.request);
+        const grants = owned.scheduler.acquireSlots(request.service, request.request);
         if (grants === undefined) {
             return { kind: "no-service" };
         }
         const path = { region: this.values["process.region"], site: this.values["process.site"] };
-        const duration = this.watch.tree.number("live.slot_grant", path);
-        return { kind: "granted", grants, duration, revision: this.watch.revision };
+        const duration = this.sharedSettings.tree.number("live.slot_grant", path);
+        return { kind: "granted", grants, duration, revision: this.sharedSettings.revision };
     }
 
-    /** See {@link SchedulerService.beginOnce}. */
     async beginOnce(request: OnceRequest): Promise<OnceAnswer | NotOwner | NotRecorded> {
-        const owned = this.#owned(request.shard);
+        const owned = this.#servingShard(request.shard);
         if (owned === undefined) {
             return notOwner;
         }
-        const { transition: step, earlier } = owned.core.beginUnrepeatable(request.key, request.digest, request.nonce);
-        return whenRecorded(async () => {
-            await owned.commitWithin(step);
+        const { transition, earlier } = owned.scheduler.beginUnrepeatable(request.key, request.digest, request.nonce);
+        return catchNotRecorded(async () => {
+            await owned.commitInTime(transition);
             return { kind: "recorded" as const, earlier };
         });
     }
 
-    /** See {@link SchedulerService.endOnce}. */
     async endOnce(request: OnceRequest): Promise<OnceAnswer | NotOwner | NotRecorded> {
-        const owned = this.#owned(request.shard);
+        const owned = this.#servingShard(request.shard);
         if (owned === undefined) {
             return notOwner;
         }
-        return whenRecorded(async () => {
-            await owned.commitWithin(owned.core.endUnrepeatable(request.key, request.status));
+        return catchNotRecorded(async () => {
+            await owned.commitInTime(owned.scheduler.endUnrepeatable(request.key, request.status));
             return { kind: "recorded" as const, earlier: undefined };
         });
     }
 
-    /** See {@link SchedulerService.status}. */
     async status(): Promise<SchedulerStatus> {
         return {
             process: processId(this.values["process.name"]),
             region: this.values["process.region"],
             site: this.values["process.site"],
             dataHall: this.values["process.data_hall"],
-            revision: this.watch.revision,
-            shards: this.#allOwned().map(shardStatus),
+            revision: this.sharedSettings.revision,
+            shards: this.#allOwned().map(buildShardStatus),
         };
     }
 
-    /** See {@link SchedulerService.currentSettings}. */
     async currentSettings(): Promise<StoredSettings | undefined> {
-        return this.watch.stored;
+        return this.sharedSettings.stored;
     }
 
-    /** See {@link SchedulerService.ownedShards}. */
     async ownedShards(): Promise<readonly OwnedShardName[]> {
         return this.#allOwned().map(owned => ({ shard: owned.options.shard, epoch: owned.options.journal.epoch }));
     }
 
-    #owned(shard: ShardId): OwnedShard | undefined {
+    #servingShard(shard: ShardId): OwnedShard | undefined {
         const owned = this.#candidates.get(shard)?.owned;
         return owned?.isServing === true ? owned : undefined;
     }
@@ -176,7 +166,7 @@
     }
 }
 
-const whenRecorded = async <Answer>(act: () => Promise<Answer>): Promise<Answer | NotRecorded> => {
+const catchNotRecorded = async <Answer>(act: () => Promise<Answer>): Promise<Answer | NotRecorded> => {
     try {
         return await act();
     }
@@ -188,29 +178,29 @@
     }
 };
 
-const jobIdOf = (owned: OwnedShard, request: JobRequest): JobId | undefined =>
-    request.job ?? (request.key === undefined ? undefined : owned.core.findByKey(request.key));
+const findJobId = (owned: OwnedShard, request: JobRequest): JobId | undefined =>
+    request.job ?? (request.key === undefined ? undefined : owned.scheduler.findByKey(request.key));
 
-const jobAnswer = (owned: OwnedShard, job: JobId | undefined): JobAnswer | NoJob => {
-    const view = job === undefined ? undefined : owned.core.view(job);
+const buildJobAnswer = (owned: OwnedShard, job: JobId | undefined): JobAnswer | NoJob => {
+    const view = job === undefined ? undefined : owned.scheduler.view(job);
     if (view === undefined) {
         return noJob;
     }
-    return { kind: "job", view, history: owned.core.registry.jobs.get(view.job)?.history ?? [] };
+    return { kind: "job", view, history: owned.scheduler.registry.jobs.get(view.job)?.history ?? [] };
 };
 
-const shardStatus = (owned: OwnedShard): ShardStatus => {
-    const { core, options } = owned;
+const buildShardStatus = (owned: OwnedShard): ShardStatus => {
+    const { scheduler, options } = owned;
     const now = options.clock.monotonic();
-    const workers = [...core.workers.values()].map((entry): WorkerStatus => ({
+    const workers = [...scheduler.workers.values()].map((entry): WorkerStatus => ({
         worker: entry.worker,
         dataHall: entry.listed.dataHall,
         rack: entry.listed.rack,
-        open: core.workers.index.isSchedulable(entry.slot),
+        open: scheduler.workers.index.isSchedulable(entry.slot),
         leaving: isLeaving(entry),
         quarantined: entry.quarantinedUntil > now,
         tasks: entry.tasks.size,
-        free: core.workers.index.freeOf(entry.slot),
+        free: scheduler.workers.index.freeOf(entry.slot),
         capacity: entry.listed.capacity,
     }));
     const capacity = workers.reduce((sum, worker) => addResources(sum, worker.capacity), noResources);
@@ -219,7 +209,7 @@
     return {
         shard: options.shard,
         epoch: options.journal.epoch,
-        queued: core.queue.length,
+        queued: scheduler.queue.length,
         running: workers.reduce((sum, worker) => sum + worker.tasks, 0),
         journalWrites: options.journal.writes,
         journalStalled: options.journal.stalledFor(),
