--- a/packages/cell/src/advising/advice-planner.ts
+++ b/packages/cell/src/advising/advice-planner.ts
@@ -9,7 +9,7 @@
     needsFreshTickets,
     rankStep,
     type ReservationPlan,
-} from "../choosing/index.js";
+} from "../selection/index.js";
 import { type CellContext, type JobTerms, type Step, StepPermits, type WorkerState } from "../state/index.js";
 import {
     adviceInterval,
--- a/packages/cell/src/headroom/headroom-preemptor.ts
+++ b/packages/cell/src/headroom/headroom-preemptor.ts
@@ -1,5 +1,6 @@
 /** Preempts runs for urgent work that found no resources. */
 import type { Milliseconds } from "@pebbledale/core";
+import type { PreemptionPolicy, RunPreemptor } from "../preemption/index.js";
 import {
     addAmounts,
     expectedEnd,
@@ -7,9 +8,8 @@
     type ResourceAmounts,
     resourcesOfRun,
     stopDuration,
-} from "../choosing/index.js";
+} from "../selection/index.js";
 import { RunPhase, type TaskRun, type WorkerState } from "../state/index.js";
-import type { PreemptionPolicy, RunPreemptor } from "../yielding/index.js";
 import { maxStopsPerCycle } from "./constants.js";
 import type { ServiceHeadroom } from "./service-headroom.js";
 
--- a/packages/cell/src/headroom/service-headroom.ts
+++ b/packages/cell/src/headroom/service-headroom.ts
@@ -1,6 +1,6 @@
 /** Headroom of one service. */
 import type { Milliseconds } from "@pebbledale/core";
-import { freeResourcesOf, type ResourceAmounts, resourcesWithout } from "../choosing/index.js";
+import { freeResourcesOf, type ResourceAmounts, resourcesWithout } from "../selection/index.js";
 import type { Step, WorkerState } from "../state/index.js";
 import { maxFreeShare, maxHeadroomShare, sizeAveragingTime } from "./constants.js";
 import { PeakDemand } from "./peak-demand.js";
--- a/packages/cell/src/headroom/types.ts
+++ b/packages/cell/src/headroom/types.ts
@@ -1,6 +1,6 @@
 /** Headroom for urgent narrow work. Not related to `isHeadroom` of a service, which marks VMs that are switched off. */
 import type { Milliseconds, ServiceName } from "@pebbledale/core";
-import type { RankedStep } from "../choosing/index.js";
+import type { RankedStep } from "../selection/index.js";
 import type { Step, WorkerState } from "../state/index.js";
 
 /** Decides how much capacity deferrable work must leave free in each service, and preempts runs where urgent work lacks it. */
--- a/packages/cell/src/headroom/urgent-headroom.ts
+++ b/packages/cell/src/headroom/urgent-headroom.ts
@@ -1,8 +1,8 @@
 /** Headroom for expected urgent demand. */
 import type { Milliseconds, ServiceName } from "@pebbledale/core";
-import { DeadlineStatus, hasSlack, isUrgentNarrow, type RankedStep } from "../choosing/index.js";
+import type { PreemptionPolicy, RunPreemptor } from "../preemption/index.js";
+import { DeadlineStatus, hasSlack, isUrgentNarrow, type RankedStep } from "../selection/index.js";
 import type { CellContext, Step, WorkerState } from "../state/index.js";
-import type { PreemptionPolicy, RunPreemptor } from "../yielding/index.js";
 import { HeadroomLog } from "./headroom-log.js";
 import { HeadroomPreemptor } from "./headroom-preemptor.js";
 import { ServiceHeadroom } from "./service-headroom.js";
--- a/packages/cell/src/load/gang-deferral.ts
+++ b/packages/cell/src/limits/gang-deferral.ts
@@ -1,6 +1,6 @@
 /** Deferral of work in favour of blocked gangs. */
 import type { Milliseconds, ServiceName } from "@pebbledale/core";
-import { countFittingIn, DeadlineStatus, freeResourcesOf, hasSlack, type RankedStep } from "../choosing/index.js";
+import { countFittingIn, DeadlineStatus, freeResourcesOf, hasSlack, type RankedStep } from "../selection/index.js";
 import type { Step, WorkerState } from "../state/index.js";
 import { blockedGangDelay, maxFreeShare, maxIdleShare } from "./constants.js";
 
--- a/packages/cell/src/moving/run-migrator.ts
+++ b/packages/cell/src/migration/run-migrator.ts
@@ -1,10 +1,10 @@
 /** Migration of runs to other workers. */
 import type { Milliseconds } from "@pebbledale/core";
-import { expectedEnd, isEligible } from "../choosing/index.js";
 import type { CrashMonitor } from "../crashes/index.js";
+import type { ProgressMonitor } from "../monitoring/index.js";
 import type { RunLifecycle } from "../runs/index.js";
+import { expectedEnd, isEligible } from "../selection/index.js";
 import { type CellContext, RunPhase, type Step, type Task, type TaskRun, type WorkerState } from "../state/index.js";
-import type { ProgressMonitor } from "../watching/index.js";
 import { minLatenessToStop, minPercentLeftToMove } from "./constants.js";
 
 /** Progress, in percent, that a long-running task reports once it serves. */
--- a/packages/cell/src/placing/placer.ts
+++ b/packages/cell/src/placement/placer.ts
@@ -1,6 +1,14 @@
 /** Places ready steps on workers. */
 import { logEvents, type Milliseconds, type RunNumber, type ServiceName } from "@pebbledale/core";
 import type { AdvicePlanner, CapacityOf } from "../advising/index.js";
+import { type CrashMonitor, isPastStart, riskCost } from "../crashes/index.js";
+import type { FairShareOrder } from "../fair-share/index.js";
+import type { Headroom } from "../headroom/index.js";
+import { GangDeferral, OrganisationLimits } from "../limits/index.js";
+import type { RunMigrator } from "../migration/index.js";
+import type { HealthMonitor } from "../monitoring/index.js";
+import { type PreemptionPolicy, RunPreemptor } from "../preemption/index.js";
+import type { OrderOptions, RunLifecycle } from "../runs/index.js";
 import {
     allocate,
     allocateInOneRack,
@@ -13,16 +21,8 @@
     isWide,
     type RankedStep,
     rankStep,
-} from "../choosing/index.js";
-import { type CrashMonitor, isPastStart, riskCost } from "../crashes/index.js";
-import type { Headroom } from "../headroom/index.js";
-import { GangDeferral, OrganisationLimits } from "../load/index.js";
-import type { RunMigrator } from "../moving/index.js";
-import type { OrderOptions, RunLifecycle } from "../runs/index.js";
-import type { FairShareOrder } from "../shares/index.js";
+} from "../selection/index.js";
 import { type CellContext, formatTaskAddress, type Step, type Task, type WorkerState } from "../state/index.js";
-import type { HealthMonitor } from "../watching/index.js";
-import { type PreemptionPolicy, RunPreemptor } from "../yielding/index.js";
 import { rackTimeout, wideTaskReservationDelay } from "./constants.js";
 import { PlanPreemptor } from "./plan-preemptor.js";
 import { Reservations } from "./reservations.js";
--- a/packages/cell/src/placing/plan-preemptor.ts
+++ b/packages/cell/src/placement/plan-preemptor.ts
@@ -1,5 +1,6 @@
 /** Preempts runs for reservations. */
 import type { Milliseconds } from "@pebbledale/core";
+import type { PreemptionPolicy, RunPreemptor } from "../preemption/index.js";
 import {
     addAmounts,
     countFittingIn,
@@ -8,9 +9,8 @@
     type ResourceAmounts,
     resourcesOfRun,
     stopDuration,
-} from "../choosing/index.js";
+} from "../selection/index.js";
 import { RunPhase, type Step, type TaskRun, type WorkerState } from "../state/index.js";
-import type { PreemptionPolicy, RunPreemptor } from "../yielding/index.js";
 
 /** Carries out plans that count on preemption: stops runs that the policy allows to be stopped, as late as the plan permits. */
 export class PlanPreemptor {
--- a/packages/cell/src/placing/reservations.ts
+++ b/packages/cell/src/placement/reservations.ts
@@ -1,5 +1,6 @@
 /** Reservations of resources with backfilling. */
 import type { Milliseconds } from "@pebbledale/core";
+import type { PreemptionPolicy } from "../preemption/index.js";
 import {
     backfillMargin,
     CapacityForecast,
@@ -11,9 +12,8 @@
     resourcesWithout,
     type StartSlot,
     type StopPredicate,
-} from "../choosing/index.js";
+} from "../selection/index.js";
 import type { CellContext, Step, WorkerState } from "../state/index.js";
-import type { PreemptionPolicy } from "../yielding/index.js";
 import {
     attemptsPerReservation,
     maxReservedShare,
--- a/packages/cell/src/yielding/preemption-policy.ts
+++ b/packages/cell/src/preemption/preemption-policy.ts
@@ -1,6 +1,6 @@
 /** Policies of preemption. */
 import type { Milliseconds } from "@pebbledale/core";
-import { compareRanks, hasSlack, type RankedStep, rankStep } from "../choosing/index.js";
+import { compareRanks, hasSlack, type RankedStep, rankStep } from "../selection/index.js";
 import { type CellContext, RunPhase, type Step, type TaskRun } from "../state/index.js";
 import { maxPreemptions, minPercentLeft, minSlackToPreempt } from "./constants.js";
 
--- a/packages/cell/src/runs/worker-poll-reconciler.ts
+++ b/packages/cell/src/runs/worker-poll-reconciler.ts
@@ -1,10 +1,10 @@
 /** Polls of workers and the ends that they report. */
 import { logEvents, type Milliseconds, type WorkerId } from "@pebbledale/core";
 import { type CrashMonitor, LossCause } from "../crashes/index.js";
+import type { ProgressMonitor } from "../monitoring/index.js";
 import type { FillerPaceController } from "../pacing/index.js";
 import { type CellContext, type Task, TaskPhase, type TaskRun, type WorkerState } from "../state/index.js";
 import type { PollResult, WorkerRun } from "../task-worker/index.js";
-import type { ProgressMonitor } from "../watching/index.js";
 import type { RunLifecycle } from "./run-lifecycle.js";
 import type { WorkerListener } from "./types.js";
 import type { WorkerIncarnations } from "./worker-incarnations.js";
--- a/packages/cell/src/runs/worker-pool.ts
+++ b/packages/cell/src/runs/worker-pool.ts
@@ -1,10 +1,10 @@
 /** The workers of a cell. */
 import { logEvents, type Milliseconds, type WorkerId, type WorkerIncarnation } from "@pebbledale/core";
 import { type CrashMonitor, LossCause, type SilenceHistory } from "../crashes/index.js";
+import type { ProgressMonitor } from "../monitoring/index.js";
 import type { FillerPaceController } from "../pacing/index.js";
 import { type CellContext, type Task, tasksOf, WorkerState } from "../state/index.js";
 import type { PollResult } from "../task-worker/index.js";
-import type { ProgressMonitor } from "../watching/index.js";
 import type { WorkerEntry } from "../worker-directory/index.js";
 import { leaseMargin, unlistedGracePeriod } from "./constants.js";
 import type { RunLifecycle } from "./run-lifecycle.js";
--- a/packages/cell/src/scheduler/cell-scheduler.ts
+++ b/packages/cell/src/scheduler/cell-scheduler.ts
@@ -13,13 +13,14 @@
 import { AdvicePlanner } from "../advising/index.js";
 import type { CellConfiguration } from "../configuration/index.js";
 import { CrashMonitor, type CrashSummary, SilenceHistory } from "../crashes/index.js";
+import { EntitledFirst, Entitlement, SubmissionRate } from "../fair-share/index.js";
 import { UrgentHeadroom } from "../headroom/index.js";
-import { allowsDisruption, RunMigrator } from "../moving/index.js";
+import { allowsDisruption, RunMigrator } from "../migration/index.js";
+import { HealthMonitor, ProgressMonitor } from "../monitoring/index.js";
 import { FillerPaceController } from "../pacing/index.js";
-import { Placer } from "../placing/index.js";
+import { Placer } from "../placement/index.js";
+import { RunPreemptor, SavedProgressPreemption } from "../preemption/index.js";
 import { RunLifecycle, type Silence, WorkerPool } from "../runs/index.js";
-import { EntitledFirst, Entitlement, SubmissionRate } from "../shares/index.js";
-import { SpeedEstimator, type WorkerSpeeds } from "../speeds/index.js";
 import {
     CellContext,
     CellJobState,
@@ -34,9 +35,8 @@
 } from "../state/index.js";
 import { OrderRefusal, type PollResult, RunEnd } from "../task-worker/index.js";
 import type { PlannedWorker } from "../upkeep/index.js";
-import { HealthMonitor, ProgressMonitor } from "../watching/index.js";
 import type { WorkerEntry } from "../worker-directory/index.js";
-import { RunPreemptor, SavedProgressPreemption } from "../yielding/index.js";
+import { SpeedEstimator, type WorkerSpeeds } from "../worker-speed/index.js";
 import { type CellSummary, summarizeCell } from "./cell-summary.js";
 import { failedRunDelay } from "./constants.js";
 import { JobLifecycle } from "./job-lifecycle.js";
--- a/packages/cell/src/scheduler/job-lifecycle.ts
+++ b/packages/cell/src/scheduler/job-lifecycle.ts
@@ -1,6 +1,7 @@
 /** Progress of jobs from step to step. */
 import { logEvents } from "@pebbledale/core";
-import type { Placer } from "../placing/index.js";
+import type { HealthMonitor } from "../monitoring/index.js";
+import type { Placer } from "../placement/index.js";
 import {
     type CellContext,
     CellJobState,
@@ -9,7 +10,6 @@
     type Occurrence,
     type Step,
 } from "../state/index.js";
-import type { HealthMonitor } from "../watching/index.js";
 import type { OccurrenceTimer } from "./occurrence-timer.js";
 
 /** Components that follow the progress of jobs. */
--- a/packages/cell/src/speeds/speed-estimator.ts
+++ b/packages/cell/src/worker-speed/speed-estimator.ts
@@ -1,7 +1,7 @@
 /** Estimate of workers' speeds from completed runs. */
 import type { Milliseconds } from "@pebbledale/core";
+import { paceOfCompleted } from "../monitoring/index.js";
 import type { Step, TaskRun, WorkerState } from "../state/index.js";
-import { paceOfCompleted } from "../watching/index.js";
 import { equalityTolerance, maxDifference, maxPeers, maxWeight, minWeight, priorWeight } from "./constants.js";
 import type { WorkerSpeeds } from "./types.js";
 
