--- a/packages/operator/src/cli/commands/burn.ts
+++ b/packages/operator/src/cli/commands/burn.ts
@@ -16,7 +16,7 @@
     site = Option.String("--site", "", { description: "REGION/SITE whose objective counts" });
     html = Option.String("--html", { description: "Write one self-contained page with a chart to this file" });
 
-    protected override async act(values: OperatorValues): Promise<ExitCode> {
+    protected override async executeWithSettings(values: OperatorValues): Promise<ExitCode> {
         const { fetchBurn, renderBurnPage } = await import("../../report/index.js");
         const report = await fetchBurn(values, this.site);
         if (this.html !== undefined) {
--- a/packages/operator/src/cli/commands/job.ts
+++ b/packages/operator/src/cli/commands/job.ts
@@ -10,7 +10,7 @@
 
     job = Option.String({ name: "JOB" });
 
-    protected override async act(values: OperatorValues): Promise<ExitCode> {
+    protected override async executeWithSettings(values: OperatorValues): Promise<ExitCode> {
         const { fetchJob } = await import("../../jobs/index.js");
         const { view } = await fetchJob(values, this.job);
         if (this.json) {
--- a/packages/operator/src/cli/commands/settings-accept.ts
+++ b/packages/operator/src/cli/commands/settings-accept.ts
@@ -26,8 +26,8 @@
     note = Option.String("--note", "", { description: "Why" });
     author = Option.String("--author", userInfo().username, { description: "Who" });
 
-    protected override async act(values: OperatorValues): Promise<ExitCode> {
-        const { accept, fetchSettings, treeOf } = await import("../../settings/index.js");
+    protected override async executeWithSettings(values: OperatorValues): Promise<ExitCode> {
+        const { acceptTree: accept, fetchSettings, parseStoredTree: treeOf } = await import("../../settings/index.js");
         const text = readFileSync(this.file, "utf8");
         const parsed = parseSettingsTree(text, this.file);
         if (parsed.isErr()) {
--- a/packages/operator/src/cli/commands/settings-diff.ts
+++ b/packages/operator/src/cli/commands/settings-diff.ts
@@ -15,8 +15,8 @@
 
     file = Option.String({ name: "FILE" });
 
-    protected override async act(values: OperatorValues): Promise<ExitCode> {
-        const { diffWithText } = await import("../../settings/index.js");
+    protected override async executeWithSettings(values: OperatorValues): Promise<ExitCode> {
+        const { diffWithCurrent: diffWithText } = await import("../../settings/index.js");
         const parsed = parseSettingsTree(readFileSync(this.file, "utf8"), this.file);
         if (parsed.isErr()) {
             this.showFindings(parsed.error);
--- a/packages/operator/src/cli/commands/settings-explain.ts
+++ b/packages/operator/src/cli/commands/settings-explain.ts
@@ -17,8 +17,8 @@
     site = Option.String("--site", "", { description: "REGION/SITE" });
     workloadClass = Option.String("--class", { description: "A workload class of the site" });
 
-    protected override async act(values: OperatorValues): Promise<ExitCode> {
-        const { fetchSettings, treeOf } = await import("../../settings/index.js");
+    protected override async executeWithSettings(values: OperatorValues): Promise<ExitCode> {
+        const { fetchSettings, parseStoredTree: treeOf } = await import("../../settings/index.js");
         const keys = Object.keys(treeSchema) as TreeKey[];
         if (this.key !== undefined && !keys.includes(this.key as TreeKey)) {
             throw new OperatorError("bad-settings", `no such key: ${this.key}`);
--- a/packages/operator/src/cli/commands/settings-get.ts
+++ b/packages/operator/src/cli/commands/settings-get.ts
@@ -13,7 +13,7 @@
 
     revision = Option.String("--revision", { description: "An earlier revision", validator: typanion.isNumber() });
 
-    protected override async act(values: OperatorValues): Promise<ExitCode> {
+    protected override async executeWithSettings(values: OperatorValues): Promise<ExitCode> {
         const { fetchSettings } = await import("../../settings/index.js");
         const stored = await fetchSettings(values, this.revision);
         this.print(
--- a/packages/operator/src/cli/commands/settings-history.ts
+++ b/packages/operator/src/cli/commands/settings-history.ts
@@ -12,11 +12,11 @@
         description: "List accepted revisions, newest first",
     });
 
-    most = Option.String("--most", "20", { description: "How many", validator: typanion.isNumber() });
+    limit = Option.String("--most", "20", { description: "How many", validator: typanion.isNumber() });
 
-    protected override async act(values: OperatorValues): Promise<ExitCode> {
+    protected override async executeWithSettings(values: OperatorValues): Promise<ExitCode> {
         const { fetchHistory } = await import("../../settings/index.js");
-        const revisions = await fetchHistory(values, this.most);
+        const revisions = await fetchHistory(values, this.limit);
         if (this.json) {
             const rows = revisions.map(({ revision, author, note, acceptedAt }) => ({
                 revision,
--- a/packages/operator/src/cli/commands/status.ts
+++ b/packages/operator/src/cli/commands/status.ts
@@ -8,7 +8,7 @@
     static override paths = [["status"]];
     static override usage = Command.Usage({ category: "Watch", description: "Print what each site reports" });
 
-    protected override async act(values: OperatorValues): Promise<ExitCode> {
+    protected override async executeWithSettings(values: OperatorValues): Promise<ExitCode> {
         const { fetchStatuses, ownedShards } = await import("../../jobs/index.js");
         const schedulers = await fetchStatuses(values);
         const shards = ownedShards(schedulers);
--- a/packages/operator/src/cli/commands/workers.ts
+++ b/packages/operator/src/cli/commands/workers.ts
@@ -15,7 +15,7 @@
     static override paths = [["workers"]];
     static override usage = Command.Usage({ category: "Watch", description: "Print each worker as its owner sees it" });
 
-    protected override async act(values: OperatorValues): Promise<ExitCode> {
+    protected override async executeWithSettings(values: OperatorValues): Promise<ExitCode> {
         const { fetchStatuses, ownedShards } = await import("../../jobs/index.js");
         const workers = ownedShards(await fetchStatuses(values)).flatMap(({ shard }) => shard.workers);
         if (this.json) {
--- a/packages/operator/src/cli/operator-command.ts
+++ b/packages/operator/src/cli/operator-command.ts
@@ -13,7 +13,7 @@
     json = Option.Boolean("--json", false, { description: "Print JSON in place of a table" });
 
     /** Does the command's work; resolves to the exit code. */
-    protected abstract act(values: OperatorValues): Promise<ExitCode>;
+    protected abstract executeWithSettings(values: OperatorValues): Promise<ExitCode>;
 
     /** See {@link Command.execute}. */
     override async execute(): Promise<number> {
@@ -23,7 +23,7 @@
             return ExitCode.Usage;
         }
         try {
-            return await this.act(settings.value);
+            return await this.executeWithSettings(settings.value);
         }
         catch (cause) {
             if (cause instanceof OperatorError) {
--- a/packages/operator/src/jobs/index.ts
+++ b/packages/operator/src/jobs/index.ts
@@ -19,15 +19,15 @@
 import { OperatorError } from "../output/index.js";
 
 /** How long a scheduler may take to answer, in milliseconds. */
-const answerLimit = 2_000;
+const answerTimeout = 2_000;
 
-const withClients = async <Answer>(
+const withSchedulerClients = async <Answer>(
     values: OperatorValues,
-    act: (clients: SchedulerClient[]) => Promise<Answer>,
+    action: (clients: SchedulerClient[]) => Promise<Answer>,
 ): Promise<Answer> => {
     const clients = values["peers.schedulers"].map(address => new SchedulerClient(address));
     try {
-        return await act(clients);
+        return await action(clients);
     }
     finally {
         await Promise.all(clients.map(client => client.close().catch(() => undefined)));
@@ -35,17 +35,17 @@
 };
 
 /** A scheduler with its address; without a status when it did not answer. */
-export interface AskedScheduler {
+export interface QueriedScheduler {
     readonly address: string;
     readonly status: SchedulerStatus | undefined;
 }
 
 /** The status of every scheduler. */
-export const fetchStatuses = (values: OperatorValues): Promise<AskedScheduler[]> =>
-    withClients(values, clients =>
+export const fetchStatuses = (values: OperatorValues): Promise<QueriedScheduler[]> =>
+    withSchedulerClients(values, clients =>
         Promise.all(clients.map(async client => ({
             address: client.address,
-            status: await client.call(answerLimit, (calls, signal) => calls.status.query(undefined, { signal }))
+            status: await client.call(answerTimeout, (calls, signal) => calls.status.query(undefined, { signal }))
                 .catch(() => undefined),
         }))));
 
@@ -59,7 +59,7 @@
 const byShard = Ord.contramap((owned: OwnedShardStatus) => String(owned.shard.shard))(StringInstances.Ord);
 
 /** The owned shards, each once: of two that believe they own one, the higher epoch is right. */
-export const ownedShards = (schedulers: readonly AskedScheduler[]): readonly OwnedShardStatus[] =>
+export const ownedShards = (schedulers: readonly QueriedScheduler[]): readonly OwnedShardStatus[] =>
     pipe(
         schedulers,
         ReadonlyArray.chain(({ status }) => (status?.shards ?? []).map(shard => ({ owner: status!, shard }))),
@@ -72,14 +72,14 @@
 
 /** A job with its decisions, by id or as `key:KEY`. */
 export const fetchJob = (values: OperatorValues, name: string): Promise<JobAnswer> =>
-    withClients(values, async clients => {
+    withSchedulerClients(values, async clients => {
         const isKey = name.startsWith("key:") || !name.includes(".");
         const key = name.replace(/^key:/, "");
         const shard = isKey ? shardOfText(key, values["cell.shards"]) : shardOfJob(jobId(name));
-        const message = isKey ? { shard, key } : { shard, job: jobId(name) };
+        const jobRequest = isKey ? { shard, key } : { shard, job: jobId(name) };
         const answers = await Promise.all(
             clients.map(client =>
-                client.call(answerLimit, (calls, signal) => calls.view.query(message, { signal })).catch(() =>
+                client.call(answerTimeout, (calls, signal) => calls.view.query(jobRequest, { signal })).catch(() =>
                     undefined
                 )
             ),
--- a/packages/operator/src/report/fetch.ts
+++ b/packages/operator/src/report/fetch.ts
@@ -1,9 +1,9 @@
 /** Asks all gateways for their counts and works the report out. */
 import { SystemClock } from "@pebbledale/core";
-import { type BurnBuckets, type BurnRow, burnRows, mergeBuckets } from "@pebbledale/runtime";
+import { type BurnBuckets, type BurnRow, computeBurnRows, mergeBuckets } from "@pebbledale/runtime";
 import { request } from "undici";
 import type { OperatorValues } from "../cli/operator-command.js";
-import { fetchSettings, treeOf } from "../settings/index.js";
+import { fetchSettings, parseStoredTree } from "../settings/index.js";
 
 /** Service-level burn of all gateways, as the command prints it. */
 export interface BurnReport {
@@ -17,13 +17,13 @@
     readonly buckets: BurnBuckets;
 }
 
-const answerLimit = 2_000;
+const answerTimeout = 2_000;
 
 const fetchBuckets = async (address: string): Promise<BurnBuckets | undefined> => {
     try {
         const answer = await request(`http://${address}/burn`, {
-            headersTimeout: answerLimit,
-            bodyTimeout: answerLimit,
+            headersTimeout: answerTimeout,
+            bodyTimeout: answerTimeout,
         });
         return await answer.body.json() as BurnBuckets;
     }
@@ -35,7 +35,7 @@
 /** Fetches the counts of all gateways; the objective is that of the site's live class. */
 export const fetchBurn = async (values: OperatorValues, sitePath: string): Promise<BurnReport> => {
     const [region, site] = sitePath === "" ? [] : sitePath.split("/");
-    const tree = treeOf(await fetchSettings(values));
+    const tree = parseStoredTree(await fetchSettings(values));
     const objective = tree.number("objective.share", { region, site, workloadClass: "live" });
     const addresses = values["peers.gateways"];
     const answers = (await Promise.all(addresses.map(fetchBuckets))).filter(answer => answer !== undefined);
@@ -46,7 +46,7 @@
         objective,
         asked: addresses.length,
         answered: answers.length,
-        rows: burnRows(buckets, now, objective),
+        rows: computeBurnRows(buckets, now, objective),
         buckets,
     };
 };
--- a/packages/operator/src/settings/index.ts
+++ b/packages/operator/src/settings/index.ts
@@ -26,11 +26,11 @@
 /** Makes calls to the platform, with its silence shown as an error of the catalogue. */
 export const withStore = async <Answer>(
     values: OperatorValues,
-    act: (store: PlatformStore) => Promise<Answer>,
+    action: (store: PlatformStore) => Promise<Answer>,
 ): Promise<Answer> => {
     const store = new HttpPlatformStore(values["platform.address"], values["platform.timeout"]);
     try {
-        return await act(store);
+        return await action(store);
     }
     catch (cause) {
         if (cause instanceof PlatformUnavailableError || cause instanceof AcceptUnsettledError) {
@@ -56,20 +56,20 @@
     });
 
 /** The newest accepted trees, newest first. */
-export const fetchHistory = (values: OperatorValues, most: number): Promise<StoredSettings[]> =>
-    withStore(values, store => readHistory(store, most));
+export const fetchHistory = (values: OperatorValues, limit: number): Promise<StoredSettings[]> =>
+    withStore(values, store => readHistory(store, limit));
 
 /** The tree of an accepted revision; the schema it was accepted under may have been older. */
-export const treeOf = (stored: StoredSettings | undefined): SettingsTree =>
+export const parseStoredTree = (stored: StoredSettings | undefined): SettingsTree =>
     stored === undefined ? new SettingsTree([]) : parseSettingsTree(stored.text).unwrapOr(new SettingsTree([]));
 
 /** Differences between the tree in force and a text. */
-export const diffWithText = async (
+export const diffWithCurrent = async (
     values: OperatorValues,
     tree: SettingsTree,
 ): Promise<{ base: number; rows: readonly SettingsDifference[]; }> => {
     const stored = await withStore(values, readSettings);
-    return { base: stored?.revision ?? 0, rows: diffSettings(treeOf(stored), tree) };
+    return { base: stored?.revision ?? 0, rows: diffSettings(parseStoredTree(stored), tree) };
 };
 
 /** Who accepts what on top of which revision. */
@@ -81,7 +81,7 @@
 }
 
 /** Puts a text in force, or says who was first. */
-export const accept = (values: OperatorValues, input: AcceptInput) =>
+export const acceptTree = (values: OperatorValues, input: AcceptInput) =>
     withStore(values, store =>
         acceptSettings({
             store,
--- a/packages/runtime/src/abort/index.ts
+++ b/packages/runtime/src/abort/index.ts
@@ -21,27 +21,27 @@
 };
 
 /** Joins signals. `limit`: fires by itself after this many milliseconds, with a `TimeoutError`. */
-export const linkSignals = (sources: readonly (AbortSignal | undefined)[], limit?: number): LinkedSignal => {
+export const linkSignals = (sources: readonly (AbortSignal | undefined)[], timeout?: number): LinkedSignal => {
     const controller = createAbortController();
-    const known = sources.filter(source => source !== undefined);
-    const listeners = known.map(source => {
+    const definedSources = sources.filter(source => source !== undefined);
+    const listeners = definedSources.map(source => {
         const listener = () => controller.abort(source.reason);
         source.addEventListener("abort", listener, { once: true });
         return listener;
     });
-    const timer = limit === undefined ? undefined : setTimeout(
-        () => controller.abort(new DOMException(`no end within ${limit} ms`, "TimeoutError")),
-        Math.ceil(limit),
+    const timer = timeout === undefined ? undefined : setTimeout(
+        () => controller.abort(new DOMException(`no end within ${timeout} ms`, "TimeoutError")),
+        Math.ceil(timeout),
     );
-    const fired = known.find(source => source.aborted);
-    if (fired !== undefined) {
-        controller.abort(fired.reason);
+    const abortedSource = definedSources.find(source => source.aborted);
+    if (abortedSource !== undefined) {
+        controller.abort(abortedSource.reason);
     }
     return {
         signal: controller.signal,
         release: () => {
             clearTimeout(timer);
-            known.forEach((source, index) => source.removeEventListener("abort", listeners[index]));
+            definedSources.forEach((source, index) => source.removeEventListener("abort", listeners[index]));
         },
     };
 };
@@ -49,12 +49,12 @@
 /** Does something under a linked signal and lets go of the sources when it is done. */
 export const withLinkedSignal = async <Value>(
     sources: readonly (AbortSignal | undefined)[],
-    limit: number | undefined,
-    act: (signal: AbortSignal) => Promise<Value>,
+    timeout: number | undefined,
+    action: (signal: AbortSignal) => Promise<Value>,
 ): Promise<Value> => {
-    const linked = linkSignals(sources, limit);
+    const linked = linkSignals(sources, timeout);
     try {
-        return await act(linked.signal);
+        return await action(linked.signal);
     }
     finally {
         linked.release();
@@ -62,10 +62,10 @@
 };
 
 /** Resolves once a promise has settled well or a signal fires; rejects as the promise does. */
-export const unlessAborted = (settled: Promise<unknown>, signal: AbortSignal): Promise<void> =>
+export const unlessAborted = (promise: Promise<unknown>, signal: AbortSignal): Promise<void> =>
     withLinkedSignal([signal], undefined, async linked => {
         await Promise.race([
-            settled,
+            promise,
             new Promise<void>(resolve => {
                 if (linked.aborted) {
                     resolve();
--- a/packages/runtime/src/burn/index.ts
+++ b/packages/runtime/src/burn/index.ts
@@ -15,7 +15,7 @@
 
 /** Windows of the report in minutes, shortest first. */
 export const burnWindows = [5, 60, 360, 4320] as const;
-const minuteLength = 60_000;
+const millisecondsPerMinute = 60_000;
 
 /** Burn of one class over one window. */
 export interface BurnRow {
@@ -37,7 +37,7 @@
 
     /** Counts one request. */
     record(workloadClass: string, isGood: boolean): void {
-        const minute = Math.floor(this.clock.now().getTime() / minuteLength);
+        const minute = Math.floor(this.clock.now().getTime() / millisecondsPerMinute);
         const buckets = this.#buckets.get(workloadClass) ?? [];
         this.#buckets.set(workloadClass, buckets);
         if (buckets.at(-1)?.minute !== minute) {
@@ -72,18 +72,18 @@
             }
         }
     }
-    const byMinute = (left: BurnBucket, right: BurnBucket) => left.minute - right.minute;
-    return Object.fromEntries([...merged].map(([name, minutes]) => [name, [...minutes.values()].sort(byMinute)]));
+    const compareMinutes = (left: BurnBucket, right: BurnBucket) => left.minute - right.minute;
+    return Object.fromEntries([...merged].map(([name, minutes]) => [name, [...minutes.values()].sort(compareMinutes)]));
 };
 
 /** Works out the burn of each class over each window. `objective`: the share of good requests that is promised. */
-export const burnRows = (buckets: BurnBuckets, now: Date, objective: number): BurnRow[] => {
-    const minute = Math.floor(now.getTime() / minuteLength);
+export const computeBurnRows = (buckets: BurnBuckets, now: Date, objective: number): BurnRow[] => {
+    const minute = Math.floor(now.getTime() / millisecondsPerMinute);
     return Object.entries(buckets).flatMap(([workloadClass, entries]) =>
         burnWindows.map(windowMinutes => {
-            const within = entries.filter(entry => entry.minute > minute - windowMinutes);
-            const total = within.reduce((sum, entry) => sum + entry.total, 0);
-            const bad = within.reduce((sum, entry) => sum + entry.bad, 0);
+            const inWindow = entries.filter(entry => entry.minute > minute - windowMinutes);
+            const total = inWindow.reduce((sum, entry) => sum + entry.total, 0);
+            const bad = inWindow.reduce((sum, entry) => sum + entry.bad, 0);
             const allowed = total * (1 - objective);
             const burnRate = total === 0 ? 0 : bad / allowed;
             return { workloadClass, windowMinutes, total, bad, burnRate, budgetLeft: 1 - burnRate };
--- a/packages/runtime/src/http-json/index.ts
+++ b/packages/runtime/src/http-json/index.ts
@@ -8,7 +8,7 @@
 }
 
 /** An answer with its status. */
-export interface JsonAnswer {
+export interface JsonResponse {
     readonly status: number;
     readonly body: unknown;
 }
@@ -40,16 +40,16 @@
         path: string,
         body: unknown,
         signal?: AbortSignal,
-        extra = 0,
-    ): Promise<JsonAnswer> {
+        extraTimeout = 0,
+    ): Promise<JsonResponse> {
         try {
-            return await withLinkedSignal([signal], this.options.timeout + extra, async linked => {
+            return await withLinkedSignal([signal], this.options.timeout + extraTimeout, async linkedSignal => {
                 const answer = await this.#pool.request({
                     method,
                     path,
                     headers: { "content-type": "application/json" },
                     body: body === undefined ? undefined : JSON.stringify(body),
-                    signal: linked,
+                    signal: linkedSignal,
                 });
                 return { status: answer.statusCode, body: await answer.body.json() };
             });
--- a/packages/runtime/src/logging/index.ts
+++ b/packages/runtime/src/logging/index.ts
@@ -1,9 +1,9 @@
 /** Logs of numbered events through pino: JSON lines on standard output, bounded, never waited for. */
 import { type Clock, type LogEvent, logEvents, type Milliseconds } from "@pebbledale/core";
 import { destination, type DestinationStream, pino } from "pino";
-import { LineBudget } from "./line-budget.js";
+import { LogRateLimiter } from "./log-rate-limiter.js";
 
-export * from "./line-budget.js";
+export * from "./log-rate-limiter.js";
 
 /** Writes events of the catalogue. */
 export interface EventLogger {
@@ -23,56 +23,56 @@
     readonly target?: DestinationStream;
 }
 
-const standardOutput = 1;
+const standardOutputDescriptor = 1;
 /** Lines are gathered up to this many bytes before they are written: one write a line costs more than the line. */
-const gatheredBytes = 4_096;
+const flushThresholdBytes = 4_096;
 /** Gathered lines are written after this time at the latest. A process that is killed loses at most these. */
 const flushInterval: Milliseconds = 250;
 /** Most bytes that wait for a reader that does not read; lines beyond are dropped and counted. */
-const waitingBytes = 1_048_576;
+const maxBufferedBytes = 1_048_576;
 
 /** Makes a logger that writes JSON lines. */
 export const createLogger = ({ program, name, level, clock, target }: LoggerOptions): EventLogger => {
-    const budget = new LineBudget(clock);
-    const logger = pino({ level, base: { program, name } }, target ?? openStandardOutput(budget));
+    const rateLimiter = new LogRateLimiter(clock);
+    const logger = pino({ level, base: { program, name } }, target ?? openStandardOutput(rateLimiter));
     const write = (event: LogEvent, fields: Readonly<Record<string, unknown>>) =>
         logger[event.level]({ event: event.number, ...fields }, event.message);
     return {
         log: (event, fields = {}) => {
-            if (budget.hasNews) {
-                write(logEvents.linesLeftOut, { count: budget.takeLeftOut() });
+            if (rateLimiter.hasDropsToReport) {
+                write(logEvents.linesLeftOut, { count: rateLimiter.takeDroppedCount() });
             }
-            if (logger.isLevelEnabled(event.level) && budget.allows(event.level)) {
+            if (logger.isLevelEnabled(event.level) && rateLimiter.tryAcquire(event.level)) {
                 write(event, fields);
             }
         },
     };
 };
 
-const openStandardOutput = (budget: LineBudget): DestinationStream => {
+const openStandardOutput = (rateLimiter: LogRateLimiter): DestinationStream => {
     const stream = destination({
-        dest: standardOutput,
+        dest: standardOutputDescriptor,
         sync: false,
-        minLength: gatheredBytes,
-        maxLength: waitingBytes,
+        minLength: flushThresholdBytes,
+        maxLength: maxBufferedBytes,
     });
-    stream.on("drop", () => budget.noteLeftOut());
-    return new GatheringStream(stream);
+    stream.on("drop", () => rateLimiter.recordDropped());
+    return new BufferedLogStream(stream);
 };
 
 /** Has what was gathered written once the first line of it is so old: a process that logs nothing wakes for nothing. */
-class GatheringStream implements DestinationStream {
-    #isDue = false;
+class BufferedLogStream implements DestinationStream {
+    #isFlushScheduled = false;
 
     constructor(private readonly stream: ReturnType<typeof destination>) {}
 
     /** Takes one line. */
     write(line: string): void {
         this.stream.write(line);
-        if (!this.#isDue) {
-            this.#isDue = true;
+        if (!this.#isFlushScheduled) {
+            this.#isFlushScheduled = true;
             setTimeout(() => {
-                this.#isDue = false;
+                this.#isFlushScheduled = false;
                 this.stream.flush();
             }, flushInterval).unref();
         }
--- a/packages/runtime/src/metrics/index.ts
+++ b/packages/runtime/src/metrics/index.ts
@@ -3,7 +3,7 @@
 import type { PlatformCallObserver } from "../platform-http/index.js";
 
 /** Bounds of waiting times in seconds. */
-const waitingBuckets = [0.001, 0.002, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2.5, 5, 10];
+const durationBuckets = [0.001, 0.002, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2.5, 5, 10];
 
 /** What metrics are made from. */
 export interface MetricsOptions {
@@ -54,7 +54,7 @@
             name,
             help,
             labelNames: [...labelNames],
-            buckets: waitingBuckets,
+            buckets: durationBuckets,
             registers: [this.registry],
         });
     }
--- a/packages/runtime/src/platform-http/index.ts
+++ b/packages/runtime/src/platform-http/index.ts
@@ -83,9 +83,9 @@
         return this.#client.close();
     }
 
-    async #call(name: string, body: unknown, signal?: AbortSignal, extra = 0): Promise<unknown> {
+    async #call(name: string, body: unknown, signal?: AbortSignal, extraTimeout = 0): Promise<unknown> {
         try {
-            const answer = await this.#client.call("POST", `/kv/${name}`, body, signal, extra);
+            const answer = await this.#client.call("POST", `/kv/${name}`, body, signal, extraTimeout);
             if (answer.status !== statusOk) {
                 throw new NoAnswerError(`status ${answer.status}`);
             }
--- a/packages/runtime/src/process/index.ts
+++ b/packages/runtime/src/process/index.ts
@@ -52,7 +52,7 @@
 export const runFromFile = async <Schema extends ProgramSchema & typeof commonSchema>(
     program: Program<Schema>,
     file: string,
-    checkOnly: boolean,
+    isCheckOnly: boolean,
     print: PrintLine,
 ): Promise<ExitCode> => {
     const settings = loadProgramSettings(program.schema, file);
@@ -60,7 +60,7 @@
         settings.error.forEach(finding => print(formatFinding(finding)));
         return ExitCode.Usage;
     }
-    if (checkOnly) {
+    if (isCheckOnly) {
         print(`${file}: no findings`);
         return ExitCode.Done;
     }
--- a/packages/runtime/src/program-settings/load.ts
+++ b/packages/runtime/src/program-settings/load.ts
@@ -13,24 +13,24 @@
     const document = readIniDocument(text, file);
     const findings: Finding[] = [...document.findings];
     const values: Record<string, unknown> = {};
-    const seen = new Set<string>();
+    const present = new Set<string>();
     for (const { section, key, value, line } of document.entries) {
         const name = `${section}.${key}`;
         const definition = schema[name];
-        seen.add(name);
+        present.add(name);
         if (definition === undefined) {
             findings.push({ file, line, section, key, message: "no such key" });
             continue;
         }
         definition.kind.read(value).match(
-            read => {
-                values[name] = read;
+            parsed => {
+                values[name] = parsed;
             },
             message => findings.push({ file, line, section, key, message }),
         );
     }
     for (const [name, definition] of Object.entries(schema)) {
-        if (seen.has(name)) {
+        if (present.has(name)) {
             continue;
         }
         const [section, key] = splitName(name);
--- a/packages/runtime/src/program-settings/schema.ts
+++ b/packages/runtime/src/program-settings/schema.ts
@@ -10,7 +10,7 @@
     type SettingDefinition,
 } from "@pebbledale/core";
 
-const levels = new ChoiceKind(["debug", "info", "warn", "error", "fatal"]);
+const logLevels = new ChoiceKind(["debug", "info", "warn", "error", "fatal"]);
 
 /** Keys that every program reads. */
 export const commonSchema = {
@@ -30,7 +30,7 @@
         "The site of the settings tree that governs this process.",
     ),
     "process.data_hall": defineSetting(new NameKind(false), undefined, "The data hall that this VM stands in."),
-    "process.log_level": defineSetting(levels, "info", "The least severe events that are logged."),
+    "process.log_level": defineSetting(logLevels, "info", "The least severe events that are logged."),
     "process.stop_within": defineSetting(
         new DurationKind("1s", "1h"),
         "20s",
--- a/packages/runtime/src/protocol/client.ts
+++ b/packages/runtime/src/protocol/client.ts
@@ -13,10 +13,10 @@
 /** Wait before a lost connection is opened again, in milliseconds. */
 const reconnectDelay = 100;
 /** How long a call waits for a connection that is being opened, in milliseconds. */
-const openLimit = 100;
-const openStep = 10;
+const connectTimeout = 100;
+const connectCheckInterval = 10;
 /** How long the end of a connection is waited for, in milliseconds. */
-const closeLimit = 300;
+const closeTimeout = 300;
 
 /** Calls of one scheduler. */
 export type SchedulerCalls = TRPCClient<SchedulerRouter>;
@@ -27,7 +27,7 @@
     readonly #calls: SchedulerCalls;
     #isOpen = false;
     /** Fires when the present connection is lost: what waits on it is given up at once. */
-    #lost = createAbortController();
+    #connectionLost = createAbortController();
 
     constructor(readonly address: string) {
         this.#connection = createWSClient({
@@ -37,7 +37,7 @@
             onOpen: () => {
                 this.#isOpen = true;
             },
-            onClose: () => this.#noteClosed(),
+            onClose: () => this.#handleClose(),
             keepAlive: { enabled: true, intervalMs: 2_000, pongTimeoutMs: 1_000 },
         });
         this.#calls = createTRPCClient<SchedulerRouter>({ links: [wsLink({ client: this.#connection })] });
@@ -45,15 +45,15 @@
 
     /** Makes a call; rejects with {@link SchedulerUnreachableError} when there is no answer within `limit` milliseconds. */
     async call<Answer>(
-        limit: number,
-        make: (calls: SchedulerCalls, signal: AbortSignal) => Promise<Answer>,
+        timeout: number,
+        invoke: (calls: SchedulerCalls, signal: AbortSignal) => Promise<Answer>,
     ): Promise<Answer> {
         try {
-            return await withLinkedSignal([this.#lost.signal], limit, async signal => {
+            return await withLinkedSignal([this.#connectionLost.signal], timeout, async signal => {
                 if (!this.#isOpen) {
-                    await this.#untilOpen(signal);
+                    await this.#waitForConnection(signal);
                 }
-                return make(this.#calls, signal);
+                return invoke(this.#calls, signal);
             });
         }
         catch (cause) {
@@ -61,17 +61,17 @@
         }
     }
 
-    #noteClosed(): void {
+    #handleClose(): void {
         this.#isOpen = false;
-        this.#lost.abort(new Error("the connection was lost"));
-        this.#lost = createAbortController();
+        this.#connectionLost.abort(new Error("the connection was lost"));
+        this.#connectionLost = createAbortController();
     }
 
     /** Gives a connection that is being opened a moment; a scheduler that is gone costs no more than that. */
-    async #untilOpen(signal: AbortSignal): Promise<void> {
-        for (let waited = 0; waited < openLimit && !this.#isOpen; waited += openStep) {
+    async #waitForConnection(signal: AbortSignal): Promise<void> {
+        for (let elapsed = 0; elapsed < connectTimeout && !this.#isOpen; elapsed += connectCheckInterval) {
             signal.throwIfAborted();
-            await new Promise(resolve => setTimeout(resolve, openStep));
+            await new Promise(resolve => setTimeout(resolve, connectCheckInterval));
         }
         if (!this.#isOpen) {
             throw new Error("no connection");
@@ -81,6 +81,6 @@
     /** Ends the connection. A peer that stands still may never say goodbye; it is not waited for. */
     async close(): Promise<void> {
         const closed = this.#connection.close().catch(() => undefined);
-        await Promise.race([closed, new Promise(resolve => setTimeout(resolve, closeLimit).unref())]);
+        await Promise.race([closed, new Promise(resolve => setTimeout(resolve, closeTimeout).unref())]);
     }
 }
--- a/packages/runtime/src/protocol/router.ts
+++ b/packages/runtime/src/protocol/router.ts
@@ -5,18 +5,20 @@
 const trpc = initTRPC.create();
 
 /** Messages come from our own processes of the same version; their type is taken at its word. */
-const message = <Message>() => (input: unknown): Message => input as Message;
+const uncheckedInput = <Message>() => (input: unknown): Message => input as Message;
 
 /** Makes the router over a service. */
 export const createSchedulerRouter = (service: SchedulerService) =>
     trpc.router({
-        submit: trpc.procedure.input(message<SubmitRequest>()).mutation(({ input }) => service.submit(input)),
-        view: trpc.procedure.input(message<JobRequest>()).query(({ input }) => service.view(input)),
-        wait: trpc.procedure.input(message<WaitRequest>()).query(({ input }) => service.wait(input)),
-        cancel: trpc.procedure.input(message<JobRequest>()).mutation(({ input }) => service.cancel(input)),
-        acquire: trpc.procedure.input(message<AcquireRequest>()).mutation(({ input }) => service.acquire(input)),
-        beginOnce: trpc.procedure.input(message<OnceRequest>()).mutation(({ input }) => service.beginOnce(input)),
-        endOnce: trpc.procedure.input(message<OnceRequest>()).mutation(({ input }) => service.endOnce(input)),
+        submit: trpc.procedure.input(uncheckedInput<SubmitRequest>()).mutation(({ input }) => service.submit(input)),
+        view: trpc.procedure.input(uncheckedInput<JobRequest>()).query(({ input }) => service.view(input)),
+        wait: trpc.procedure.input(uncheckedInput<WaitRequest>()).query(({ input }) => service.wait(input)),
+        cancel: trpc.procedure.input(uncheckedInput<JobRequest>()).mutation(({ input }) => service.cancel(input)),
+        acquire: trpc.procedure.input(uncheckedInput<AcquireRequest>()).mutation(({ input }) => service.acquire(input)),
+        beginOnce: trpc.procedure.input(uncheckedInput<OnceRequest>()).mutation(({ input }) =>
+            service.beginOnce(input)
+        ),
+        endOnce: trpc.procedure.input(uncheckedInput<OnceRequest>()).mutation(({ input }) => service.endOnce(input)),
         status: trpc.procedure.query(() => service.status()),
         currentSettings: trpc.procedure.query(() => service.currentSettings()),
         ownedShards: trpc.procedure.query(() => service.ownedShards()),
--- a/packages/runtime/src/protocol/server.ts
+++ b/packages/runtime/src/protocol/server.ts
@@ -9,21 +9,21 @@
 export const protocolPath = "/trpc";
 /** A connection on which nothing was heard for this long is checked, in milliseconds. */
 const keepAliveInterval = 5_000;
-const keepAliveWait = 2_000;
+const keepAliveTimeout = 2_000;
 
 /** Serves the router until `close` of the returned handle. */
 export const serveProtocol = (server: FastifyInstance, service: SchedulerService): { close(): void; } => {
-    const sockets = new WebSocketServer({ server: server.server, path: protocolPath });
+    const webSocketServer = new WebSocketServer({ server: server.server, path: protocolPath });
     const handler = applyWSSHandler({
-        wss: sockets,
+        wss: webSocketServer,
         router: createSchedulerRouter(service),
-        keepAlive: { enabled: true, pingMs: keepAliveInterval, pongWaitMs: keepAliveWait },
+        keepAlive: { enabled: true, pingMs: keepAliveInterval, pongWaitMs: keepAliveTimeout },
     });
     return {
         close: () => {
             handler.broadcastReconnectNotification();
-            sockets.clients.forEach(client => client.terminate());
-            sockets.close();
+            webSocketServer.clients.forEach(client => client.terminate());
+            webSocketServer.close();
         },
     };
 };
--- a/packages/runtime/src/settings-watch/index.ts
+++ b/packages/runtime/src/settings-watch/index.ts
@@ -55,7 +55,7 @@
     }
 
     /** Takes a revision if it is newer than the one in force and can be read. */
-    offer(stored: StoredSettings): boolean {
+    applyIfNewer(stored: StoredSettings): boolean {
         if (stored.revision <= this.revision) {
             return false;
         }
@@ -83,9 +83,9 @@
 
     /** Takes the highest revision that any peer holds. */
     async learnFromPeers(): Promise<void> {
-        const held = await this.options.askPeers();
-        const highest = [...held].sort((left, right) => right.revision - left.revision)[0];
-        if (highest !== undefined && this.offer(highest)) {
+        const peerSettings = await this.options.askPeers();
+        const highest = [...peerSettings].sort((left, right) => right.revision - left.revision)[0];
+        if (highest !== undefined && this.applyIfNewer(highest)) {
             this.options.logger.log(logEvents.settingsFromPeer, { revision: highest.revision });
         }
     }
@@ -98,7 +98,7 @@
             try {
                 const stored = await readSettings(store);
                 if (stored !== undefined) {
-                    this.offer(stored);
+                    this.applyIfNewer(stored);
                 }
                 const events = await store.watch(settingsPrefix, cursor, watchDuration, signal);
                 cursor = events.cursor;
--- a/packages/runtime/src/sharding/index.ts
+++ b/packages/runtime/src/sharding/index.ts
@@ -31,15 +31,15 @@
 
 /** A text that is equal for equal values, whatever the order of their fields. */
 export const digestOf = (value: unknown): string =>
-    createHash("sha256").update(JSON.stringify(sorted(value))).digest("hex");
+    createHash("sha256").update(JSON.stringify(withSortedKeys(value))).digest("hex");
 
-const sorted = (value: unknown): unknown => {
+const withSortedKeys = (value: unknown): unknown => {
     if (Array.isArray(value)) {
-        return value.map(sorted);
+        return value.map(withSortedKeys);
     }
     if (typeof value === "object" && value !== undefined && value instanceof Object) {
         const entries = Object.entries(value).sort(([left], [right]) => left < right ? -1 : 1);
-        return Object.fromEntries(entries.map(([key, entry]) => [key, sorted(entry)]));
+        return Object.fromEntries(entries.map(([key, entry]) => [key, withSortedKeys(entry)]));
     }
     return value;
 };
--- a/packages/runtime/src/worker-http/index.ts
+++ b/packages/runtime/src/worker-http/index.ts
@@ -58,9 +58,14 @@
         return this.#client.close();
     }
 
-    async #call<Value>(name: string, message: unknown, signal: AbortSignal, extra = 0): Promise<WorkerAnswer<Value>> {
+    async #call<Value>(
+        name: string,
+        message: unknown,
+        signal: AbortSignal,
+        extraTimeout = 0,
+    ): Promise<WorkerAnswer<Value>> {
         try {
-            const answer = await this.#client.call("POST", `/tasks/${name}`, message, signal, extra);
+            const answer = await this.#client.call("POST", `/tasks/${name}`, message, signal, extraTimeout);
             if (answer.status === statusOk) {
                 return { kind: "accepted", value: answer.body as Value };
             }
--- a/packages/runtime/test/burn/burn.test.ts
+++ b/packages/runtime/test/burn/burn.test.ts
@@ -1,7 +1,7 @@
 import { ManualClock } from "@pebbledale/core";
 import { expect } from "earl";
 import { describe, it } from "node:test";
-import { BurnRecorder, burnRows, mergeBuckets } from "../../src/index.js";
+import { BurnRecorder, computeBurnRows, mergeBuckets } from "../../src/index.js";
 
 describe("service-level burn", () => {
     it("adds gateways up and works out burn and budget by window", () => {
@@ -14,7 +14,7 @@
         for (let index = 0; index < 100; index++) {
             second.record("prompts", true);
         }
-        const rows = burnRows(mergeBuckets([first.buckets(), second.buckets()]), clock.now(), 0.99);
+        const rows = computeBurnRows(mergeBuckets([first.buckets(), second.buckets()]), clock.now(), 0.99);
         const shown = rows.map(
             row => [
                 row.windowMinutes,
@@ -33,6 +33,6 @@
     });
 
     it("reports no burn where nothing was asked", () => {
-        expect(burnRows({ prompts: [] }, new Date(0), 0.99).every(row => row.burnRate === 0)).toEqual(true);
+        expect(computeBurnRows({ prompts: [] }, new Date(0), 0.99).every(row => row.burnRate === 0)).toEqual(true);
     });
 });
--- a/packages/runtime/test/logging/logging.test.ts
+++ b/packages/runtime/test/logging/logging.test.ts
@@ -1,9 +1,9 @@
 import { logEvents, ManualClock } from "@pebbledale/core";
 import { expect } from "earl";
 import { describe, it } from "node:test";
-import { budgetPeriod, createLogger, linesPerPeriod } from "../../src/index.js";
+import { createLogger, maxLinesPerPeriod, rateLimitPeriod } from "../../src/index.js";
 
-const made = () => {
+const createTestLogger = () => {
     const clock = new ManualClock();
     const lines: { event: number; level: number; count?: number; }[] = [];
     const target = { write: (line: string) => void lines.push(JSON.parse(line) as (typeof lines)[number]) };
@@ -13,29 +13,29 @@
 
 describe("a process's log", () => {
     it("holds the event's number and its particulars", () => {
-        const { lines, logger } = made();
+        const { lines, logger } = createTestLogger();
         logger.log(logEvents.jobAccepted, { job: "j1" });
         expect(lines.length).toEqual(1);
         expect(lines[0]).toEqual({ ...lines[0], event: logEvents.jobAccepted.number, job: "j1" } as never);
     });
 
     it("stays bounded under a flood, and tells how much it left out", () => {
-        const { clock, lines, logger } = made();
-        for (let index = 0; index < linesPerPeriod + 300; index++) {
+        const { clock, lines, logger } = createTestLogger();
+        for (let index = 0; index < maxLinesPerPeriod + 300; index++) {
             logger.log(logEvents.jobAccepted, { job: `j${index}` });
         }
-        expect(lines.length).toEqual(linesPerPeriod);
-        clock.advance(budgetPeriod);
+        expect(lines.length).toEqual(maxLinesPerPeriod);
+        clock.advance(rateLimitPeriod);
         logger.log(logEvents.jobAccepted, { job: "later" });
-        expect(lines.slice(linesPerPeriod).map(line => [line.event, line.count])).toEqual([
+        expect(lines.slice(maxLinesPerPeriod).map(line => [line.event, line.count])).toEqual([
             [logEvents.linesLeftOut.number, 300],
             [logEvents.jobAccepted.number, undefined],
         ]);
     });
 
     it("keeps warnings through a flood of the others", () => {
-        const { lines, logger } = made();
-        for (let index = 0; index < linesPerPeriod * 2; index++) {
+        const { lines, logger } = createTestLogger();
+        for (let index = 0; index < maxLinesPerPeriod * 2; index++) {
             logger.log(logEvents.jobAccepted, { job: `j${index}` });
         }
         logger.log(logEvents.runLost, { task: "t" });
