--- a/packages/operator/src/cli/commands/burn.ts
+++ b/packages/operator/src/cli/commands/burn.ts
@@ -4,7 +4,7 @@
 import { formatShare, formatTable } from "../../output/index.js";
 import { OperatorCommand, type OperatorValues } from "../operator-command.js";
 
-/** `pebbledale report burn`: how fast each class uses its error budget up. */
+/** `pebbledale report burn`: prints how fast each workload class uses up its error budget. */
 export class BurnCommand extends OperatorCommand {
     static override paths = [["report", "burn"]];
     static override usage = Command.Usage({
--- a/packages/operator/src/cli/commands/explain-job.ts
+++ b/packages/operator/src/cli/commands/explain-job.ts
@@ -3,7 +3,7 @@
 import { formatTable } from "../../output/index.js";
 import { OperatorCommand, type OperatorValues } from "../operator-command.js";
 
-/** `pebbledale explain JOB`: each decision about a job and its reason, in order. */
+/** `pebbledale explain JOB`: prints each decision about a job and its reason, in order. */
 export class ExplainJobCommand extends OperatorCommand {
     static override paths = [["explain"]];
     static override usage = Command.Usage({
--- a/packages/operator/src/cli/commands/job.ts
+++ b/packages/operator/src/cli/commands/job.ts
@@ -3,7 +3,7 @@
 import { formatTable } from "../../output/index.js";
 import { OperatorCommand, type OperatorValues } from "../operator-command.js";
 
-/** `pebbledale job JOB`: a job as its caller sees it. */
+/** `pebbledale job JOB`: prints a job as its caller sees it. */
 export class JobCommand extends OperatorCommand {
     static override paths = [["job"]];
     static override usage = Command.Usage({ category: "Watch", description: "Print a job, by id or as key:KEY" });
--- a/packages/operator/src/cli/commands/settings-accept.ts
+++ b/packages/operator/src/cli/commands/settings-accept.ts
@@ -7,7 +7,7 @@
 import { formatTable } from "../../output/index.js";
 import { OperatorCommand, type OperatorValues } from "../operator-command.js";
 
-/** `pebbledale settings accept FILE --base REVISION`: puts a tree in force unless another operator was first. */
+/** `pebbledale settings accept FILE --base REVISION`: puts a tree in force if REVISION is still the current one. */
 export class SettingsAcceptCommand extends OperatorCommand {
     static override paths = [["settings", "accept"]];
     static override usage = Command.Usage({
--- a/packages/operator/src/cli/commands/settings-diff.ts
+++ b/packages/operator/src/cli/commands/settings-diff.ts
@@ -5,7 +5,7 @@
 import { formatTable } from "../../output/index.js";
 import { OperatorCommand, type OperatorValues } from "../operator-command.js";
 
-/** `pebbledale settings diff FILE`: what a file would change. */
+/** `pebbledale settings diff FILE`: prints how a file differs from the settings tree in force. */
 export class SettingsDiffCommand extends OperatorCommand {
     static override paths = [["settings", "diff"]];
     static override usage = Command.Usage({
--- a/packages/operator/src/cli/commands/settings-explain.ts
+++ b/packages/operator/src/cli/commands/settings-explain.ts
@@ -4,7 +4,7 @@
 import { formatTable, OperatorError } from "../../output/index.js";
 import { OperatorCommand, type OperatorValues } from "../operator-command.js";
 
-/** `pebbledale settings explain KEY`: a value in force and the line it came from. */
+/** `pebbledale settings explain [KEY]`: prints the value of a key, or of all keys, and the line that sets it. */
 export class SettingsExplainCommand extends OperatorCommand {
     static override paths = [["settings", "explain"]];
     static override usage = Command.Usage({
--- a/packages/operator/src/cli/commands/settings-get.ts
+++ b/packages/operator/src/cli/commands/settings-get.ts
@@ -3,7 +3,7 @@
 import * as typanion from "typanion";
 import { OperatorCommand, type OperatorValues } from "../operator-command.js";
 
-/** `pebbledale settings get`: prints the tree in force. */
+/** `pebbledale settings get`: prints the settings tree in force, or that of an earlier revision. */
 export class SettingsGetCommand extends OperatorCommand {
     static override paths = [["settings", "get"]];
     static override usage = Command.Usage({
--- a/packages/operator/src/cli/commands/settings-history.ts
+++ b/packages/operator/src/cli/commands/settings-history.ts
@@ -4,7 +4,7 @@
 import { formatTable } from "../../output/index.js";
 import { OperatorCommand, type OperatorValues } from "../operator-command.js";
 
-/** `pebbledale settings history`: who accepted what, newest first. */
+/** `pebbledale settings history`: prints the accepted revisions with author and note, newest first. */
 export class SettingsHistoryCommand extends OperatorCommand {
     static override paths = [["settings", "history"]];
     static override usage = Command.Usage({
--- a/packages/operator/src/cli/commands/status.ts
+++ b/packages/operator/src/cli/commands/status.ts
@@ -3,7 +3,7 @@
 import { formatShare, formatTable } from "../../output/index.js";
 import { OperatorCommand, type OperatorValues } from "../operator-command.js";
 
-/** `pebbledale status`: what each scheduler and shard reports. */
+/** `pebbledale status`: prints the state of each scheduler and shard. Fails if no shard has an owner that answers. */
 export class StatusCommand extends OperatorCommand {
     static override paths = [["status"]];
     static override usage = Command.Usage({ category: "Watch", description: "Print what each site reports" });
--- a/packages/operator/src/cli/commands/workers.ts
+++ b/packages/operator/src/cli/commands/workers.ts
@@ -10,7 +10,7 @@
     return worker.leaving ? "leaving" : worker.open ? "open" : "closed";
 };
 
-/** `pebbledale workers`: each worker as its owner sees it. */
+/** `pebbledale workers`: prints each worker as its shard's owner sees it. */
 export class WorkersCommand extends OperatorCommand {
     static override paths = [["workers"]];
     static override usage = Command.Usage({ category: "Watch", description: "Print each worker as its owner sees it" });
--- a/packages/operator/src/cli/main.ts
+++ b/packages/operator/src/cli/main.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** `pebbledale`: the operators' command line. Each command's work is loaded when it is called. */
+/** `pebbledale`: the operators' command line. Commands import their implementation on demand. */
 import { Builtins, Cli } from "clipanion";
 import { BurnCommand } from "./commands/burn.js";
 import { ExplainJobCommand } from "./commands/explain-job.js";
--- a/packages/operator/src/index.ts
+++ b/packages/operator/src/index.ts
@@ -1,3 +1,3 @@
-/** Parts of the command line that tests reach. */
+/** Parts of the command line that are exported for tests. */
 export * from "./output/index.js";
 export * from "./report/index.js";
--- a/packages/operator/src/jobs/index.ts
+++ b/packages/operator/src/jobs/index.ts
@@ -1,4 +1,4 @@
-/** Asking schedulers about shards and jobs. */
+/** Queries of schedulers about shards and jobs. */
 import { jobId } from "@pebbledale/core";
 import {
     type JobAnswer,
@@ -18,7 +18,7 @@
 import type { OperatorValues } from "../cli/operator-command.js";
 import { OperatorError } from "../output/index.js";
 
-/** How long a scheduler may take to answer, in milliseconds. */
+/** Timeout of a query to one scheduler, in milliseconds. */
 const answerTimeout = 2_000;
 
 const withSchedulerClients = async <Answer>(
@@ -34,13 +34,13 @@
     }
 };
 
-/** A scheduler with its address; without a status when it did not answer. */
+/** A scheduler that was queried; `status` is undefined if it did not answer. */
 export interface QueriedScheduler {
     readonly address: string;
     readonly status: SchedulerStatus | undefined;
 }
 
-/** The status of every scheduler. */
+/** Queries the status of every scheduler of the settings file. */
 export const fetchStatuses = (values: OperatorValues): Promise<QueriedScheduler[]> =>
     withSchedulerClients(values, clients =>
         Promise.all(clients.map(async client => ({
@@ -49,7 +49,7 @@
                 .catch(() => undefined),
         }))));
 
-/** A shard with the scheduler that says it owns it. */
+/** A shard with the scheduler that reports to own it. */
 export interface OwnedShardStatus {
     readonly owner: SchedulerStatus;
     readonly shard: ShardStatus;
@@ -58,7 +58,7 @@
 const byEpoch = Ord.contramap((owned: OwnedShardStatus) => Number(owned.shard.epoch))(NumberInstances.Ord);
 const byShard = Ord.contramap((owned: OwnedShardStatus) => String(owned.shard.shard))(StringInstances.Ord);
 
-/** The owned shards, each once: of two that believe they own one, the higher epoch is right. */
+/** Returns the owned shards sorted by id; of several claims to one shard, that with the highest epoch. */
 export const ownedShards = (schedulers: readonly QueriedScheduler[]): readonly OwnedShardStatus[] =>
     pipe(
         schedulers,
@@ -70,7 +70,11 @@
         ReadonlyArray.sort(byShard),
     );
 
-/** A job with its decisions, by id or as `key:KEY`. */
+/**
+ * Fetches a job with its decisions. `name`: the job's id, or its key, written `key:KEY` or without a dot.
+ *
+ * Rejects with {@link OperatorError} if no scheduler knows the job, or none answers for its shard.
+ */
 export const fetchJob = (values: OperatorValues, name: string): Promise<JobAnswer> =>
     withSchedulerClients(values, async clients => {
         const isKey = name.startsWith("key:") || !name.includes(".");
--- a/packages/operator/src/output/index.ts
+++ b/packages/operator/src/output/index.ts
@@ -1,7 +1,7 @@
-/** Tables and errors of the command line. */
+/** Formatting of tables and errors for the command line. */
 import type { ErrorName } from "@pebbledale/core";
 
-/** A failure that is shown to the operator as an entry of the catalogue. */
+/** A failure that is printed as an entry of the error catalogue. */
 export class OperatorError extends Error {
     override readonly name = "OperatorError";
 
@@ -10,7 +10,7 @@
     }
 }
 
-/** A table of text: columns as wide as their widest cell. */
+/** Formats a text table whose columns are as wide as their widest cell. */
 export const formatTable = (head: readonly string[], rows: readonly (readonly string[])[]): string => {
     const widths = head.map((name, column) => Math.max(name.length, ...rows.map(row => row[column].length)));
     const line = (cells: readonly string[]) =>
@@ -18,5 +18,5 @@
     return [head, ...rows].map(line).join("\n");
 };
 
-/** A share from 0 to 1 in percent. */
+/** Formats a share from 0 to 1 as a percentage. */
 export const formatShare = (share: number): string => `${(share * 100).toFixed(1)}%`;
--- a/packages/operator/src/report/fetch.ts
+++ b/packages/operator/src/report/fetch.ts
@@ -1,22 +1,23 @@
-/** Asks all gateways for their counts and works the report out. */
+/** Collects the request counts of all gateways and computes the burn report. */
 import { SystemClock } from "@pebbledale/core";
 import { type BurnBuckets, type BurnRow, computeBurnRows, mergeBuckets } from "@pebbledale/runtime";
 import { request } from "undici";
 import type { OperatorValues } from "../cli/operator-command.js";
 import { fetchSettings, parseStoredTree } from "../settings/index.js";
 
-/** Service-level burn of all gateways, as the command prints it. */
+/** Service-level burn over all gateways. Field names are part of the output with `--json`. */
 export interface BurnReport {
     readonly at: string;
-    /** Share of requests that must be answered whole and in time. */
+    /** Share of requests that must be answered completely and in time. */
     readonly objective: number;
-    /** Number of gateways that were asked and that answered; what the others counted is missing. */
+    /** Number of gateways that were queried; the counts of those that did not answer are missing. */
     readonly asked: number;
     readonly answered: number;
     readonly rows: readonly BurnRow[];
     readonly buckets: BurnBuckets;
 }
 
+/** Timeout of a request to one gateway, in milliseconds. */
 const answerTimeout = 2_000;
 
 const fetchBuckets = async (address: string): Promise<BurnBuckets | undefined> => {
@@ -32,7 +33,7 @@
     }
 };
 
-/** Fetches the counts of all gateways; the objective is that of the site's live class. */
+/** Fetches the report. `sitePath`: `REGION/SITE` whose objective for live requests applies, or empty for none. */
 export const fetchBurn = async (values: OperatorValues, sitePath: string): Promise<BurnReport> => {
     const [region, site] = sitePath === "" ? [] : sitePath.split("/");
     const tree = parseStoredTree(await fetchSettings(values));
--- a/packages/operator/src/report/index.ts
+++ b/packages/operator/src/report/index.ts
@@ -1,3 +1,3 @@
-/** The report on service-level burn. */
+/** Report of the service-level burn, as data and as an HTML page. */
 export * from "./fetch.js";
 export * from "./page.js";
--- a/packages/operator/src/report/page.ts
+++ b/packages/operator/src/report/page.ts
@@ -1,11 +1,11 @@
-/** One self-contained page of the burn report, with a chart of the burn by minute. */
+/** HTML page of the burn report. */
 import type { BurnBucket } from "@pebbledale/runtime";
 import type { BurnReport } from "./fetch.js";
 
 const chartWidth = 720;
 const chartHeight = 160;
 const chartMargin = 30;
-/** Minutes that the chart shows. */
+/** Number of minutes that the chart covers. */
 const chartMinutes = 360;
 const millisecondsPerMinute = 60_000;
 
@@ -42,7 +42,7 @@
         }</svg>`;
 };
 
-/** Renders the page. */
+/** Renders the report as one HTML page without external resources, with a chart per workload class. */
 export const renderBurnPage = (report: BurnReport): string => {
     const lastMinute = Math.floor(Date.parse(report.at) / millisecondsPerMinute);
     const sections = Object.entries(report.buckets).map(([name, buckets]) => {
--- a/packages/operator/src/settings/index.ts
+++ b/packages/operator/src/settings/index.ts
@@ -1,4 +1,4 @@
-/** Reading and accepting the settings tree through the platform's service. */
+/** Reads and changes the settings tree in the platform's key-value service. */
 import {
     acceptSettings,
     AcceptUnsettledError,
@@ -20,10 +20,10 @@
 import type { OperatorValues } from "../cli/operator-command.js";
 import { OperatorError } from "../output/index.js";
 
-/** How long a lost answer is settled by reading, in milliseconds. */
+/** Maximum time of the reads that find out whether a write without an answer took effect, in milliseconds. */
 const settleWithin = 10_000;
 
-/** Makes calls to the platform, with its silence shown as an error of the catalogue. */
+/** Runs `action` with a connection to the platform; an unavailable platform becomes an {@link OperatorError}. */
 export const withStore = async <Answer>(
     values: OperatorValues,
     action: (store: PlatformStore) => Promise<Answer>,
@@ -43,7 +43,7 @@
     }
 };
 
-/** The tree in force, or one of an earlier revision. */
+/** Fetches the settings in force or an earlier revision; rejects with {@link OperatorError} if there is none. */
 export const fetchSettings = (values: OperatorValues, revision?: number): Promise<StoredSettings> =>
     withStore(values, async store => {
         const stored = revision === undefined
@@ -55,15 +55,15 @@
         return stored;
     });
 
-/** The newest accepted trees, newest first. */
+/** Fetches the last accepted revisions, at most `limit`, newest first. */
 export const fetchHistory = (values: OperatorValues, limit: number): Promise<StoredSettings[]> =>
     withStore(values, store => readHistory(store, limit));
 
-/** The tree of an accepted revision; the schema it was accepted under may have been older. */
+/** Parses an accepted tree. Empty if there is none, or if it was accepted under an older schema and is invalid now. */
 export const parseStoredTree = (stored: StoredSettings | undefined): SettingsTree =>
     stored === undefined ? new SettingsTree([]) : parseSettingsTree(stored.text).unwrapOr(new SettingsTree([]));
 
-/** Differences between the tree in force and a text. */
+/** Compares the settings in force with a parsed tree. `base`: the revision in force, 0 if there is none. */
 export const diffWithCurrent = async (
     values: OperatorValues,
     tree: SettingsTree,
@@ -72,7 +72,7 @@
     return { base: stored?.revision ?? 0, rows: diffSettings(parseStoredTree(stored), tree) };
 };
 
-/** Who accepts what on top of which revision. */
+/** A settings text to accept. `base`: the revision that was edited. */
 export interface AcceptInput {
     readonly text: string;
     readonly base: number;
@@ -80,7 +80,7 @@
     readonly note: string;
 }
 
-/** Puts a text in force, or says who was first. */
+/** Puts a text in force if `base` is still the current revision and the text is not too large. */
 export const acceptTree = (values: OperatorValues, input: AcceptInput) =>
     withStore(values, store =>
         acceptSettings({
--- a/packages/runtime/src/burn/index.ts
+++ b/packages/runtime/src/burn/index.ts
@@ -74,7 +74,7 @@
     return Object.fromEntries([...merged].map(([name, minutes]) => [name, [...minutes.values()].sort(compareMinutes)]));
 };
 
-/** Computes the burn of each workload class over each window. `objective`: the promised share of good requests, below 1. */
+/** Computes the burn of each workload class over each window. `objective`: promised share of good requests. */
 export const computeBurnRows = (buckets: BurnBuckets, now: Date, objective: number): BurnRow[] => {
     const minute = Math.floor(now.getTime() / millisecondsPerMinute);
     return Object.entries(buckets).flatMap(([workloadClass, entries]) =>
--- a/packages/runtime/src/index.ts
+++ b/packages/runtime/src/index.ts
@@ -1,4 +1,4 @@
-/** Shared code of the programs: adapters of external systems, logs, metrics, settings files, the protocol between processes. */
+/** Code that the programs share, such as adapters of external systems, logs, metrics and settings files. */
 export * from "./abort/index.js";
 export * from "./administration/index.js";
 export * from "./burn/index.js";
--- a/packages/runtime/src/logging/index.ts
+++ b/packages/runtime/src/logging/index.ts
@@ -59,7 +59,7 @@
     return new BufferedLogStream(stream);
 };
 
-/** Flushes the buffer {@link flushInterval} after its first line, so that an idle process is not woken by a periodic timer. */
+/** Flushes the buffer {@link flushInterval} after its first line, so that an idle process needs no periodic timer. */
 class BufferedLogStream implements DestinationStream {
     #isFlushScheduled = false;
 
--- a/packages/runtime/src/logging/log-rate-limiter.ts
+++ b/packages/runtime/src/logging/log-rate-limiter.ts
@@ -3,7 +3,7 @@
 
 /** Maximum number of lines below `warn` in one period. */
 export const maxLinesPerPeriod = 1_200;
-/** Maximum number of lines of `warn` and above in one period, counted apart so that lower levels cannot displace them. */
+/** Maximum number of lines of `warn` and above in one period, which lower levels cannot displace. */
 export const maxWarningsPerPeriod = 600;
 /** Length of a period of the rate limit. */
 export const rateLimitPeriod: Milliseconds = 1_000;
@@ -36,7 +36,7 @@
         return this.#droppedCount > 0 && this.#isPeriodOver;
     }
 
-    /** Counts one line against the limit of its level. Returns false, and counts the line as dropped, if it is exceeded. */
+    /** Counts one line against the limit of its level; beyond it, counts the line as dropped and returns false. */
     tryAcquire(level: EventLevel): boolean {
         if (this.#isPeriodOver) {
             this.#periodStart = this.clock.monotonic();
--- a/packages/runtime/src/process/index.ts
+++ b/packages/runtime/src/process/index.ts
@@ -48,7 +48,7 @@
     readonly serve: (values: ProgramValues<Schema>, logger: EventLogger, print: PrintLine) => Promise<void>;
 }
 
-/** Runs a program from its settings file, or only validates the file; resolves to the exit code. Findings are printed. */
+/** Runs a program from its settings file, or only validates the file. Findings are printed. */
 export const runFromFile = async <Schema extends ProgramSchema & typeof commonSchema>(
     program: Program<Schema>,
     file: string,
--- a/packages/runtime/src/protocol/client.ts
+++ b/packages/runtime/src/protocol/client.ts
@@ -67,7 +67,7 @@
         this.#connectionLost = createAbortController();
     }
 
-    /** Waits briefly for the connection to open, so that a call to a stopped scheduler fails well before its timeout. */
+    /** Waits briefly for the connection to open, so that a call to a stopped scheduler fails before its timeout. */
     async #waitForConnection(signal: AbortSignal): Promise<void> {
         for (let elapsed = 0; elapsed < connectTimeout && !this.#isOpen; elapsed += connectCheckInterval) {
             signal.throwIfAborted();
--- a/packages/runtime/src/protocol/server.ts
+++ b/packages/runtime/src/protocol/server.ts
@@ -12,7 +12,7 @@
 /** Time after which a connection without a pong is closed, in milliseconds. */
 const keepAliveTimeout = 2_000;
 
-/** Serves the router on the scheduler's administration server until `close` is called; closing asks clients to reconnect. */
+/** Serves the router on the scheduler's HTTP server until `close` is called, which asks clients to reconnect. */
 export const serveProtocol = (server: FastifyInstance, service: SchedulerService): { close(): void; } => {
     const webSocketServer = new WebSocketServer({ server: server.server, path: protocolPath });
     const handler = applyWSSHandler({
--- a/packages/runtime/src/settings-watch/index.ts
+++ b/packages/runtime/src/settings-watch/index.ts
@@ -28,8 +28,8 @@
 const retryDelay = 500;
 
 /**
- * The settings in force in this process: followed on the platform, and fetched from peers while the platform is unavailable.
- * The revision never decreases.
+ * The settings in force in this process, followed on the platform and fetched from peers while the platform is
+ * unavailable. The revision never decreases.
  */
 export class SettingsWatch {
     #stored: StoredSettings | undefined;
