--- a/deploy/bundle.mjs
+++ b/deploy/bundle.mjs
@@ -1,12 +1,13 @@
 /**
- * Bundles each program into one file below target/ and keeps its compiled code beside it: loose modules take twice as
- * long to load, and compiling the bundle takes half of what is left. A small VM starts in a third of the time.
+ * Bundles the entry program into one file below target/ and stores V8's compiled code beside it.
+ *
+ * Loading separate modules and compiling them would take most of the program's start time on a small VM.
  */
 import { build } from "esbuild";
 import { execFileSync } from "node:child_process";
 import { copyFileSync } from "node:fs";
 
-const packageSource = name => `./packages/${name}/src/index.ts`;
+const packageEntryPoint = name => `./packages/${name}/src/index.ts`;
 
 await build({
     entryPoints: { "pebbledale-entry.bundle": "platform/src/program/main.ts" },
@@ -16,17 +17,17 @@
     platform: "node",
     target: "node20",
     format: "cjs",
-    // Names stay, so that stack traces can be read.
+    // Identifiers are not minified, so that stack traces stay readable.
     minifyWhitespace: true,
     minifySyntax: true,
     legalComments: "none",
     logLevel: "warning",
     alias: Object.fromEntries(
-        ["core", "cell", "runtime", "entry"].map(name => [`@pebbledale/${name}`, packageSource(name)]),
+        ["core", "cell", "runtime", "entry"].map(name => [`@pebbledale/${name}`, packageEntryPoint(name)]),
     ),
 });
 copyFileSync("deploy/start.cjs", "target/pebbledale-entry.cjs");
-// With the flags of deploy/system.toml: code that was compiled under others is refused and compiled anew.
+// The flags must equal those of deploy/system.toml: V8 rejects cached code that was compiled with other flags.
 execFileSync(
     process.execPath,
     ["--max-old-space-size=160", "target/pebbledale-entry.cjs", "--compile-only"],
--- a/deploy/start.cjs
+++ b/deploy/start.cjs
@@ -1,26 +1,27 @@
 /**
- * Starts the bundle beside this file from its compiled code, which `--compile-only` writes.
+ * Runs the bundle beside this file, using V8's code cache if there is one. With `--compile-only`, writes the code cache.
  *
- * Code that does not fit the runtime is compiled anew, so a missing or foreign file costs time and nothing else.
+ * A cache that is missing or that V8 rejects only slows the start down.
  */
 "use strict";
 const { existsSync, readFileSync, writeFileSync } = require("node:fs");
 const { Script } = require("node:vm");
 
 const bundle = __filename.replace(/\.cjs$/, ".bundle.cjs");
-const compiled = `${bundle}.compiled`;
+const codeCache = `${bundle}.compiled`;
 const isCompileOnly = process.argv[2] === "--compile-only";
 
 const source = readFileSync(bundle, "utf8").replace(/^#!.*/, "");
 const script = new Script(`(function (require, module, exports) {${source}\n})`, {
     filename: bundle,
-    cachedData: !isCompileOnly && existsSync(compiled) ? readFileSync(compiled) : undefined,
+    cachedData: !isCompileOnly && existsSync(codeCache) ? readFileSync(codeCache) : undefined,
 });
 if (isCompileOnly) {
-    // Loading runs the start of every module; what that compiled is kept. Without settings the program ends by itself.
+    // The cache is created at exit, so that it holds all functions that loading the modules has compiled. Without a settings
+    // file the program exits by itself.
     process.env["PEBBLEDALE_NODE_FILE"] = "";
     process.on("exit", () => {
-        writeFileSync(compiled, script.createCachedData());
+        writeFileSync(codeCache, script.createCachedData());
         process.exitCode = 0;
     });
 }
