--- a/packages/operator/test/report/page.test.ts
+++ b/packages/operator/test/report/page.test.ts
@@ -13,7 +13,7 @@
 };
 
 describe("burn report page", () => {
-    it("is one page that needs nothing else, with a chart and the overdrawn budget marked", () => {
+    it("renders one self-contained page with a chart, and marks an exceeded budget", () => {
         const page = renderBurnPage(report);
         expect(page.includes("<svg ")).toEqual(true);
         expect(page.match(/<rect /g)?.length).toEqual(2);
@@ -22,13 +22,13 @@
         expect(/src=|href=/.test(page)).toEqual(false);
     });
 
-    it("shows names as text", () => {
+    it("escapes the names of workload classes", () => {
         expect(renderBurnPage(report).includes("<prompts>")).toEqual(false);
     });
 });
 
-describe("tables of the command line", () => {
-    it("are as wide as their widest cell", () => {
+describe("formatTable", () => {
+    it("pads each column to its widest cell", () => {
         expect(formatTable(["NAME", "N"], [["long name", "1"], ["x", "20"]])).toEqual(
             "NAME       N\nlong name  1\nx          20",
         );
--- a/packages/runtime/test/abort/abort.test.ts
+++ b/packages/runtime/test/abort/abort.test.ts
@@ -4,20 +4,20 @@
 import { createAbortController, linkSignals, withLinkedSignal } from "../../src/index.js";
 
 describe("linked signals", () => {
-    it("fires with any source, with its reason", () => {
+    it("aborts with any source, with its reason", () => {
         const [first, second] = [createAbortController(), createAbortController()];
         const { signal } = linkSignals([first.signal, undefined, second.signal]);
         second.abort("the second");
         expect([signal.aborted, signal.reason]).toEqual([true, "the second"]);
     });
 
-    it("has fired at once when a source has", () => {
+    it("is aborted from the start if a source is", () => {
         const source = createAbortController();
         source.abort("before");
         expect(linkSignals([source.signal]).signal.reason).toEqual("before");
     });
 
-    it("leaves nothing behind at a source that lives on", async () => {
+    it("leaves no listeners on a source that outlives it", async () => {
         const source = createAbortController();
         for (let index = 0; index < 100; index++) {
             await withLinkedSignal([source.signal], 60_000, async signal => {
@@ -30,7 +30,7 @@
         expect(getEventListeners(source.signal, "abort").length).toEqual(0);
     });
 
-    it("does not fire after it was released", () => {
+    it("does not abort after its release", () => {
         const source = createAbortController();
         const linked = linkSignals([source.signal]);
         linked.release();
@@ -38,7 +38,7 @@
         expect(linked.signal.aborted).toEqual(false);
     });
 
-    it("fires by itself at its limit", async () => {
+    it("aborts with a TimeoutError at its timeout", async () => {
         const failure = await withLinkedSignal(
             [],
             1,
--- a/packages/runtime/test/burn/burn.test.ts
+++ b/packages/runtime/test/burn/burn.test.ts
@@ -4,7 +4,7 @@
 import { BurnRecorder, computeBurnRows, mergeBuckets } from "../../src/index.js";
 
 describe("service-level burn", () => {
-    it("adds gateways up and works out burn and budget by window", () => {
+    it("merges the buckets of several gateways and computes burn and remaining budget by window", () => {
         const clock = new ManualClock();
         const [first, second] = [new BurnRecorder(clock), new BurnRecorder(clock)];
         for (let index = 0; index < 100; index++) {
@@ -32,7 +32,7 @@
         ]);
     });
 
-    it("reports no burn where nothing was asked", () => {
+    it("reports a burn of 0 without requests", () => {
         expect(computeBurnRows({ prompts: [] }, new Date(0), 0.99).every(row => row.burnRate === 0)).toEqual(true);
     });
 });
--- a/packages/runtime/test/logging/logging.test.ts
+++ b/packages/runtime/test/logging/logging.test.ts
@@ -11,15 +11,15 @@
     return { clock, lines, logger };
 };
 
-describe("a process's log", () => {
-    it("holds the event's number and its particulars", () => {
+describe("logger", () => {
+    it("writes the event's number and its fields", () => {
         const { lines, logger } = createTestLogger();
         logger.log(logEvents.jobAccepted, { job: "j1" });
         expect(lines.length).toEqual(1);
         expect(lines[0]).toEqual({ ...lines[0], event: logEvents.jobAccepted.number, job: "j1" } as never);
     });
 
-    it("stays bounded under a flood, and tells how much it left out", () => {
+    it("limits the lines per period, and reports how many it dropped", () => {
         const { clock, lines, logger } = createTestLogger();
         for (let index = 0; index < maxLinesPerPeriod + 300; index++) {
             logger.log(logEvents.jobAccepted, { job: `j${index}` });
@@ -33,7 +33,7 @@
         ]);
     });
 
-    it("keeps warnings through a flood of the others", () => {
+    it("writes warnings while lines of lower levels are dropped", () => {
         const { lines, logger } = createTestLogger();
         for (let index = 0; index < maxLinesPerPeriod * 2; index++) {
             logger.log(logEvents.jobAccepted, { job: `j${index}` });
