--- a/packages/operator/src/cli/commands/burn.ts
+++ b/packages/operator/src/cli/commands/burn.ts
@@ -4,7 +4,7 @@
 import { formatShare, formatTable } from "../../output/index.js";
 import { OperatorCommand, type OperatorValues } from "../operator-command.js";
 
-/** `pebbledale report burn`: how fast each class uses its error budget up. */
+/** `pebbledale report burn`: prints how fast each workload class uses up its error budget. */
 export class BurnCommand extends OperatorCommand {
     static override paths = [["report", "burn"]];
     static override usage = Command.Usage({
@@ -16,7 +16,7 @@
     site = Option.String("--site", "", { description: "REGION/SITE whose objective counts" });
     html = Option.String("--html", { description: "Write one self-contained page with a chart to this file" });
 
-    protected override async act(values: OperatorValues): Promise<ExitCode> {
+    protected override async executeWithSettings(values: OperatorValues): Promise<ExitCode> {
         const { fetchBurn, renderBurnPage } = await import("../../report/index.js");
         const report = await fetchBurn(values, this.site);
         if (this.html !== undefined) {
--- a/packages/operator/src/cli/commands/settings-accept.ts
+++ b/packages/operator/src/cli/commands/settings-accept.ts
@@ -7,7 +7,7 @@
 import { formatTable } from "../../output/index.js";
 import { OperatorCommand, type OperatorValues } from "../operator-command.js";
 
-/** `pebbledale settings accept FILE --base REVISION`: puts a tree in force unless another operator was first. */
+/** `pebbledale settings accept FILE --base REVISION`: puts a tree in force if REVISION is still the current one. */
 export class SettingsAcceptCommand extends OperatorCommand {
     static override paths = [["settings", "accept"]];
     static override usage = Command.Usage({
@@ -26,8 +26,8 @@
     note = Option.String("--note", "", { description: "Why" });
     author = Option.String("--author", userInfo().username, { description: "Who" });
 
-    protected override async act(values: OperatorValues): Promise<ExitCode> {
-        const { accept, fetchSettings, treeOf } = await import("../../settings/index.js");
+    protected override async executeWithSettings(values: OperatorValues): Promise<ExitCode> {
+        const { acceptTree: accept, fetchSettings, parseStoredTree: treeOf } = await import("../../settings/index.js");
         const text = readFileSync(this.file, "utf8");
         const parsed = parseSettingsTree(text, this.file);
         if (parsed.isErr()) {
--- a/packages/operator/src/cli/commands/settings-diff.ts
+++ b/packages/operator/src/cli/commands/settings-diff.ts
@@ -5,7 +5,7 @@
 import { formatTable } from "../../output/index.js";
 import { OperatorCommand, type OperatorValues } from "../operator-command.js";
 
-/** `pebbledale settings diff FILE`: what a file would change. */
+/** `pebbledale settings diff FILE`: prints how a file differs from the settings tree in force. */
 export class SettingsDiffCommand extends OperatorCommand {
     static override paths = [["settings", "diff"]];
     static override usage = Command.Usage({
@@ -15,8 +15,8 @@
 
     file = Option.String({ name: "FILE" });
 
-    protected override async act(values: OperatorValues): Promise<ExitCode> {
-        const { diffWithText } = await import("../../settings/index.js");
+    protected override async executeWithSettings(values: OperatorValues): Promise<ExitCode> {
+        const { diffWithCurrent: diffWithText } = await import("../../settings/index.js");
         const parsed = parseSettingsTree(readFileSync(this.file, "utf8"), this.file);
         if (parsed.isErr()) {
             this.showFindings(parsed.error);
--- a/packages/operator/src/cli/commands/settings-get.ts
+++ b/packages/operator/src/cli/commands/settings-get.ts
@@ -3,7 +3,7 @@
 import * as typanion from "typanion";
 import { OperatorCommand, type OperatorValues } from "../operator-command.js";
 
-/** `pebbledale settings get`: prints the tree in force. */
+/** `pebbledale settings get`: prints the settings tree in force, or that of an earlier revision. */
 export class SettingsGetCommand extends OperatorCommand {
     static override paths = [["settings", "get"]];
     static override usage = Command.Usage({
@@ -13,7 +13,7 @@
 
     revision = Option.String("--revision", { description: "An earlier revision", validator: typanion.isNumber() });
 
-    protected override async act(values: OperatorValues): Promise<ExitCode> {
+    protected override async executeWithSettings(values: OperatorValues): Promise<ExitCode> {
         const { fetchSettings } = await import("../../settings/index.js");
         const stored = await fetchSettings(values, this.revision);
         this.print(
--- a/packages/operator/src/cli/commands/status.ts
+++ b/packages/operator/src/cli/commands/status.ts
@@ -3,12 +3,12 @@
 import { formatShare, formatTable } from "../../output/index.js";
 import { OperatorCommand, type OperatorValues } from "../operator-command.js";
 
-/** `pebbledale status`: what each scheduler and shard reports. */
+/** `pebbledale status`: prints the state of each scheduler and shard. Fails if no shard has an owner that answers. */
 export class StatusCommand extends OperatorCommand {
     static override paths = [["status"]];
     static override usage = Command.Usage({ category: "Watch", description: "Print what each site reports" });
 
-    protected override async act(values: OperatorValues): Promise<ExitCode> {
+    protected override async executeWithSettings(values: OperatorValues): Promise<ExitCode> {
         const { fetchStatuses, ownedShards } = await import("../../jobs/index.js");
         const schedulers = await fetchStatuses(values);
         const shards = ownedShards(schedulers);
--- a/packages/operator/src/jobs/index.ts
+++ b/packages/operator/src/jobs/index.ts
@@ -1,4 +1,4 @@
-/** Asking schedulers about shards and jobs. */
+/** Queries of schedulers about shards and jobs. */
 import { jobId } from "@pebbledale/core";
 import {
     type JobAnswer,
@@ -18,38 +18,38 @@
 import type { OperatorValues } from "../cli/operator-command.js";
 import { OperatorError } from "../output/index.js";
 
-/** How long a scheduler may take to answer, in milliseconds. */
-const answerLimit = 2_000;
+/** Timeout of a query to one scheduler, in milliseconds. */
+const answerTimeout = 2_000;
 
-const withClients = async <Answer>(
+const withSchedulerClients = async <Answer>(
     values: OperatorValues,
-    act: (clients: SchedulerClient[]) => Promise<Answer>,
+    action: (clients: SchedulerClient[]) => Promise<Answer>,
 ): Promise<Answer> => {
     const clients = values["peers.schedulers"].map(address => new SchedulerClient(address));
     try {
-        return await act(clients);
+        return await action(clients);
     }
     finally {
         await Promise.all(clients.map(client => client.close().catch(() => undefined)));
     }
 };
 
-/** A scheduler with its address; without a status when it did not answer. */
-export interface AskedScheduler {
+/** A scheduler that was queried; `status` is undefined if it did not answer. */
+export interface QueriedScheduler {
     readonly address: string;
     readonly status: SchedulerStatus | undefined;
 }
 
-/** The status of every scheduler. */
-export const fetchStatuses = (values: OperatorValues): Promise<AskedScheduler[]> =>
-    withClients(values, clients =>
+/** Queries the status of every scheduler of the settings file. */
+export const fetchStatuses = (values: OperatorValues): Promise<QueriedScheduler[]> =>
+    withSchedulerClients(values, clients =>
         Promise.all(clients.map(async client => ({
             address: client.address,
-            status: await client.call(answerLimit, (calls, signal) => calls.status.query(undefined, { signal }))
+            status: await client.call(answerTimeout, (calls, signal) => calls.status.query(undefined, { signal }))
                 .catch(() => undefined),
         }))));
 
-/** A shard with the scheduler that says it owns it. */
+/** A shard with the scheduler that reports to own it. */
 export interface OwnedShardStatus {
     readonly owner: SchedulerStatus;
     readonly shard: ShardStatus;
@@ -58,8 +58,8 @@
 const byEpoch = Ord.contramap((owned: OwnedShardStatus) => Number(owned.shard.epoch))(NumberInstances.Ord);
 const byShard = Ord.contramap((owned: OwnedShardStatus) => String(owned.shard.shard))(StringInstances.Ord);
 
-/** The owned shards, each once: of two that believe they own one, the higher epoch is right. */
-export const ownedShards = (schedulers: readonly AskedScheduler[]): readonly OwnedShardStatus[] =>
+/** Returns the owned shards sorted by id; of several claims to one shard, that with the highest epoch. */
+export const ownedShards = (schedulers: readonly QueriedScheduler[]): readonly OwnedShardStatus[] =>
     pipe(
         schedulers,
         ReadonlyArray.chain(({ status }) => (status?.shards ?? []).map(shard => ({ owner: status!, shard }))),
@@ -70,16 +70,20 @@
         ReadonlyArray.sort(byShard),
     );
 
-/** A job with its decisions, by id or as `key:KEY`. */
+/**
+ * Fetches a job with its decisions. `name`: the job's id, or its key, written `key:KEY` or without a dot.
+ *
+ * Rejects with {@link OperatorError} if no scheduler knows the job, or none answers for its shard.
+ */
 export const fetchJob = (values: OperatorValues, name: string): Promise<JobAnswer> =>
-    withClients(values, async clients => {
+    withSchedulerClients(values, async clients => {
         const isKey = name.startsWith("key:") || !name.includes(".");
         const key = name.replace(/^key:/, "");
         const shard = isKey ? shardOfText(key, values["cell.shards"]) : shardOfJob(jobId(name));
-        const message = isKey ? { shard, key } : { shard, job: jobId(name) };
+        const jobRequest = isKey ? { shard, key } : { shard, job: jobId(name) };
         const answers = await Promise.all(
             clients.map(client =>
-                client.call(answerLimit, (calls, signal) => calls.view.query(message, { signal })).catch(() =>
+                client.call(answerTimeout, (calls, signal) => calls.view.query(jobRequest, { signal })).catch(() =>
                     undefined
                 )
             ),
--- a/packages/runtime/src/abort/index.ts
+++ b/packages/runtime/src/abort/index.ts
@@ -1,71 +1,70 @@
-/**
- * Abort signals that are joined and let go of again.
- *
- * `AbortSignal.any` over a signal that lives as long as the process keeps about 1 KB a call for good on Node.js 20 once
- * someone listens; at 30 heartbeats a second that is gigabytes a day. A linked signal is let go of when its work is done.
- */
+/** Abort signals that combine several sources and can be detached from them. */
 import { setMaxListeners } from "node:events";
 
-/** A signal that fires with any of its sources, until it is released. */
+/** A signal that aborts with the first of its sources, until it is released. */
 export interface LinkedSignal {
     readonly signal: AbortSignal;
-    /** Lets go of the sources. The signal does not fire any more. */
+    /** Removes the listeners from the sources and clears the timeout: the signal does not abort any more. */
     release(): void;
 }
 
-/** Makes a controller whose signal many may listen to at once. */
+/** Creates a controller whose signal accepts any number of listeners without a warning. */
 export const createAbortController = (): AbortController => {
     const controller = new AbortController();
     setMaxListeners(0, controller.signal);
     return controller;
 };
 
-/** Joins signals. `limit`: fires by itself after this many milliseconds, with a `TimeoutError`. */
-export const linkSignals = (sources: readonly (AbortSignal | undefined)[], limit?: number): LinkedSignal => {
+/**
+ * Creates a signal that aborts with the first of the sources, or with a `TimeoutError` after `timeout` milliseconds.
+ *
+ * It replaces `AbortSignal.any`, which on Node.js 20 leaks about 1 KB per call on a source that outlives the call.
+ */
+export const linkSignals = (sources: readonly (AbortSignal | undefined)[], timeout?: number): LinkedSignal => {
     const controller = createAbortController();
-    const known = sources.filter(source => source !== undefined);
-    const listeners = known.map(source => {
+    const definedSources = sources.filter(source => source !== undefined);
+    const listeners = definedSources.map(source => {
         const listener = () => controller.abort(source.reason);
         source.addEventListener("abort", listener, { once: true });
         return listener;
     });
-    const timer = limit === undefined ? undefined : setTimeout(
-        () => controller.abort(new DOMException(`no end within ${limit} ms`, "TimeoutError")),
-        Math.ceil(limit),
+    const timer = timeout === undefined ? undefined : setTimeout(
+        () => controller.abort(new DOMException(`timed out after ${timeout} ms`, "TimeoutError")),
+        Math.ceil(timeout),
     );
-    const fired = known.find(source => source.aborted);
-    if (fired !== undefined) {
-        controller.abort(fired.reason);
+    const abortedSource = definedSources.find(source => source.aborted);
+    if (abortedSource !== undefined) {
+        controller.abort(abortedSource.reason);
     }
     return {
         signal: controller.signal,
         release: () => {
             clearTimeout(timer);
-            known.forEach((source, index) => source.removeEventListener("abort", listeners[index]));
+            definedSources.forEach((source, index) => source.removeEventListener("abort", listeners[index]));
         },
     };
 };
 
-/** Does something under a linked signal and lets go of the sources when it is done. */
+/** Runs `action` with a linked signal, which is released once the action settles. */
 export const withLinkedSignal = async <Value>(
     sources: readonly (AbortSignal | undefined)[],
-    limit: number | undefined,
-    act: (signal: AbortSignal) => Promise<Value>,
+    timeout: number | undefined,
+    action: (signal: AbortSignal) => Promise<Value>,
 ): Promise<Value> => {
-    const linked = linkSignals(sources, limit);
+    const linked = linkSignals(sources, timeout);
     try {
-        return await act(linked.signal);
+        return await action(linked.signal);
     }
     finally {
         linked.release();
     }
 };
 
-/** Resolves once a promise has settled well or a signal fires; rejects as the promise does. */
-export const unlessAborted = (settled: Promise<unknown>, signal: AbortSignal): Promise<void> =>
+/** Resolves once the promise is fulfilled or the signal aborts; rejects if the promise rejects first. */
+export const unlessAborted = (promise: Promise<unknown>, signal: AbortSignal): Promise<void> =>
     withLinkedSignal([signal], undefined, async linked => {
         await Promise.race([
-            settled,
+            promise,
             new Promise<void>(resolve => {
                 if (linked.aborted) {
                     resolve();
--- a/packages/runtime/src/index.ts
+++ b/packages/runtime/src/index.ts
@@ -1,4 +1,4 @@
-/** What the programs share: adapters of outside systems, logs, metrics, settings files and the protocol among them. */
+/** Code that the programs share, such as adapters of external systems, logs, metrics and settings files. */
 export * from "./abort/index.js";
 export * from "./administration/index.js";
 export * from "./burn/index.js";
--- a/packages/runtime/src/program-settings/load.ts
+++ b/packages/runtime/src/program-settings/load.ts
@@ -1,10 +1,10 @@
-/** Reads a program's file and collects all findings with their place. */
+/** Reads a program's settings file and collects all findings with their lines. */
 import { type Finding, readIniDocument } from "@pebbledale/core";
 import { err, ok, type Result } from "neverthrow";
 import { readFileSync } from "node:fs";
 import type { ProgramSchema, ProgramValues } from "./schema.js";
 
-/** Checks the text of a program's file. */
+/** Parses and validates the text of a settings file. Keys that are missing take their fallback, if they have one. */
 export const parseProgramSettings = <Schema extends ProgramSchema>(
     schema: Schema,
     text: string,
@@ -13,24 +13,24 @@
     const document = readIniDocument(text, file);
     const findings: Finding[] = [...document.findings];
     const values: Record<string, unknown> = {};
-    const seen = new Set<string>();
+    const present = new Set<string>();
     for (const { section, key, value, line } of document.entries) {
         const name = `${section}.${key}`;
         const definition = schema[name];
-        seen.add(name);
+        present.add(name);
         if (definition === undefined) {
             findings.push({ file, line, section, key, message: "no such key" });
             continue;
         }
         definition.kind.read(value).match(
-            read => {
-                values[name] = read;
+            parsed => {
+                values[name] = parsed;
             },
             message => findings.push({ file, line, section, key, message }),
         );
     }
     for (const [name, definition] of Object.entries(schema)) {
-        if (seen.has(name)) {
+        if (present.has(name)) {
             continue;
         }
         const [section, key] = splitName(name);
@@ -45,7 +45,7 @@
     return findings.length === 0 ? ok(values as ProgramValues<Schema>) : err(findings);
 };
 
-/** Reads and checks a program's file. */
+/** Reads and validates a settings file; a file that cannot be read is a finding as well. */
 export const loadProgramSettings = <Schema extends ProgramSchema>(
     schema: Schema,
     file: string,
--- a/packages/runtime/test/burn/burn.test.ts
+++ b/packages/runtime/test/burn/burn.test.ts
@@ -1,10 +1,10 @@
 import { ManualClock } from "@pebbledale/core";
 import { expect } from "earl";
 import { describe, it } from "node:test";
-import { BurnRecorder, burnRows, mergeBuckets } from "../../src/index.js";
+import { BurnRecorder, computeBurnRows, mergeBuckets } from "../../src/index.js";
 
 describe("service-level burn", () => {
-    it("adds gateways up and works out burn and budget by window", () => {
+    it("merges the buckets of several gateways and computes burn and remaining budget by window", () => {
         const clock = new ManualClock();
         const [first, second] = [new BurnRecorder(clock), new BurnRecorder(clock)];
         for (let index = 0; index < 100; index++) {
@@ -14,7 +14,7 @@
         for (let index = 0; index < 100; index++) {
             second.record("prompts", true);
         }
-        const rows = burnRows(mergeBuckets([first.buckets(), second.buckets()]), clock.now(), 0.99);
+        const rows = computeBurnRows(mergeBuckets([first.buckets(), second.buckets()]), clock.now(), 0.99);
         const shown = rows.map(
             row => [
                 row.windowMinutes,
@@ -32,7 +32,7 @@
         ]);
     });
 
-    it("reports no burn where nothing was asked", () => {
-        expect(burnRows({ prompts: [] }, new Date(0), 0.99).every(row => row.burnRate === 0)).toEqual(true);
+    it("reports a burn of 0 without requests", () => {
+        expect(computeBurnRows({ prompts: [] }, new Date(0), 0.99).every(row => row.burnRate === 0)).toEqual(true);
     });
 });
