--- a/packages/evidence/src/bench/decisions.ts
+++ b/packages/evidence/src/bench/decisions.ts
@@ -12,37 +12,37 @@
     SystemClock,
 } from "@pebbledale/core";
 import { build } from "hdr-histogram-js";
-import { BestFitScan, FirstFit, IndexPlacer, type Placer, RandomFit } from "./baselines.js";
-import { bayanihanMix, drawJob } from "./mixes.js";
-import { atLeast, atMost, type Figure, figure } from "./table.js";
-import { listShape, settingsOf } from "./virtual/index.js";
+import { atLeast, atMost, type Figure, figure } from "./figures.js";
+import { BestFitScan, FirstFit, IndexPlacer, type Placer, RandomFit } from "./placers.js";
+import { createListedWorkers, parseShardSettings } from "./virtual/index.js";
+import { bayanihanMix, generateJob } from "./workload-mixes.js";
 
 const fleetSizes = [30, 1_000, 10_000];
 const { capacity } = bayanihanMix.shape;
 /** Share of the processors that is taken while decisions are measured. */
-const fill = 0.8;
-const drawnSizes = 4_096;
-const indexSeconds = 1;
+const fillShare = 0.8;
+const sampleCount = 4_096;
+const placerSeconds = 1;
 const peakStartsPerSecond = 3_800;
-const wholeBatches = 60;
+const batchCount = 60;
 /** The plain scan is too slow to fill the largest fleet in reasonable time; it starts from a smaller fill there. */
-const scanFill = 0.1;
+const scanFillShare = 0.1;
 
-const drawSizes = (random: Random): Resources[] =>
+const generateSizes = (random: Random): Resources[] =>
     Array.from(
-        { length: drawnSizes },
-        (_, index) => sizeOf(jobSubmissionSchema.parse(drawJob(bayanihanMix, random, index).job)),
+        { length: sampleCount },
+        (_, index) => sizeOf(jobSubmissionSchema.parse(generateJob(bayanihanMix, random, index).submission)),
     )
         .filter(size => size.processorThousandths <= capacity.processorThousandths);
 
 /** Placements a second at a steady fill: each round gives one task's room back and places another. */
 const measurePlacer = (placer: Placer, count: number): number => {
     const random = new SeededRandom(11);
-    const sizes = drawSizes(random);
+    const sizes = generateSizes(random);
     const placed: { worker: number; size: Resources; }[] = [];
     let used = 0;
     const isSlow = placer instanceof BestFitScan && count > 1_000;
-    const target = count * capacity.processorThousandths * (isSlow ? scanFill : fill);
+    const target = count * capacity.processorThousandths * (isSlow ? scanFillShare : fillShare);
     for (let index = 0; used < target; index++) {
         const size = sizes[index % sizes.length];
         const worker = placer.place(size);
@@ -54,7 +54,7 @@
     }
     let decisions = 0;
     const started = performance.now();
-    const end = started + indexSeconds * 1_000;
+    const end = started + placerSeconds * 1_000;
     while (performance.now() < end) {
         for (let round = 0; round < 16; round++) {
             const index = Math.floor(random.next() * placed.length);
@@ -74,7 +74,7 @@
     return decisions / (performance.now() - started) * 1_000;
 };
 
-interface WholeResult {
+interface FullDecisionResult {
     readonly perSecond: number;
     readonly p50: number;
     readonly p99: number;
@@ -82,15 +82,15 @@
 }
 
 /** The whole decision in the real scheduler: queue, quota, filter, score, grant, recorded reason. Times in microseconds. */
-const measureWhole = (count: number): WholeResult => {
+const measureFullDecision = (count: number): FullDecisionResult => {
     const clock = new SystemClock();
     const random = new SeededRandom(5);
-    const settings = settingsOf([
+    const settings = parseShardSettings([
         "placement.preference = spread",
         "queue.limit = 1000000",
         "worker.silent_after = 10m",
     ]);
-    const core = new ShardScheduler({
+    const scheduler = new ShardScheduler({
         shard: shardId("shard-0"),
         epoch: 1 as Epoch,
         clock,
@@ -99,9 +99,9 @@
         lastContact: () => clock.monotonic(),
         hasFormerOwner: false,
     });
-    core.onCommitted(core.tick());
-    core.applyWorkerList(listShape({ ...bayanihanMix.shape, count }));
-    for (const entry of core.workers.values()) {
+    scheduler.onCommitted(scheduler.tick());
+    scheduler.applyWorkerList(createListedWorkers({ ...bayanihanMix.shape, count }));
+    for (const entry of scheduler.workers.values()) {
         const report = {
             worker: entry.worker,
             incarnation: "1" as never,
@@ -110,9 +110,9 @@
             running: [],
             ended: [],
         };
-        core.claimAnswered(entry.worker, report, 0);
+        scheduler.claimAnswered(entry.worker, report, 0);
     }
-    const submissions: JobSubmission[] = drawSizes(random).map(size =>
+    const submissions: JobSubmission[] = generateSizes(random).map(size =>
         jobSubmissionSchema.parse({
             class: "batch",
             size: {
@@ -124,39 +124,50 @@
     );
     const histogram = build();
     let decided = 0;
-    let spent = 0;
+    let totalDuration = 0;
     // A second at the peak: batches of what arrives between two passes, small ones and bursts.
-    const largest = Math.min(peakStartsPerSecond / 4, count * 2);
-    for (let batch = 0; batch < wholeBatches; batch++) {
-        const arrivals = Math.max(1, Math.floor(random.next() ** 3 * largest));
+    const maxArrivals = Math.min(peakStartsPerSecond / 4, count * 2);
+    for (let batch = 0; batch < batchCount; batch++) {
+        const arrivals = Math.max(1, Math.floor(random.next() ** 3 * maxArrivals));
         for (let index = 0; index < arrivals; index++) {
-            core.onCommitted(
-                core.submit({ submission: submissions[Math.floor(random.next() * submissions.length)], digest: "" })
+            scheduler.onCommitted(
+                scheduler.submit({
+                    submission: submissions[Math.floor(random.next() * submissions.length)],
+                    digest: "",
+                })
                     .transition,
             );
         }
         const started = performance.now();
-        const step = core.schedule(true);
-        const took = performance.now() - started;
-        core.onCommitted(step);
+        const step = scheduler.schedule(true);
+        const duration = performance.now() - started;
+        scheduler.onCommitted(step);
         const starts = step.effects.filter(effect => effect.kind === "start");
         decided += starts.length;
-        spent += took;
+        totalDuration += duration;
         if (starts.length > 0) {
-            histogram.recordValueWithCount(Math.max(1, Math.round(took / starts.length * 1_000_000)), starts.length);
+            histogram.recordValueWithCount(
+                Math.max(1, Math.round(duration / starts.length * 1_000_000)),
+                starts.length,
+            );
         }
-        endAll(core, batch);
+        endRunningTasks(scheduler, batch);
     }
-    const micro = (percentile: number) => histogram.getValueAtPercentile(percentile) / 1_000;
-    return { perSecond: decided / spent * 1_000, p50: micro(50), p99: micro(99), p999: micro(99.9) };
+    const microseconds = (percentile: number) => histogram.getValueAtPercentile(percentile) / 1_000;
+    return {
+        perSecond: decided / totalDuration * 1_000,
+        p50: microseconds(50),
+        p99: microseconds(99),
+        p999: microseconds(99.9),
+    };
 };
 
 /** Ends all running tasks but those of the last pass, so that the fleet keeps a fill. */
-const endAll = (core: ShardScheduler, batch: number): void => {
+const endRunningTasks = (scheduler: ShardScheduler, batch: number): void => {
     if (batch % 4 !== 3) {
         return;
     }
-    for (const entry of [...core.workers.values()].filter(other => other.tasks.size > 0)) {
+    for (const entry of [...scheduler.workers.values()].filter(other => other.tasks.size > 0)) {
         const ended = [...entry.tasks.values()].map(task => ({
             task: task.task,
             attempt: task.attempt,
@@ -172,7 +183,7 @@
             running: [],
             ended,
         };
-        core.onCommitted(core.heartbeatAnswered(entry.worker, report, 0));
+        scheduler.onCommitted(scheduler.heartbeatAnswered(entry.worker, report, 0));
     }
 };
 
@@ -197,17 +208,19 @@
             );
         }
         // The first run warms the code up; the second is counted.
-        measureWhole(count);
-        const whole = measureWhole(count);
-        costs.set(count, 1 / whole.perSecond);
+        measureFullDecision(count);
+        const fullDecision = measureFullDecision(count);
+        costs.set(count, 1 / fullDecision.perSecond);
         const name = `whole decision at ${count} workers`;
-        const perSecond = Math.round(whole.perSecond);
+        const perSecond = Math.round(fullDecision.perSecond);
         figures.push(count === 10_000 ? atLeast(name, perSecond, "/s", 100_000) : figure(name, perSecond, "/s"));
-        figures.push(figure(`${name}, p50`, whole.p50, "us"));
+        figures.push(figure(`${name}, p50`, fullDecision.p50, "us"));
         figures.push(
-            count === 10_000 ? atMost(`${name}, p99`, whole.p99, "us", 100) : figure(`${name}, p99`, whole.p99, "us"),
+            count === 10_000
+                ? atMost(`${name}, p99`, fullDecision.p99, "us", 100)
+                : figure(`${name}, p99`, fullDecision.p99, "us"),
         );
-        figures.push(figure(`${name}, p99.9`, whole.p999, "us"));
+        figures.push(figure(`${name}, p99.9`, fullDecision.p999, "us"));
     }
     figures.push(
         atMost("cost of a decision at 10,000 over that at 30", costs.get(10_000)! / costs.get(30)!, "times", 3),
--- a/packages/evidence/src/bench/table.ts
+++ b/packages/evidence/src/bench/figures.ts
@@ -15,31 +15,31 @@
 export const figure = (measure: string, value: number, unit: string): Figure => ({ measure, value, unit });
 
 /** Makes a figure that must be at least `least`. */
-export const atLeast = (measure: string, value: number, unit: string, least: number): Figure => ({
+export const atLeast = (measure: string, value: number, unit: string, min: number): Figure => ({
     measure,
     value,
     unit,
-    target: `>= ${least}`,
-    reached: value >= least,
+    target: `>= ${min}`,
+    reached: value >= min,
 });
 
 /** Makes a figure that must be at most `most`. */
-export const atMost = (measure: string, value: number, unit: string, most: number): Figure => ({
+export const atMost = (measure: string, value: number, unit: string, max: number): Figure => ({
     measure,
     value,
     unit,
-    target: `<= ${most}`,
-    reached: value <= most,
+    target: `<= ${max}`,
+    reached: value <= max,
 });
 
-const shown = (value: number): string =>
+const formatValue = (value: number): string =>
     Number.isInteger(value) ? String(value) : value.toPrecision(4).replace(/\.?0+$/, "");
 
 /** Prints figures as a table of Markdown. */
 export const formatFigures = (title: string, figures: readonly Figure[]): string => {
     const rows = figures.map(({ measure, value, unit, target, reached }) => {
         const mark = reached === undefined ? "" : reached ? "yes" : "NO";
-        return `| ${measure} | ${shown(value)} ${unit} | ${target ?? ""} | ${mark} |`;
+        return `| ${measure} | ${formatValue(value)} ${unit} | ${target ?? ""} | ${mark} |`;
     });
     return [`### ${title}`, "", "| measure | figure | must reach | reached |", "| --- | --- | --- | --- |", ...rows, ""]
         .join("\n");
--- a/packages/evidence/src/bench/live.ts
+++ b/packages/evidence/src/bench/live.ts
@@ -10,60 +10,65 @@
 } from "@pebbledale/core";
 import { SlotBroker } from "@pebbledale/gateway";
 import { build } from "hdr-histogram-js";
-import { atLeast, atMost, type Figure, figure } from "./table.js";
+import { atLeast, atMost, type Figure, figure } from "./figures.js";
 import { VirtualClock } from "./virtual/index.js";
 
-const instances = 30;
+const instanceCount = 30;
 const slotsPerInstance = 4;
-const meanService = 40;
-const gateways = 3;
+const meanServiceTime = 40;
+const gatewayCount = 3;
 const duration = 20_000;
 const warmUp = 2_000;
 const slotGrant = 10_000;
 const waitLimit = 200;
 const loads = [0.7, 1, 1.5, 3];
 /** A caller that was refused comes back so often at the most. */
-const mostReturns = 5;
+const maxRetries = 5;
 
-interface LiveResult {
+interface SimulationResult {
     readonly p50: number;
     readonly p99: number;
     readonly answeredPerSecond: number;
     readonly refusedShare: number;
 }
 
-interface LiveRun {
+interface SimulationOptions {
     readonly load: number;
     /** Whether refused callers come back when they are told to. */
-    readonly returns: boolean;
+    readonly retries: boolean;
     readonly waitLimit: number;
 }
 
 /** One run; times in milliseconds from a caller's first send to its answer. */
-const run = async ({ load, returns, waitLimit: limit }: LiveRun): Promise<LiveResult> => {
+const simulate = async (
+    { load, retries: retries, waitLimit: waitLimit }: SimulationOptions,
+): Promise<SimulationResult> => {
     const clock = new VirtualClock();
     const random = new SeededRandom(Math.round(load * 100));
     const ledger = new SlotLedger(0);
     const end = new AbortController();
-    const places: ServiceInstance[] = Array.from({ length: instances }, (_, index) => ({
+    const instances: ServiceInstance[] = Array.from({ length: instanceCount }, (_, index) => ({
         task: `shard-0.1.1/${index}` as TaskId,
         worker: workerId(`worker-${index}`),
         address: "",
-        dataHall: `hall-${index % gateways}`,
+        dataHall: `hall-${index % gatewayCount}`,
         slots: slotsPerInstance,
     }));
     const inUse = new Map<TaskId, number>();
-    const brokers = Array.from({ length: gateways }, (_, index) => {
+    const brokers = Array.from({ length: gatewayCount }, (_, index) => {
         const gateway: ProcessId = processId(`gateway-${index}`);
         return new SlotBroker({
             clock,
             signal: end.signal,
             gateway,
             dataHall: `hall-${index}`,
-            waitLimit: () => limit,
+            waitLimit: () => waitLimit,
             ask: async request => {
                 await clock.sleep(1);
-                return { grants: ledger.acquire(request, places, clock.monotonic(), slotGrant), duration: slotGrant };
+                return {
+                    grants: ledger.acquire(request, instances, clock.monotonic(), slotGrant),
+                    duration: slotGrant,
+                };
             },
         });
     });
@@ -72,38 +77,38 @@
     let answered = 0;
     let refused = 0;
     let sent = 0;
-    const exponential = (meanValue: number) => -Math.log(1 - random.next()) * meanValue;
-    const send = async (broker: SlotBroker, since: number, returned: number): Promise<void> => {
-        const isCounted = since > warmUp;
+    const drawExponential = (mean: number) => -Math.log(1 - random.next()) * mean;
+    const send = async (broker: SlotBroker, sentAt: number, retryCount: number): Promise<void> => {
+        const isCounted = sentAt > warmUp;
         sent += isCounted ? 1 : 0;
         const outcome = await broker.take();
         if (outcome.kind !== "slot") {
             refused += isCounted ? 1 : 0;
-            if (returns && returned < mostReturns) {
+            if (retries && retryCount < maxRetries) {
                 await clock.sleep("retryAfter" in outcome ? outcome.retryAfter : 1_000);
-                return send(broker, clock.monotonic(), returned + 1);
+                return send(broker, clock.monotonic(), retryCount + 1);
             }
             return;
         }
-        const held = exponential(meanService);
+        const serviceTime = drawExponential(meanServiceTime);
         const { task } = outcome.slot;
         inUse.set(task, (inUse.get(task) ?? 0) + 1);
         if (inUse.get(task)! > slotsPerInstance) {
             throw new Error("an instance was given more than its slots");
         }
-        await clock.sleep(held);
+        await clock.sleep(serviceTime);
         inUse.set(task, inUse.get(task)! - 1);
-        broker.release(outcome.slot, held, false);
+        broker.release(outcome.slot, serviceTime, false);
         if (isCounted) {
             answered++;
-            waits.recordValue(Math.max(1, Math.round(clock.monotonic() - since)));
+            waits.recordValue(Math.max(1, Math.round(clock.monotonic() - sentAt)));
         }
     };
-    const perMillisecond = load * instances * slotsPerInstance / meanService;
+    const arrivalRate = load * instanceCount * slotsPerInstance / meanServiceTime;
     const arrive = (): void => {
         if (clock.monotonic() < duration) {
-            void send(brokers[Math.floor(random.next() * gateways)], clock.monotonic(), 0);
-            clock.after(exponential(1 / perMillisecond), arrive);
+            void send(brokers[Math.floor(random.next() * gatewayCount)], clock.monotonic(), 0);
+            clock.after(drawExponential(1 / arrivalRate), arrive);
         }
     };
     clock.after(200, arrive);
@@ -123,7 +128,7 @@
     const p99 = new Map<number, number>();
     const answered: number[] = [];
     for (const load of loads) {
-        const result = await run({ load, returns: false, waitLimit });
+        const result = await simulate({ load, retries: false, waitLimit });
         p99.set(load, result.p99);
         answered.push(result.answeredPerSecond);
         const name = `live prompts at ${load * 100}% of capacity`;
@@ -132,14 +137,14 @@
         figures.push(figure(`${name}, refused`, result.refusedShare * 100, "%"));
     }
     figures.push(atMost("p99 at 300% over p99 at 70%", p99.get(3)! / p99.get(0.7)!, "times", 2));
-    const unlimited = await run({ load: 3, returns: false, waitLimit: Infinity });
+    const unlimited = await simulate({ load: 3, retries: false, waitLimit: Infinity });
     figures.push(figure("baseline at 300%: first come, first served without refusal, p99", unlimited.p99, "ms"));
-    const returning = await run({ load: 3, returns: true, waitLimit });
+    const withRetries = await simulate({ load: 3, retries: true, waitLimit });
     const best = Math.max(...answered);
     figures.push(
         atLeast(
             "answered at 300% with refused callers coming back, over the best",
-            returning.answeredPerSecond / best * 100,
+            withRetries.answeredPerSecond / best * 100,
             "%",
             90,
         ),
--- a/packages/evidence/src/bench/packing.ts
+++ b/packages/evidence/src/bench/packing.ts
@@ -11,26 +11,33 @@
     SeededRandom,
     sizeOf,
 } from "@pebbledale/core";
-import { FirstFit, IndexPlacer, type Placer, RandomFit } from "./baselines.js";
-import { bayanihanMix, drawJob, type DrawnJob, largeMatchMix, type Mix, retrouveMix } from "./mixes.js";
-import { atLeast, type Figure, figure } from "./table.js";
+import { atLeast, type Figure, figure } from "./figures.js";
+import { FirstFit, IndexPlacer, type Placer, RandomFit } from "./placers.js";
 import { VirtualCell } from "./virtual/index.js";
+import {
+    bayanihanMix,
+    type GeneratedJob,
+    generateJob,
+    largeMatchMix,
+    retrouveMix,
+    type WorkloadMix,
+} from "./workload-mixes.js";
 
 const seeds = [1, 2, 3, 4, 5, 6, 7, 8];
 const hour = 3_600_000;
 const nightHours = 4;
 const minute = 60_000;
 
-const singleSizes = (mix: Mix, seed: number): Resources[] => {
+const generateSingleTaskSizes = (mix: WorkloadMix, seed: number): Resources[] => {
     const random = new SeededRandom(seed);
-    return Array.from({ length: 2_000 }, (_, index) => drawJob(mix, random, index).job)
+    return Array.from({ length: 2_000 }, (_, index) => generateJob(mix, random, index).submission)
         .filter(job => job.class === "batch")
         .map(job => sizeOf(jobSubmissionSchema.parse(job)))
         .filter(size => fitsInto(size, mix.shape.capacity));
 };
 
 /** Processors placed before the first task that does not fit. */
-const placedBeforeWait = (placer: Placer, sizes: readonly Resources[]): number => {
+const processorsPlacedBeforeWait = (placer: Placer, sizes: readonly Resources[]): number => {
     let processors = 0;
     for (const size of sizes) {
         if (placer.place(size) < 0) {
@@ -42,7 +49,7 @@
 };
 
 /** Processors of the longest run of arrivals whose sum fits the whole fleet: no packer places more before one waits. */
-const boundBeforeWait = (mix: Mix, sizes: readonly Resources[]): number => {
+const processorBoundBeforeWait = (mix: WorkloadMix, sizes: readonly Resources[]): number => {
     const total = multiplyResources(mix.shape.capacity, mix.shape.count);
     let sum = noResources;
     for (const size of sizes) {
@@ -57,17 +64,17 @@
 
 const mean = (values: readonly number[]): number => values.reduce((sum, value) => sum + value, 0) / values.length;
 
-const firstWait = (mix: Mix): Figure[] => {
+const measureFirstWait = (mix: WorkloadMix): Figure[] => {
     const { count, capacity } = mix.shape;
-    const make: (() => Placer)[] = [
+    const placerFactories: (() => Placer)[] = [
         () => new IndexPlacer(count, capacity),
         () => new FirstFit(count, capacity),
         () => new RandomFit(count, capacity, new SeededRandom(9)),
     ];
-    return make.map((create, index) => {
+    return placerFactories.map((create, index) => {
         const ratios = seeds.map(seed => {
-            const sizes = singleSizes(mix, seed);
-            return placedBeforeWait(create(), sizes) / boundBeforeWait(mix, sizes);
+            const sizes = generateSingleTaskSizes(mix, seed);
+            return processorsPlacedBeforeWait(create(), sizes) / processorBoundBeforeWait(mix, sizes);
         });
         const name = `${mix.name}: placed at the first wait over the bound, ${create().name}`;
         return index === 0 ? atLeast(name, mean(ratios) * 100, "%", 95) : figure(name, mean(ratios) * 100, "%");
@@ -75,8 +82,8 @@
 };
 
 /** A night with more work than fits: use of the dimension that is scarcest, against all of it. */
-const night = (mix: Mix, preference: string): number => {
-    const runs = new Map<string, number>();
+const measureNight = (mix: WorkloadMix, preference: string): number => {
+    const runDurations = new Map<string, number>();
     const cell = new VirtualCell({
         shape: mix.shape,
         seed: 21,
@@ -86,52 +93,52 @@
             "placement.headroom = 0%",
             "queue.limit = 1000000",
         ],
-        runOf: (job: JobId) => runs.get(job) ?? 0,
+        runDurationOf: (job: JobId) => runDurations.get(job) ?? 0,
     });
     const random = new SeededRandom(22);
     let index = 0;
-    const submitOne = (drawn: DrawnJob) => {
-        const outcome = cell.submit(drawn.job, () => undefined);
+    const submit = (generated: GeneratedJob) => {
+        const outcome = cell.submit(generated.submission, () => undefined);
         if (outcome?.kind === "accepted") {
-            runs.set(outcome.job, drawn.runs);
+            runDurations.set(outcome.job, generated.runDuration);
         }
     };
     // The clerks left more in the queue than the night can do, so only packing decides what is done.
     cell.clock.every(minute, () => {
-        while (cell.core.queue.length < 400) {
-            submitOne(drawJob(mix, random, index++));
+        while (cell.scheduler.queue.length < 400) {
+            submit(generateJob(mix, random, index++));
         }
     }, () => cell.clock.monotonic() > nightHours * hour);
-    const used: number[] = [];
+    const usedShares: number[] = [];
     cell.clock.every(minute, () => {
         if (cell.clock.monotonic() < 0.5 * hour) {
             return;
         }
         let granted = noResources;
         let capacity = noResources;
-        for (const entry of cell.core.workers.values()) {
+        for (const entry of cell.scheduler.workers.values()) {
             capacity = addResources(capacity, entry.listed.capacity);
             for (const task of entry.tasks.values()) {
                 granted = addResources(granted, task.assignment!.grant);
             }
         }
-        used.push(
+        usedShares.push(
             Math.max(...dimensions.filter(name => capacity[name] > 0).map(name => granted[name] / capacity[name])),
         );
     }, () => cell.clock.monotonic() > nightHours * hour);
     cell.clock.runUntil(nightHours * hour);
     cell.finish();
-    if (cell.notes.overCapacity + cell.notes.runTwice > 0) {
+    if (cell.statistics.overCapacityStarts + cell.statistics.concurrentStarts > 0) {
         throw new Error("a night broke a promise");
     }
-    return mean(used);
+    return mean(usedShares);
 };
 
 /** Measures packing on both mixes. */
 export const benchPacking = (): Figure[] => [
-    ...firstWait(retrouveMix),
-    ...firstWait(bayanihanMix),
-    ...firstWait(largeMatchMix),
-    atLeast("retrouve: scarcest dimension in use over a night, pack", night(retrouveMix, "pack") * 100, "%", 95),
-    figure("retrouve: scarcest dimension in use over a night, spread", night(retrouveMix, "spread") * 100, "%"),
+    ...measureFirstWait(retrouveMix),
+    ...measureFirstWait(bayanihanMix),
+    ...measureFirstWait(largeMatchMix),
+    atLeast("retrouve: scarcest dimension in use over a night, pack", measureNight(retrouveMix, "pack") * 100, "%", 95),
+    figure("retrouve: scarcest dimension in use over a night, spread", measureNight(retrouveMix, "spread") * 100, "%"),
 ];
--- a/packages/evidence/src/bench/baselines.ts
+++ b/packages/evidence/src/bench/placers.ts
@@ -11,18 +11,18 @@
 }
 
 /** Free room of workers in one typed array. */
-export class RoomArray {
+export class FreeCapacityArray {
     readonly free: Float64Array;
 
     constructor(readonly count: number, capacity: Resources) {
         this.free = new Float64Array(count * dimensionCount);
         for (let worker = 0; worker < count; worker++) {
-            this.change(worker, capacity, 1);
+            this.addToFree(worker, capacity, 1);
         }
     }
 
     /** Adds `sign` times a size to a worker's room. */
-    change(worker: number, size: Resources, sign: number): void {
+    addToFree(worker: number, size: Resources, sign: number): void {
         const base = worker * dimensionCount;
         for (let dimension = 0; dimension < dimensionCount; dimension++) {
             this.free[base + dimension] += sign * size[dimensions[dimension]];
@@ -43,38 +43,38 @@
 /** A placement by a scan of free room. */
 abstract class ScanPlacer implements Placer {
     abstract readonly name: string;
-    protected readonly room: RoomArray;
+    protected readonly capacities: FreeCapacityArray;
 
     constructor(count: number, capacity: Resources) {
-        this.room = new RoomArray(count, capacity);
+        this.capacities = new FreeCapacityArray(count, capacity);
     }
 
     /** See {@link Placer.place}. */
     place(size: Resources): number {
-        const worker = this.search(size);
+        const worker = this.findWorker(size);
         if (worker >= 0) {
-            this.room.change(worker, size, -1);
+            this.capacities.addToFree(worker, size, -1);
         }
         return worker;
     }
 
     /** See {@link Placer.release}. */
     release(worker: number, size: Resources): void {
-        this.room.change(worker, size, 1);
+        this.capacities.addToFree(worker, size, 1);
     }
 
     /** The worker that is taken; -1 when none fits. */
-    protected abstract search(size: Resources): number;
+    protected abstract findWorker(size: Resources): number;
 }
 
 /** The first worker that fits. */
 export class FirstFit extends ScanPlacer {
     readonly name = "first fit";
 
-    /** See {@link ScanPlacer.search}. */
-    protected search(size: Resources): number {
-        for (let worker = 0; worker < this.room.count; worker++) {
-            if (this.room.fits(worker, size)) {
+    /** See {@link ScanPlacer.findWorker}. */
+    protected findWorker(size: Resources): number {
+        for (let worker = 0; worker < this.capacities.count; worker++) {
+            if (this.capacities.fits(worker, size)) {
                 return worker;
             }
         }
@@ -90,13 +90,13 @@
         super(count, capacity);
     }
 
-    /** See {@link ScanPlacer.search}. */
-    protected search(size: Resources): number {
-        const { count } = this.room;
+    /** See {@link ScanPlacer.findWorker}. */
+    protected findWorker(size: Resources): number {
+        const { count } = this.capacities;
         const start = Math.floor(this.random.next() * count);
         for (let step = 0; step < count; step++) {
             const worker = (start + step) % count;
-            if (this.room.fits(worker, size)) {
+            if (this.capacities.fits(worker, size)) {
                 return worker;
             }
         }
@@ -108,13 +108,13 @@
 export class BestFitScan extends ScanPlacer {
     readonly name = "best-fit scan";
 
-    /** See {@link ScanPlacer.search}. */
-    protected search(size: Resources): number {
+    /** See {@link ScanPlacer.findWorker}. */
+    protected findWorker(size: Resources): number {
         let best = -1;
         let bestFree = Infinity;
-        for (let worker = 0; worker < this.room.count; worker++) {
-            const free = this.room.free[worker * dimensionCount];
-            if (free < bestFree && this.room.fits(worker, size)) {
+        for (let worker = 0; worker < this.capacities.count; worker++) {
+            const free = this.capacities.free[worker * dimensionCount];
+            if (free < bestFree && this.capacities.fits(worker, size)) {
                 best = worker;
                 bestFree = free;
             }
--- a/packages/evidence/src/bench/situations.ts
+++ b/packages/evidence/src/bench/situations.ts
@@ -1,8 +1,8 @@
 /** Seeded runs of what goes wrong, each with its figure; lost, run twice and over capacity must be 0 in all. */
 import { type JobId, SeededRandom } from "@pebbledale/core";
-import { bayanihanMix, drawJob, type Mix, retrouveMix } from "./mixes.js";
-import { atLeast, atMost, type Figure, figure } from "./table.js";
+import { atLeast, atMost, type Figure, figure } from "./figures.js";
 import { VirtualCell } from "./virtual/index.js";
+import { bayanihanMix, generateJob, retrouveMix, type WorkloadMix } from "./workload-mixes.js";
 
 const second = 1_000;
 const minute = 60 * second;
@@ -11,90 +11,90 @@
 class Situation {
     readonly cell: VirtualCell;
     readonly accepted: JobId[] = [];
-    readonly #runs = new Map<JobId, number>();
-    readonly broken = new Set<JobId>();
+    readonly #runDurations = new Map<JobId, number>();
+    readonly failingJobs = new Set<JobId>();
     readonly #random: SeededRandom;
     #index = 0;
 
     constructor(
-        readonly mix: Mix,
+        readonly mix: WorkloadMix,
         seed: number,
         settings: readonly string[] = [],
-        usesFactorOf?: (job: JobId) => number,
+        usageFactorOf?: (job: JobId) => number,
     ) {
         this.#random = new SeededRandom(seed);
         this.cell = new VirtualCell({
             shape: mix.shape,
             seed,
             settings: [...mix.settings, "result.retention = 30d", ...settings],
-            runOf: job => this.#runs.get(job) ?? second,
-            failsEverywhere: job => this.broken.has(job),
-            usesFactorOf,
+            runDurationOf: job => this.#runDurations.get(job) ?? second,
+            failsEverywhere: job => this.failingJobs.has(job),
+            usageFactorOf: usageFactorOf,
         });
     }
 
     /** Submits one job of the mix, or one that the caller describes. */
-    submit(job?: object, runs = second): JobId | undefined {
-        const drawn = drawJob(this.mix, this.#random, this.#index++);
-        const outcome = this.cell.submit(job ?? drawn.job, id => this.accepted.push(id));
+    submit(job?: object, runDuration = second): JobId | undefined {
+        const generated = generateJob(this.mix, this.#random, this.#index++);
+        const outcome = this.cell.submit(job ?? generated.submission, id => this.accepted.push(id));
         if (outcome?.kind !== "accepted") {
             return undefined;
         }
-        this.#runs.set(outcome.job, job === undefined ? drawn.runs : runs);
+        this.#runDurations.set(outcome.job, job === undefined ? generated.runDuration : runDuration);
         return outcome.job;
     }
 
     /** Submits jobs of the mix at a rate until a time. */
-    stream(perSecond: number, until: number): void {
+    submitAtRate(perSecond: number, until: number): void {
         this.cell.clock.every(second / perSecond, () => this.submit(), () => this.cell.clock.monotonic() > until);
     }
 
     /** Runs to a time, then until all is answered or `limit` has passed as well. */
     run(until: number, limit = 60 * minute): void {
         this.cell.clock.runUntil(until);
-        while (this.open().length > 0 && this.cell.clock.monotonic() < until + limit) {
+        while (this.unfinishedJobs().length > 0 && this.cell.clock.monotonic() < until + limit) {
             this.cell.clock.runUntil(this.cell.clock.monotonic() + 5 * second);
         }
         this.cell.finish();
     }
 
     /** Jobs without a final answer. */
-    open(): JobId[] {
+    unfinishedJobs(): JobId[] {
         return this.accepted.filter(job => {
-            const state = this.cell.core.view(job)?.state;
+            const state = this.cell.scheduler.view(job)?.state;
             return state === undefined || state === "queued" || state === "running" || state === "cancelling";
         });
     }
 
     /** Jobs by their final state. */
-    count(state: string): number {
-        return this.accepted.filter(job => this.cell.core.view(job)?.state === state).length;
+    countInState(state: string): number {
+        return this.accepted.filter(job => this.cell.scheduler.view(job)?.state === state).length;
     }
 
     /** Rows that every situation has. */
-    promises(name: string): Figure[] {
-        const { notes } = this.cell;
-        const unrepeatableTwice = [...notes.startsOfTask].filter(([task, count]) => {
-            const job = this.cell.core.registry.jobs.get(task.slice(0, task.lastIndexOf("/")) as JobId);
+    invariantFigures(name: string): Figure[] {
+        const { statistics: notes } = this.cell;
+        const unrepeatableTwice = [...notes.startsByTask].filter(([task, count]) => {
+            const job = this.cell.scheduler.registry.jobs.get(task.slice(0, task.lastIndexOf("/")) as JobId);
             return count > 1 && job?.submission.unrepeatable === true;
         }).length;
-        const broken = notes.runTwice + notes.overCapacity + unrepeatableTwice;
+        const violations = notes.concurrentStarts + notes.overCapacityStarts + unrepeatableTwice;
         return [
-            atMost(`${name}: lost without an answer`, this.open().length, "jobs", 0),
-            atMost(`${name}: run in two places, repeated against the mark, or over capacity`, broken, "times", 0),
+            atMost(`${name}: lost without an answer`, this.unfinishedJobs().length, "jobs", 0),
+            atMost(`${name}: run in two places, repeated against the mark, or over capacity`, violations, "times", 0),
         ];
     }
 }
 
 /** What tasks use, and use above their grants, as means over a stream of a mix. */
-const measureUse = (situation: Situation): { usedOfGranted: number; overGrant: number; } => {
+const measureUsage = (situation: Situation): { usedOfGranted: number; overGrant: number; } => {
     let granted = 0;
     let used = 0;
     let over = 0;
-    situation.stream(10, 3 * minute);
+    situation.submitAtRate(10, 3 * minute);
     situation.cell.clock.every(second, () => {
         for (const worker of situation.cell.workers.values()) {
-            const use = worker.use();
+            const use = worker.processorUsage();
             granted += use.granted;
             used += use.used;
             over += use.overGrant;
@@ -113,30 +113,30 @@
         return factor;
     };
     const situation = new Situation(bayanihanMix, 11, [], factorOf);
-    const { usedOfGranted, overGrant } = measureUse(situation);
+    const { usedOfGranted, overGrant } = measureUsage(situation);
     return [
         figure("declared sizes off by up to 4 times either way: granted processors that are used", usedOfGranted, "%"),
         figure("declared sizes off by up to 4 times either way: use above grants", overGrant, "% of granted"),
-        ...situation.promises("declared sizes off"),
+        ...situation.invariantFigures("declared sizes off"),
     ];
 };
 
 const hog = (): Figure[] => {
     const isHog = (job: JobId) => job.endsWith("0");
-    const make = () => new Situation(bayanihanMix, 12, [], job => isHog(job) ? 8 : 0.9);
-    const unheld = make();
-    unheld.cell.workers.forEach(worker => {
+    const createSituation = () => new Situation(bayanihanMix, 12, [], job => isHog(job) ? 8 : 0.9);
+    const unthrottled = createSituation();
+    unthrottled.cell.workers.forEach(worker => {
         worker.ignoresThrottle = true;
     });
-    const situation = make();
+    const situation = createSituation();
     return [
         figure(
             "one task in ten uses 8 times its grant: use above grants",
-            measureUse(situation).overGrant,
+            measureUsage(situation).overGrant,
             "% of granted",
         ),
-        figure("baseline, nothing holds them: use above grants", measureUse(unheld).overGrant, "% of granted"),
-        ...situation.promises("hogs"),
+        figure("baseline, nothing holds them: use above grants", measureUsage(unthrottled).overGrant, "% of granted"),
+        ...situation.invariantFigures("hogs"),
     ];
 };
 
@@ -150,8 +150,8 @@
     situation.run(20 * second);
     return [
         figure("wave of 10,000 cancellations: time each", perJob, "us"),
-        figure("wave of 10,000 cancellations: cancelled", situation.count("cancelled"), "jobs"),
-        ...situation.promises("wave of cancellations"),
+        figure("wave of 10,000 cancellations: cancelled", situation.countInState("cancelled"), "jobs"),
+        ...situation.invariantFigures("wave of cancellations"),
     ];
 };
 
@@ -160,18 +160,23 @@
     for (const name of ["worker-3", "worker-11", "worker-20"]) {
         situation.cell.workers.get(name)!.failsAll = true;
     }
-    situation.stream(10, 5 * minute);
+    situation.submitAtRate(10, 5 * minute);
     situation.run(5 * minute);
-    const { notes } = situation.cell;
+    const { statistics: notes } = situation.cell;
     return [
         figure("3 of 30 workers fail all: failed attempts of all", notes.failed / notes.starts * 100, "%"),
-        atLeast("3 of 30 workers fail all: repeatable jobs that succeed", repeatableSuccess(situation) * 100, "%", 99),
-        ...situation.promises("failing workers"),
+        atLeast(
+            "3 of 30 workers fail all: repeatable jobs that succeed",
+            repeatableSuccessShare(situation) * 100,
+            "%",
+            99,
+        ),
+        ...situation.invariantFigures("failing workers"),
     ];
 };
 
-const repeatableSuccess = (situation: Situation): number => {
-    const repeatable = situation.accepted.map(job => situation.cell.core.registry.jobs.get(job)!)
+const repeatableSuccessShare = (situation: Situation): number => {
+    const repeatable = situation.accepted.map(job => situation.cell.scheduler.registry.jobs.get(job)!)
         .filter(job => !job.submission.unrepeatable);
     return repeatable.filter(job => job.state === "succeeded").length / repeatable.length;
 };
@@ -180,23 +185,23 @@
     const situation = new Situation(bayanihanMix, 3);
     for (let index = 0; index < 200; index++) {
         const job = situation.submit({ class: "batch", size: { processors: 2, memoryMebibytes: 1_024 } });
-        situation.broken.add(job!);
+        situation.failingJobs.add(job!);
     }
-    situation.stream(10, 2 * minute);
+    situation.submitAtRate(10, 2 * minute);
     situation.cell.clock.runUntil(minute);
-    const quarantined = [...situation.cell.core.workers.values()]
+    const quarantined = [...situation.cell.scheduler.workers.values()]
         .filter(entry => entry.quarantinedUntil > situation.cell.clock.monotonic()).length;
     situation.run(2 * minute);
     return [
         atMost("200 jobs that fail everywhere: workers in quarantine", quarantined, "of 30", 0),
-        figure("200 jobs that fail everywhere: answered as failed", situation.count("failed"), "jobs"),
-        ...situation.promises("failing jobs"),
+        figure("200 jobs that fail everywhere: answered as failed", situation.countInState("failed"), "jobs"),
+        ...situation.invariantFigures("failing jobs"),
     ];
 };
 
 const rackGone = (): Figure[] => {
     const situation = new Situation(bayanihanMix, 4);
-    situation.stream(10, 3 * minute);
+    situation.submitAtRate(10, 3 * minute);
     situation.cell.clock.after(minute, () => {
         for (let index = 8; index < 16; index++) {
             situation.cell.workers.get(`worker-${index}`)!.kill();
@@ -204,37 +209,40 @@
     });
     situation.run(3 * minute);
     return [
-        figure("a rack gone: unrepeatable jobs answered as not known", situation.count("unknown"), "jobs"),
-        atLeast("a rack gone: repeatable jobs that succeed", repeatableSuccess(situation) * 100, "%", 100),
-        ...situation.promises("a rack gone"),
+        figure("a rack gone: unrepeatable jobs answered as not known", situation.countInState("unknown"), "jobs"),
+        atLeast("a rack gone: repeatable jobs that succeed", repeatableSuccessShare(situation) * 100, "%", 100),
+        ...situation.invariantFigures("a rack gone"),
     ];
 };
 
 const halfLeaves = (): Figure[] => {
     const situation = new Situation(bayanihanMix, 5);
-    situation.stream(5, 4 * minute);
+    situation.submitAtRate(5, 4 * minute);
     for (let index = 0; index < 15; index++) {
         situation.cell.clock.after(minute + index * 5 * second, () => {
             situation.cell.workers.get(`worker-${index}`)!.isLeaving = true;
-            situation.cell.relist();
+            situation.cell.publishWorkerList();
         });
-        situation.cell.clock.after(3 * minute + index * 5 * second, () => situation.cell.remove(`worker-${index}`));
+        situation.cell.clock.after(
+            3 * minute + index * 5 * second,
+            () => situation.cell.removeWorker(`worker-${index}`),
+        );
     }
     situation.run(4 * minute);
     return [
-        atMost("half the VMs leave in a planned round: not known", situation.count("unknown"), "jobs", 0),
-        ...situation.promises("a planned round"),
+        atMost("half the VMs leave in a planned round: not known", situation.countInState("unknown"), "jobs", 0),
+        ...situation.invariantFigures("a planned round"),
     ];
 };
 
 const largeGang = (): Figure[] => {
     const situation = new Situation(retrouveMix, 6, ["placement.gang_patience = 30s"]);
-    const small = () =>
+    const submitSmallTask = () =>
         situation.submit(
             { class: "batch", size: { processors: 8, memoryMebibytes: 16_384 }, expectedRunMilliseconds: 20 * second },
             20 * second,
         );
-    situation.cell.clock.every(second / 14, small, () => situation.cell.clock.monotonic() > 15 * minute);
+    situation.cell.clock.every(second / 14, submitSmallTask, () => situation.cell.clock.monotonic() > 15 * minute);
     let gang: JobId | undefined;
     let startedAfter = Infinity;
     const from = 2 * minute;
@@ -245,15 +253,17 @@
         );
     });
     situation.cell.clock.every(second, () => {
-        if (gang !== undefined && startedAfter === Infinity && situation.cell.core.view(gang)?.state === "running") {
+        if (
+            gang !== undefined && startedAfter === Infinity && situation.cell.scheduler.view(gang)?.state === "running"
+        ) {
             startedAfter = (situation.cell.clock.monotonic() - from) / second;
         }
     }, () => situation.cell.clock.monotonic() > 15 * minute);
     situation.run(15 * minute);
     return [
         atMost("a gang of half the cell behind a stream of small tasks: starts after", startedAfter, "s", 300),
-        figure("a gang of half the cell: small tasks succeeded meanwhile", situation.count("succeeded"), "jobs"),
-        ...situation.promises("a large gang"),
+        figure("a gang of half the cell: small tasks succeeded meanwhile", situation.countInState("succeeded"), "jobs"),
+        ...situation.invariantFigures("a large gang"),
     ];
 };
 
@@ -269,22 +279,22 @@
     });
     situation.run(10 * minute);
     return [
-        figure("two gangs that each want two thirds: succeeded", situation.count("succeeded"), "of 122 jobs"),
-        ...situation.promises("two gangs"),
+        figure("two gangs that each want two thirds: succeeded", situation.countInState("succeeded"), "of 122 jobs"),
+        ...situation.invariantFigures("two gangs"),
     ];
 };
 
 const ownerDeath = (): Figure[] => {
     const situation = new Situation(bayanihanMix, 8);
-    situation.stream(20, 2 * minute);
+    situation.submitAtRate(20, 2 * minute);
     let starts = 0;
     let lastStart = 0;
     let longestPause = 0;
     situation.cell.clock.every(100, () => {
         const now = situation.cell.clock.monotonic();
-        if (situation.cell.notes.starts > starts) {
+        if (situation.cell.statistics.starts > starts) {
             longestPause = lastStart > 0 ? Math.max(longestPause, now - lastStart) : 0;
-            starts = situation.cell.notes.starts;
+            starts = situation.cell.statistics.starts;
             lastStart = now;
         }
     }, () => situation.cell.clock.monotonic() > 2 * minute);
@@ -292,42 +302,42 @@
     situation.run(2 * minute);
     return [
         figure("owner dies at the peak: longest pause between starts", longestPause, "ms"),
-        atMost("owner dies at the peak: answered as not known", situation.count("unknown"), "jobs", 0),
-        ...situation.promises("an owner's death"),
+        atMost("owner dies at the peak: answered as not known", situation.countInState("unknown"), "jobs", 0),
+        ...situation.invariantFigures("an owner's death"),
     ];
 };
 
 const platformDown = (): Figure[] => {
     const situation = new Situation(bayanihanMix, 9, ["owner.horizon = 15m"]);
-    situation.stream(10, 15 * minute);
-    situation.cell.clock.after(minute, () => situation.cell.setPlatform(true));
-    situation.cell.clock.after(11 * minute, () => situation.cell.setPlatform(false));
+    situation.submitAtRate(10, 15 * minute);
+    situation.cell.clock.after(minute, () => situation.cell.setPlatformState(true));
+    situation.cell.clock.after(11 * minute, () => situation.cell.setPlatformState(false));
     situation.run(15 * minute);
     return [
         atMost(
             "platform down ten minutes: work lost that ran",
-            situation.count("unknown") + situation.count("failed"),
+            situation.countInState("unknown") + situation.countInState("failed"),
             "jobs",
             0,
         ),
-        ...situation.promises("platform down"),
+        ...situation.invariantFigures("platform down"),
     ];
 };
 
 const platformSlow = (): Figure[] => {
     const situation = new Situation(bayanihanMix, 10);
-    situation.stream(10, 62 * minute);
-    situation.cell.clock.after(minute, () => situation.cell.setPlatform(false, 2 * second));
-    situation.cell.clock.after(61 * minute, () => situation.cell.setPlatform(false));
+    situation.submitAtRate(10, 62 * minute);
+    situation.cell.clock.after(minute, () => situation.cell.setPlatformState(false, 2 * second));
+    situation.cell.clock.after(61 * minute, () => situation.cell.setPlatformState(false));
     situation.run(62 * minute);
     return [
         figure(
             "platform answers after 2 s for an hour: succeeded",
-            situation.count("succeeded") / situation.accepted.length * 100,
+            situation.countInState("succeeded") / situation.accepted.length * 100,
             "%",
         ),
-        figure("platform answers after 2 s for an hour: writes", situation.cell.segments / (62 * 60), "/s"),
-        ...situation.promises("platform slow"),
+        figure("platform answers after 2 s for an hour: writes", situation.cell.segmentCount / (62 * 60), "/s"),
+        ...situation.invariantFigures("platform slow"),
     ];
 };
 
--- a/packages/evidence/src/bench/virtual/virtual-cell.ts
+++ b/packages/evidence/src/bench/virtual/virtual-cell.ts
@@ -25,7 +25,7 @@
 } from "@pebbledale/core";
 import type { FleetShape } from "@pebbledale/stand-ins";
 import { VirtualClock } from "./virtual-clock.js";
-import { VirtualWorker, WorkerNotes } from "./virtual-worker.js";
+import { VirtualWorker, WorkerStatistics } from "./virtual-worker.js";
 
 /** What a run consists of. */
 export interface VirtualCellOptions {
@@ -34,33 +34,33 @@
     /** Lines of the organisation's section of the settings tree. */
     readonly settings?: readonly string[];
     /** How long a task really runs; its caller may have said otherwise. */
-    readonly runOf: (job: JobId) => Milliseconds;
+    readonly runDurationOf: (job: JobId) => Milliseconds;
     /** Processors that a job's tasks would use over those it declared; 1 if absent. */
-    readonly usesFactorOf?: (job: JobId) => number;
+    readonly usageFactorOf?: (job: JobId) => number;
     /** Whether a task fails wherever it runs. */
     readonly failsEverywhere?: (job: JobId) => boolean;
 }
 
-interface WaitingStep {
-    readonly step: Transition;
+interface PendingTransition {
+    readonly transition: Transition;
     /** Called once its records are kept. */
-    readonly kept?: () => void;
+    readonly onCommitted?: () => void;
 }
 
 const journalDelay: Milliseconds = 5;
 const networkDelay: Milliseconds = 1;
 const heartbeatInterval: Milliseconds = 1_000;
 const tickInterval: Milliseconds = 100;
-const listInterval: Milliseconds = 2_000;
+const workerListInterval: Milliseconds = 2_000;
 /** How long nobody owns the shard after an owner's death: the platform's lease and the reading of the journal. */
-const takeOverDelay: Milliseconds = 3_500;
+const ownerTakeoverDelay: Milliseconds = 3_500;
 
 /** The settings that a run uses. */
-export const settingsOf = (lines: readonly string[]): ShardSettings =>
+export const parseShardSettings = (lines: readonly string[]): ShardSettings =>
     shardSettingsOf(parseSettingsTree(["[organisation]", ...lines].join("\n"))._unsafeUnwrap(), {});
 
 /** The workers of a shape, as the platform lists them. */
-export const listShape = (shape: FleetShape): ListedWorker[] =>
+export const createListedWorkers = (shape: FleetShape): ListedWorker[] =>
     Array.from({ length: shape.count }, (_, index) => ({
         worker: workerId(`worker-${index}`),
         address: "",
@@ -74,34 +74,36 @@
 /** See the module's comment. */
 export class VirtualCell {
     readonly clock = new VirtualClock();
-    readonly notes = new WorkerNotes();
+    readonly statistics = new WorkerStatistics();
     readonly workers: Map<string, VirtualWorker>;
     readonly random: SeededRandom;
     readonly settings: ShardSettings;
     /** Segments that a real journal would have written: one a group commit. */
-    segments = 0;
-    core!: ShardScheduler;
+    segmentCount = 0;
+    scheduler!: ShardScheduler;
     #journal: ShardRecord[] = [];
-    #waiting: WaitingStep[] = [];
+    #pending: PendingTransition[] = [];
     #epoch = 0;
     #lastContact = 0;
     #isOwned = false;
     #isPlatformDown = false;
     #platformDelay = journalDelay;
     #isWriting = false;
-    #isScheduled = false;
-    #isOver = false;
+    #isCycleScheduled = false;
+    #isFinished = false;
 
     constructor(readonly options: VirtualCellOptions) {
         this.random = new SeededRandom(options.seed);
-        this.settings = settingsOf(options.settings ?? []);
+        this.settings = parseShardSettings(options.settings ?? []);
         this.workers = new Map(
-            listShape(options.shape).map(listed => [listed.worker, new VirtualWorker(listed, this.notes)]),
+            createListedWorkers(options.shape).map(
+                listed => [listed.worker, new VirtualWorker(listed, this.statistics)],
+            ),
         );
-        this.#open();
-        this.clock.every(tickInterval, () => this.#tick(), () => this.#isOver);
-        this.clock.every(listInterval, () => this.#list(), () => this.#isOver);
-        this.clock.every(heartbeatInterval, () => this.#heartbeats(), () => this.#isOver);
+        this.#takeOwnership();
+        this.clock.every(tickInterval, () => this.#tick(), () => this.#isFinished);
+        this.clock.every(workerListInterval, () => this.#publishWorkerList(), () => this.#isFinished);
+        this.clock.every(heartbeatInterval, () => this.#sendHeartbeats(), () => this.#isFinished);
         this.clock.runUntil(tickInterval * 3);
     }
 
@@ -109,15 +111,15 @@
      * Submits a job; fields that are left out have defaults. Undefined while the shard has no owner.
      * `kept` is called once the acceptance is kept: only then has the caller been told.
      */
-    submit(job: object, kept: (job: JobId) => void): SubmitOutcome | undefined {
+    submit(job: object, onCommitted: (job: JobId) => void): SubmitOutcome | undefined {
         if (!this.#isOwned) {
             return undefined;
         }
         const submission = jobSubmissionSchema.parse(job);
-        const { transition: step, outcome } = this.core.submit({ submission, digest: "" });
-        this.#take(step, () => {
+        const { transition: step, outcome } = this.scheduler.submit({ submission, digest: "" });
+        this.#applyTransition(step, () => {
             if (outcome.kind === "accepted") {
-                kept(outcome.job);
+                onCommitted(outcome.job);
             }
         });
         this.requestSchedule();
@@ -126,66 +128,66 @@
 
     /** Cancels a job. */
     cancel(job: JobId): void {
-        const step = this.core.cancel(job);
+        const step = this.scheduler.cancel(job);
         if (step !== undefined) {
-            this.#take(step);
+            this.#applyTransition(step);
         }
     }
 
     /** Ends the owner without warning; another takes over from what was kept. */
     killOwner(): void {
         this.#isOwned = false;
-        this.#waiting = [];
-        this.clock.after(takeOverDelay, () => this.#open());
+        this.#pending = [];
+        this.clock.after(ownerTakeoverDelay, () => this.#takeOwnership());
     }
 
     /** Takes the platform away or gives it back, or makes it slow. */
-    setPlatform(isDown: boolean, delay: Milliseconds = journalDelay): void {
+    setPlatformState(isDown: boolean, delay: Milliseconds = journalDelay): void {
         this.#isPlatformDown = isDown;
         this.#platformDelay = delay;
-        this.#write();
+        this.#writeSegment();
     }
 
     /** Takes a VM away for good. */
-    remove(name: string): void {
+    removeWorker(name: string): void {
         this.workers.get(name)?.kill();
         this.workers.delete(name);
-        this.#list();
+        this.#publishWorkerList();
     }
 
     /** Tells the owner what the platform lists. */
-    relist(): void {
-        this.#list();
+    publishWorkerList(): void {
+        this.#publishWorkerList();
     }
 
     /** Ends the run's endless events. */
     finish(): void {
-        this.#isOver = true;
+        this.#isFinished = true;
     }
 
     /** Places what fits, in a moment. */
     requestSchedule(): void {
-        if (this.#isScheduled || !this.#isOwned) {
+        if (this.#isCycleScheduled || !this.#isOwned) {
             return;
         }
-        this.#isScheduled = true;
+        this.#isCycleScheduled = true;
         this.clock.after(0, () => {
-            this.#isScheduled = false;
+            this.#isCycleScheduled = false;
             if (this.#isOwned) {
-                this.#take(this.core.schedule(!this.#isPlatformDown));
+                this.#applyTransition(this.scheduler.schedule(!this.#isPlatformDown));
             }
         });
     }
 
-    #open(): void {
+    #takeOwnership(): void {
         if (this.#isPlatformDown) {
-            this.clock.after(takeOverDelay, () => this.#open());
+            this.clock.after(ownerTakeoverDelay, () => this.#takeOwnership());
             return;
         }
         this.#epoch++;
         this.#isOwned = true;
         this.#lastContact = this.clock.monotonic();
-        this.core = new ShardScheduler({
+        this.scheduler = new ShardScheduler({
             shard: shardId("shard-0"),
             epoch: this.#epoch as Epoch,
             clock: this.clock,
@@ -194,9 +196,9 @@
             lastContact: () => this.#lastContact,
             hasFormerOwner: this.#epoch > 1,
         });
-        this.core.recover(undefined, this.#journal);
-        this.#list();
-        this.#take(this.core.tick());
+        this.scheduler.recover(undefined, this.#journal);
+        this.#publishWorkerList();
+        this.#applyTransition(this.scheduler.tick());
         for (const worker of this.workers.values()) {
             this.#claim(worker);
         }
@@ -205,13 +207,17 @@
 
     #claim(worker: VirtualWorker): void {
         if (this.#isOwned && worker.isUp && worker.isReachable) {
-            this.#take(this.core.claimAnswered(worker.listed.worker, worker.report(), this.clock.monotonic()));
+            this.#applyTransition(
+                this.scheduler.claimAnswered(worker.listed.worker, worker.report(), this.clock.monotonic()),
+            );
         }
     }
 
-    #list(): void {
+    #publishWorkerList(): void {
         if (this.#isOwned) {
-            this.#take(this.core.applyWorkerList([...this.workers.values()].map(worker => worker.list())));
+            this.#applyTransition(
+                this.scheduler.applyWorkerList([...this.workers.values()].map(worker => worker.toListedWorker())),
+            );
         }
     }
 
@@ -220,72 +226,74 @@
             this.#lastContact = this.clock.monotonic();
         }
         if (this.#isOwned) {
-            this.#take(this.core.tick());
+            this.#applyTransition(this.scheduler.tick());
             this.requestSchedule();
         }
     }
 
-    #heartbeats(): void {
+    #sendHeartbeats(): void {
         for (const worker of this.workers.values()) {
-            this.#heartbeat(worker);
+            this.#sendHeartbeat(worker);
         }
     }
 
-    #heartbeat(worker: VirtualWorker): void {
+    #sendHeartbeat(worker: VirtualWorker): void {
         if (!this.#isOwned || !worker.isUp || !worker.isReachable) {
             return;
         }
-        const message = this.core.nextHeartbeat(worker.listed.worker, 0);
+        const message = this.scheduler.nextHeartbeat(worker.listed.worker, 0);
         if (message === undefined) {
             this.#claim(worker);
             return;
         }
         const acknowledged = new Set(message.acknowledged.map(entry => `${entry.task}#${entry.attempt}`));
         worker.ended = worker.ended.filter(entry => !acknowledged.has(`${entry.task}#${entry.attempt}`));
-        this.#take(this.core.heartbeatAnswered(worker.listed.worker, worker.report(), this.clock.monotonic()));
+        this.#applyTransition(
+            this.scheduler.heartbeatAnswered(worker.listed.worker, worker.report(), this.clock.monotonic()),
+        );
         this.requestSchedule();
     }
 
-    #take(step: Transition, kept?: () => void): void {
+    #applyTransition(step: Transition, kept?: () => void): void {
         if (step.records.length === 0) {
-            step.effects.forEach(effect => this.#carryOut(effect));
+            step.effects.forEach(effect => this.#execute(effect));
             return;
         }
-        this.#waiting.push({ step, kept });
-        this.#write();
+        this.#pending.push({ transition: step, onCommitted: kept });
+        this.#writeSegment();
     }
 
     /** Group commit: one write at a time, with all that waits. */
-    #write(): void {
-        if (this.#isWriting || this.#isPlatformDown || this.#waiting.length === 0) {
+    #writeSegment(): void {
+        if (this.#isWriting || this.#isPlatformDown || this.#pending.length === 0) {
             return;
         }
         this.#isWriting = true;
-        const group = this.#waiting;
+        const group = this.#pending;
         const epoch = this.#epoch;
-        this.#waiting = [];
+        this.#pending = [];
         this.clock.after(this.#platformDelay, () => {
             this.#isWriting = false;
             if (this.#isPlatformDown) {
-                this.#waiting = [...group, ...this.#waiting];
+                this.#pending = [...group, ...this.#pending];
                 return;
             }
             if (epoch === this.#epoch && this.#isOwned) {
-                this.segments++;
-                for (const { step, kept } of group) {
+                this.segmentCount++;
+                for (const { transition: step, onCommitted: kept } of group) {
                     this.#journal.push(...step.records);
-                    this.core.onCommitted(step);
+                    this.scheduler.onCommitted(step);
                     kept?.();
-                    step.effects.forEach(effect => this.#carryOut(effect));
+                    step.effects.forEach(effect => this.#execute(effect));
                 }
                 this.requestSchedule();
             }
-            this.#write();
+            this.#writeSegment();
         });
     }
 
-    #carryOut(effect: Effect): void {
-        const core = this.core;
+    #execute(effect: Effect): void {
+        const owner = this.scheduler;
         if (effect.kind === "job-changed") {
             return;
         }
@@ -296,7 +304,7 @@
             return;
         }
         this.clock.after(networkDelay, () => {
-            if (core !== this.core || !this.#isOwned) {
+            if (owner !== this.scheduler || !this.#isOwned) {
                 return;
             }
             if (effect.kind === "start") {
@@ -306,15 +314,15 @@
                 const { task, attempt, mode } = effect.message;
                 const kind = mode === StopMode.Checkpoint ? EndKind.Checkpointed : EndKind.Stopped;
                 worker.end(task, attempt, kind, this.clock.monotonic());
-                this.#heartbeat(worker);
+                this.#sendHeartbeat(worker);
             }
         });
     }
 
     #start(worker: VirtualWorker | undefined, task: TaskId, attempt: Attempt): void {
-        const message = this.core.startMessage(task, attempt, false);
+        const message = this.scheduler.startMessage(task, attempt, false);
         if (message === undefined) {
-            this.#take(this.core.startRefused(task, attempt, undefined));
+            this.#applyTransition(this.scheduler.startRefused(task, attempt, undefined));
             return;
         }
         if (worker === undefined || !worker.isUp || !worker.isReachable) {
@@ -322,20 +330,20 @@
             return;
         }
         if (worker.isLeaving) {
-            this.#take(this.core.startRefused(task, attempt, WorkerRefusal.Leaving));
+            this.#applyTransition(this.scheduler.startRefused(task, attempt, WorkerRefusal.Leaving));
             return;
         }
         const now = this.clock.monotonic();
         const job = task.slice(0, task.lastIndexOf("/")) as JobId;
-        worker.start(message, now, this.options.usesFactorOf?.(job) ?? 1);
-        this.#take(this.core.startAccepted(task, attempt, { task, attempt, usage: message.grant }));
+        worker.start(message, now, this.options.usageFactorOf?.(job) ?? 1);
+        this.#applyTransition(this.scheduler.startAccepted(task, attempt, { task, attempt, usage: message.grant }));
         if (message.serves) {
             return;
         }
         const fails = worker.failsAll || this.options.failsEverywhere?.(job) === true;
-        this.clock.after(fails ? networkDelay : this.options.runOf(job), () => {
+        this.clock.after(fails ? networkDelay : this.options.runDurationOf(job), () => {
             if (worker.end(task, attempt, fails ? EndKind.Failed : EndKind.Succeeded, this.clock.monotonic())) {
-                this.#heartbeat(worker);
+                this.#sendHeartbeat(worker);
             }
         });
     }
--- a/packages/evidence/src/bench/virtual/virtual-clock.ts
+++ b/packages/evidence/src/bench/virtual/virtual-clock.ts
@@ -2,18 +2,21 @@
 import type { Clock, Milliseconds } from "@pebbledale/core";
 import TinyQueue from "tinyqueue";
 
-interface Event {
+interface ScheduledEvent {
     readonly at: Milliseconds;
-    readonly order: number;
+    readonly sequence: number;
     readonly run: () => void;
 }
 
 /** See the module's comment. */
 export class VirtualClock implements Clock {
-    readonly #events = new TinyQueue<Event>([], (left, right) => left.at - right.at || left.order - right.order);
-    readonly #start = Date.parse("2026-01-01T00:00:00Z");
+    readonly #events = new TinyQueue<ScheduledEvent>(
+        [],
+        (left, right) => left.at - right.at || left.sequence - right.sequence,
+    );
+    readonly #startTime = Date.parse("2026-01-01T00:00:00Z");
     #now = 0;
-    #order = 0;
+    #nextSequence = 0;
 
     /** See {@link Clock.monotonic}. */
     monotonic(): Milliseconds {
@@ -22,7 +25,7 @@
 
     /** See {@link Clock.now}. */
     now(): Date {
-        return new Date(this.#start + this.#now);
+        return new Date(this.#startTime + this.#now);
     }
 
     /** See {@link Clock.sleep}. */
@@ -32,7 +35,7 @@
 
     /** Runs something after a time. */
     after(duration: Milliseconds, run: () => void): void {
-        this.#events.push({ at: this.#now + Math.max(0, duration), order: this.#order++, run });
+        this.#events.push({ at: this.#now + Math.max(0, duration), sequence: this.#nextSequence++, run });
     }
 
     /** Runs something again and again until `isDone`. */
--- a/packages/evidence/src/bench/virtual/virtual-worker.ts
+++ b/packages/evidence/src/bench/virtual/virtual-worker.ts
@@ -12,25 +12,25 @@
     type WorkerReport,
 } from "@pebbledale/core";
 
-interface Running {
+interface VirtualTask {
     readonly task: TaskId;
     readonly attempt: Attempt;
     readonly grant: Resources;
     readonly startedAt: number;
     /** Processors that it would use if it were let, in thousandths. */
-    readonly wants: number;
+    readonly demandedProcessors: number;
     /** Set by a throttle message. */
-    throttledTo: number;
+    processorLimit: number;
 }
 
-const usedBy = (task: Running): number => Math.min(task.wants, task.throttledTo);
+const usedProcessors = (task: VirtualTask): number => Math.min(task.demandedProcessors, task.processorLimit);
 
 /** What the fakes noted of all workers of a run. */
-export class WorkerNotes {
-    readonly runningTasks = new Map<TaskId, number>();
-    readonly startsOfTask = new Map<TaskId, number>();
-    overCapacity = 0;
-    runTwice = 0;
+export class WorkerStatistics {
+    readonly runningCounts = new Map<TaskId, number>();
+    readonly startsByTask = new Map<TaskId, number>();
+    overCapacityStarts = 0;
+    concurrentStarts = 0;
     starts = 0;
     succeeded = 0;
     failed = 0;
@@ -38,7 +38,7 @@
 
 /** See the module's comment. */
 export class VirtualWorker {
-    readonly running = new Map<TaskId, Running>();
+    readonly running = new Map<TaskId, VirtualTask>();
     ended: EndedTask[] = [];
     isUp = true;
     isReachable = true;
@@ -46,13 +46,13 @@
     failsAll = false;
     /** A baseline: nothing holds a task to its grant. */
     ignoresThrottle = false;
-    #number = 0;
+    #lastReportNumber = 0;
     #incarnation = 1;
 
-    constructor(readonly listed: ListedWorker, private readonly notes: WorkerNotes) {}
+    constructor(readonly listed: ListedWorker, private readonly statistics: WorkerStatistics) {}
 
     /** How the platform lists it. */
-    list(): ListedWorker {
+    toListedWorker(): ListedWorker {
         return this.isLeaving ? { ...this.listed, state: VmState.Leaving } : this.listed;
     }
 
@@ -61,25 +61,26 @@
         return {
             worker: this.listed.worker,
             incarnation: incarnation(`${this.listed.worker}-${this.#incarnation}`),
-            number: ++this.#number,
+            number: ++this.#lastReportNumber,
             leaving: this.isLeaving,
             running: [...this.running.values()].map(running => ({
                 task: running.task,
                 attempt: running.attempt,
-                usage: { ...running.grant, processorThousandths: usedBy(running) },
+                usage: { ...running.grant, processorThousandths: usedProcessors(running) },
             })),
             ended: this.ended,
         };
     }
 
     /** Processors that are granted here and those that are used, in thousandths. */
-    use(): { readonly granted: number; readonly used: number; readonly overGrant: number; } {
+    processorUsage(): { readonly granted: number; readonly used: number; readonly overGrant: number; } {
         const tasks = [...this.running.values()];
-        const sum = (amountOf: (task: Running) => number) => tasks.reduce((total, task) => total + amountOf(task), 0);
+        const sum = (amountOf: (task: VirtualTask) => number) =>
+            tasks.reduce((total, task) => total + amountOf(task), 0);
         return {
             granted: sum(task => task.grant.processorThousandths),
-            used: sum(usedBy),
-            overGrant: sum(task => Math.max(0, usedBy(task) - task.grant.processorThousandths)),
+            used: sum(usedProcessors),
+            overGrant: sum(task => Math.max(0, usedProcessors(task) - task.grant.processorThousandths)),
         };
     }
 
@@ -87,22 +88,29 @@
     throttle(task: TaskId, processorThousandths: number): void {
         const running = this.running.get(task);
         if (running !== undefined && !this.ignoresThrottle) {
-            running.throttledTo = processorThousandths;
+            running.processorLimit = processorThousandths;
         }
     }
 
     /** Starts a task. `usesFactor`: processors that it would use over those declared. */
-    start(message: StartMessage, now: number, usesFactor: number): void {
+    start(message: StartMessage, now: number, usageFactor: number): void {
         const { task, attempt, grant } = message;
-        const { notes } = this;
-        const wants = grant.processorThousandths * usesFactor;
-        this.running.set(task, { task, attempt, grant, startedAt: now, wants, throttledTo: Infinity });
+        const { statistics: notes } = this;
+        const demandedProcessors = grant.processorThousandths * usageFactor;
+        this.running.set(task, {
+            task,
+            attempt,
+            grant,
+            startedAt: now,
+            demandedProcessors: demandedProcessors,
+            processorLimit: Infinity,
+        });
         notes.starts++;
-        notes.startsOfTask.set(task, (notes.startsOfTask.get(task) ?? 0) + 1);
-        const places = (notes.runningTasks.get(task) ?? 0) + 1;
-        notes.runningTasks.set(task, places);
-        notes.runTwice += places > 1 ? 1 : 0;
-        notes.overCapacity += this.#isOver() ? 1 : 0;
+        notes.startsByTask.set(task, (notes.startsByTask.get(task) ?? 0) + 1);
+        const runningCount = (notes.runningCounts.get(task) ?? 0) + 1;
+        notes.runningCounts.set(task, runningCount);
+        notes.concurrentStarts += runningCount > 1 ? 1 : 0;
+        notes.overCapacityStarts += this.#isOverCapacity() ? 1 : 0;
     }
 
     /** Ends a task; false when it no longer runs. */
@@ -111,9 +119,9 @@
         if (running?.attempt !== attempt) {
             return false;
         }
-        this.#forget(task);
-        this.notes.succeeded += kind === EndKind.Succeeded ? 1 : 0;
-        this.notes.failed += kind === EndKind.Failed ? 1 : 0;
+        this.#removeTask(task);
+        this.statistics.succeeded += kind === EndKind.Succeeded ? 1 : 0;
+        this.statistics.failed += kind === EndKind.Failed ? 1 : 0;
         this.ended = [...this.ended, { task, attempt, kind, output: "", ranFor: now - running.startedAt }];
         return true;
     }
@@ -121,23 +129,23 @@
     /** Ends with all its tasks, without a word. */
     kill(): void {
         this.isUp = false;
-        [...this.running.keys()].forEach(task => this.#forget(task));
+        [...this.running.keys()].forEach(task => this.#removeTask(task));
         this.ended = [];
         this.#incarnation++;
     }
 
-    #forget(task: TaskId): void {
+    #removeTask(task: TaskId): void {
         this.running.delete(task);
-        const places = (this.notes.runningTasks.get(task) ?? 1) - 1;
+        const places = (this.statistics.runningCounts.get(task) ?? 1) - 1;
         if (places === 0) {
-            this.notes.runningTasks.delete(task);
+            this.statistics.runningCounts.delete(task);
         }
         else {
-            this.notes.runningTasks.set(task, places);
+            this.statistics.runningCounts.set(task, places);
         }
     }
 
-    #isOver(): boolean {
+    #isOverCapacity(): boolean {
         const { capacity } = this.listed;
         let processors = 0;
         let memory = 0;
--- a/packages/evidence/src/bench/mixes.ts
+++ b/packages/evidence/src/bench/workload-mixes.ts
@@ -3,9 +3,9 @@
 import { bayanihanShape, type FleetShape, retrouveShape } from "@pebbledale/stand-ins";
 
 /** A job with what its caller does not know. */
-export interface DrawnJob {
+export interface GeneratedJob {
     /** As submitted. */
-    readonly job: {
+    readonly submission: {
         readonly key: string;
         readonly class: string;
         readonly tasks: number;
@@ -15,11 +15,11 @@
         readonly size: { readonly processors: number; readonly memoryMebibytes: number; readonly slots: number; };
     };
     /** How long each task really runs. */
-    readonly runs: number;
+    readonly runDuration: number;
 }
 
 /** A kind of work within a mix. */
-interface Kind {
+interface JobKind {
     readonly name: string;
     readonly share: number;
     readonly class: string;
@@ -29,26 +29,26 @@
     readonly processors: readonly [number, number];
     readonly memoryMebibytes: readonly [number, number];
     readonly slots: readonly [number, number];
-    readonly runs: readonly [number, number];
+    readonly runDuration: readonly [number, number];
 }
 
 /** One user's workers, settings and work. */
-export interface Mix {
+export interface WorkloadMix {
     readonly name: string;
     readonly shape: FleetShape;
     readonly settings: readonly string[];
-    readonly kinds: readonly Kind[];
+    readonly kinds: readonly JobKind[];
 }
 
 /** One job in this many can never run. */
-const impossibleEvery = 200;
+const infeasibleInterval = 200;
 /** Declared run times are off by up to this factor either way. */
-const declaredFactor = 4;
+const maxDeclarationFactor = 4;
 const second = 1_000;
 const gibibyte = 1_024;
 
 /** Script assembly and campaign builds. */
-export const bayanihanMix: Mix = {
+export const bayanihanMix: WorkloadMix = {
     name: "bayanihan",
     shape: bayanihanShape,
     settings: ["placement.preference = spread", "placement.headroom = 10%"],
@@ -63,7 +63,7 @@
             processors: [1, 6],
             memoryMebibytes: [2 * gibibyte, 12 * gibibyte],
             slots: [1, 1],
-            runs: [1 * second, 10 * second],
+            runDuration: [1 * second, 10 * second],
         },
         {
             name: "build",
@@ -75,13 +75,13 @@
             processors: [8, 24],
             memoryMebibytes: [16 * gibibyte, 48 * gibibyte],
             slots: [1, 2],
-            runs: [20 * second, 90 * second],
+            runDuration: [20 * second, 90 * second],
         },
     ],
 };
 
 /** Photo matches and reindexing in gangs. */
-export const retrouveMix: Mix = {
+export const retrouveMix: WorkloadMix = {
     name: "retrouve",
     shape: retrouveShape,
     settings: ["placement.preference = pack", "placement.headroom = 0%"],
@@ -96,7 +96,7 @@
             processors: [2, 16],
             memoryMebibytes: [8 * gibibyte, 64 * gibibyte],
             slots: [1, 2],
-            runs: [30 * second, 300 * second],
+            runDuration: [30 * second, 300 * second],
         },
         {
             name: "reindex",
@@ -108,13 +108,13 @@
             processors: [4, 8],
             memoryMebibytes: [16 * gibibyte, 32 * gibibyte],
             slots: [1, 1],
-            runs: [120 * second, 600 * second],
+            runDuration: [120 * second, 600 * second],
         },
     ],
 };
 
 /** Photo matches over whole collections: few on a worker, so that processors and memory run out before slots. */
-export const largeMatchMix: Mix = {
+export const largeMatchMix: WorkloadMix = {
     ...retrouveMix,
     name: "retrouve, large matches",
     kinds: [{
@@ -126,11 +126,11 @@
     }],
 };
 
-const between = (random: Random, [least, most]: readonly [number, number]): number =>
-    least + Math.floor(random.next() * (most - least + 1));
+const randomInteger = (random: Random, [min, max]: readonly [number, number]): number =>
+    min + Math.floor(random.next() * (max - min + 1));
 
 /** Draws the next job of a mix. */
-export const drawJob = (mix: Mix, random: Random, index: number): DrawnJob => {
+export const generateJob = (mix: WorkloadMix, random: Random, index: number): GeneratedJob => {
     let kind = mix.kinds[mix.kinds.length - 1];
     let point = random.next();
     for (const candidate of mix.kinds) {
@@ -140,22 +140,22 @@
         }
         point -= candidate.share;
     }
-    const runs = between(random, kind.runs);
-    const declared = Math.max(1, Math.round(runs * declaredFactor ** (random.next() * 2 - 1)));
-    const isImpossible = (index + 1) % impossibleEvery === 0;
+    const runDuration = randomInteger(random, kind.runDuration);
+    const declaredDuration = Math.max(1, Math.round(runDuration * maxDeclarationFactor ** (random.next() * 2 - 1)));
+    const isInfeasible = (index + 1) % infeasibleInterval === 0;
     return {
-        runs,
-        job: {
+        runDuration: runDuration,
+        submission: {
             key: `${kind.name}-${index}`,
             class: kind.class,
             priority: kind.priority,
             unrepeatable: kind.unrepeatable,
-            tasks: between(random, kind.tasks),
-            expectedRunMilliseconds: declared,
+            tasks: randomInteger(random, kind.tasks),
+            expectedRunMilliseconds: declaredDuration,
             size: {
-                processors: isImpossible ? 1_000 : between(random, kind.processors),
-                memoryMebibytes: between(random, kind.memoryMebibytes),
-                slots: between(random, kind.slots),
+                processors: isInfeasible ? 1_000 : randomInteger(random, kind.processors),
+                memoryMebibytes: randomInteger(random, kind.memoryMebibytes),
+                slots: randomInteger(random, kind.slots),
             },
         },
     };
--- a/packages/evidence/src/capacity/decision-slopes.ts
+++ b/packages/evidence/src/capacity/decision-slopes.ts
@@ -16,8 +16,8 @@
 } from "@pebbledale/core";
 import { setFlagsFromString } from "node:v8";
 import { runInNewContext } from "node:vm";
-import { bayanihanMix } from "../bench/mixes.js";
-import { listShape, settingsOf } from "../bench/virtual/index.js";
+import { createListedWorkers, parseShardSettings } from "../bench/virtual/index.js";
+import { bayanihanMix } from "../bench/workload-mixes.js";
 import type { Slope } from "./types.js";
 
 const workerCounts = [500, 2_000] as const;
@@ -33,29 +33,33 @@
 setFlagsFromString("--expose-gc");
 const collectGarbage = runInNewContext("gc") as () => void;
 
-const heapAfterCollection = (): number => {
+const measureHeap = (): number => {
     collectGarbage();
     collectGarbage();
     return process.memoryUsage().heapUsed;
 };
 
-const perItem = (count: number, act: () => void): number => {
+const processorTimePerItem = (count: number, action: () => void): number => {
     const started = process.cpuUsage();
-    act();
+    action();
     const spent = process.cpuUsage(started);
     return (spent.user + spent.system) / count;
 };
 
 /** A shard with running tasks; times of its making in microseconds each. */
 class LoadedShard {
-    readonly core: ShardScheduler;
+    readonly scheduler: ShardScheduler;
     readonly records: ShardRecord[] = [];
-    #number = 1;
+    #nextReportNumber = 1;
 
     constructor(readonly workers: number) {
         const clock = new SystemClock();
-        const settings = settingsOf(["queue.limit = 10000000", "worker.silent_after = 10m", "lease.duration = 1h"]);
-        this.core = new ShardScheduler({
+        const settings = parseShardSettings([
+            "queue.limit = 10000000",
+            "worker.silent_after = 10m",
+            "lease.duration = 1h",
+        ]);
+        this.scheduler = new ShardScheduler({
             shard: shardId("shard-0"),
             epoch: 1 as Epoch,
             clock,
@@ -64,75 +68,86 @@
             lastContact: () => clock.monotonic(),
             hasFormerOwner: false,
         });
-        this.keep(this.core.tick());
-        this.keep(this.core.applyWorkerList(listShape({ ...bayanihanMix.shape, count: workers })));
-        for (const entry of this.core.workers.values()) {
-            this.keep(this.core.claimAnswered(entry.worker, this.report(entry.worker, []), 0));
+        this.commit(this.scheduler.tick());
+        this.commit(this.scheduler.applyWorkerList(createListedWorkers({ ...bayanihanMix.shape, count: workers })));
+        for (const entry of this.scheduler.workers.values()) {
+            this.commit(this.scheduler.claimAnswered(entry.worker, this.createReport(entry.worker, []), 0));
         }
     }
 
     /** Submits and places tasks until the fleet holds its fill, and confirms them. */
     fill(): { submit: number; start: number; } {
         const tasks = this.workers * tasksPerWorker;
-        const submit = perItem(tasks, () => {
+        const submit = processorTimePerItem(tasks, () => {
             for (let index = 0; index < tasks; index++) {
-                this.keep(this.core.submit({ submission, digest: "d".repeat(64) }).transition);
+                this.commit(this.scheduler.submit({ submission, digest: "d".repeat(64) }).transition);
             }
         });
         let step: Transition | undefined;
-        const start = perItem(tasks, () => {
+        const start = processorTimePerItem(tasks, () => {
             do {
-                step = this.core.schedule(true);
-                this.keep(step);
-                this.#confirm(step);
+                step = this.scheduler.schedule(true);
+                this.commit(step);
+                this.#acceptStarts(step);
             }
             while (step.records.length > 0);
         });
         return { submit, start };
     }
 
-    keep(step: Transition): void {
+    commit(step: Transition): void {
         this.records.push(...step.records);
-        this.core.onCommitted(step);
+        this.scheduler.onCommitted(step);
     }
 
-    report(worker: WorkerReport["worker"], running: WorkerReport["running"]): WorkerReport {
-        return { worker, incarnation: incarnation("1"), number: this.#number++, leaving: false, running, ended: [] };
+    createReport(worker: WorkerReport["worker"], running: WorkerReport["running"]): WorkerReport {
+        return {
+            worker,
+            incarnation: incarnation("1"),
+            number: this.#nextReportNumber++,
+            leaving: false,
+            running,
+            ended: [],
+        };
     }
 
     /** One heartbeat of every worker; sizes of the messages in bytes. */
-    heartbeats(): { out: number; back: number; } {
+    exchangeHeartbeats(): { out: number; back: number; } {
         let out = 0;
         let back = 0;
-        for (const entry of this.core.workers.values()) {
-            const message = this.core.nextHeartbeat(entry.worker, 1_000);
+        for (const entry of this.scheduler.workers.values()) {
+            const message = this.scheduler.nextHeartbeat(entry.worker, 1_000);
             const running = [...entry.tasks.values()].map(task => ({
                 task: task.task,
                 attempt: task.attempt,
                 usage: task.assignment!.grant,
             }));
-            const report = this.report(entry.worker, running);
+            const answer = this.createReport(entry.worker, running);
             out += JSON.stringify(message).length;
-            back += JSON.stringify(report).length;
-            this.keep(
-                this.core.heartbeatAnswered(entry.worker, JSON.parse(JSON.stringify(report)) as WorkerReport, Infinity),
+            back += JSON.stringify(answer).length;
+            this.commit(
+                this.scheduler.heartbeatAnswered(
+                    entry.worker,
+                    JSON.parse(JSON.stringify(answer)) as WorkerReport,
+                    Infinity,
+                ),
             );
         }
         return { out: out / this.workers, back: back / this.workers };
     }
 
-    #confirm(step: Transition): void {
+    #acceptStarts(step: Transition): void {
         for (const effect of step.effects) {
             if (effect.kind === "start") {
                 const { task, attempt }: { task: TaskId; attempt: Attempt; } = effect;
-                this.core.startMessage(task, attempt, false);
-                this.core.startAccepted(task, attempt, { task, attempt, usage: bayanihanMix.shape.capacity });
+                this.scheduler.startMessage(task, attempt, false);
+                this.scheduler.startAccepted(task, attempt, { task, attempt, usage: bayanihanMix.shape.capacity });
             }
         }
     }
 }
 
-const recordBytes = (records: readonly ShardRecord[], kind: ShardRecord["kind"]): number => {
+const meanRecordBytes = (records: readonly ShardRecord[], kind: ShardRecord["kind"]): number => {
     const chosen = records.filter(record => record.kind === kind);
     return JSON.stringify(chosen).length / Math.max(1, chosen.length);
 };
@@ -141,32 +156,36 @@
 export const measureDecisionSlopes = (): Slope[] => {
     const slopes: Slope[] = [];
     const add = (what: string, value: number, unit: string) => slopes.push({ role: "scheduler", what, value, unit });
-    const idle = heapAfterCollection();
-    const empty = new LoadedShard(workerCounts[1]);
-    const withWorkers = heapAfterCollection();
-    add("memory a worker", (withWorkers - idle) / workerCounts[1], "bytes");
-    const { submit, start } = empty.fill();
-    empty.records.length = 0;
-    const withTasks = heapAfterCollection();
-    add("memory a running job of one task", (withTasks - withWorkers) / (workerCounts[1] * tasksPerWorker), "bytes");
+    const emptyHeap = measureHeap();
+    const largeShard = new LoadedShard(workerCounts[1]);
+    const heapWithWorkers = measureHeap();
+    add("memory a worker", (heapWithWorkers - emptyHeap) / workerCounts[1], "bytes");
+    const { submit, start } = largeShard.fill();
+    largeShard.records.length = 0;
+    const heapWithTasks = measureHeap();
+    add(
+        "memory a running job of one task",
+        (heapWithTasks - heapWithWorkers) / (workerCounts[1] * tasksPerWorker),
+        "bytes",
+    );
     add("processor a submission (decision only)", submit, "us");
     add("processor a start (decision, message, confirmation)", start, "us");
     for (const count of workerCounts) {
-        const shard = count === workerCounts[1] ? empty : new LoadedShard(count);
-        if (shard !== empty) {
+        const shard = count === workerCounts[1] ? largeShard : new LoadedShard(count);
+        if (shard !== largeShard) {
             shard.fill();
         }
-        shard.heartbeats();
+        shard.exchangeHeartbeats();
         let sizes = { out: 0, back: 0 };
-        const beat = perItem(count * rounds, () => {
+        const beat = processorTimePerItem(count * rounds, () => {
             for (let round = 0; round < rounds; round++) {
-                sizes = shard.heartbeats();
+                sizes = shard.exchangeHeartbeats();
             }
         });
         add(`processor a heartbeat with ${tasksPerWorker} tasks (decision and JSON) at ${count} workers`, beat, "us");
-        const tick = perItem(count * rounds * 10, () => {
+        const tick = processorTimePerItem(count * rounds * 10, () => {
             for (let round = 0; round < rounds * 10; round++) {
-                shard.keep(shard.core.tick());
+                shard.commit(shard.scheduler.tick());
             }
         });
         add(`processor a worker and tick at ${count} workers`, tick, "us");
@@ -175,16 +194,16 @@
             add(`heartbeat's answer with ${tasksPerWorker} tasks, body`, sizes.back, "bytes");
         }
     }
-    const small = new LoadedShard(workerCounts[0]);
-    small.fill();
-    add("journal: a submitted record", recordBytes(small.records, "submitted"), "bytes");
-    add("journal: a starting record", recordBytes(small.records, "starting"), "bytes");
-    const snapshot = JSON.stringify(small.core.registry.snapshot()).length;
-    add("snapshot a running job", snapshot / small.core.registry.jobs.size, "bytes");
-    const service = processId("gateway-0");
-    const acquire = perItem(10_000, () => {
+    const smallShard = new LoadedShard(workerCounts[0]);
+    smallShard.fill();
+    add("journal: a submitted record", meanRecordBytes(smallShard.records, "submitted"), "bytes");
+    add("journal: a starting record", meanRecordBytes(smallShard.records, "starting"), "bytes");
+    const snapshot = JSON.stringify(smallShard.scheduler.registry.snapshot()).length;
+    add("snapshot a running job", snapshot / smallShard.scheduler.registry.jobs.size, "bytes");
+    const gateway = processId("gateway-0");
+    const acquire = processorTimePerItem(10_000, () => {
         for (let index = 0; index < 10_000; index++) {
-            small.core.acquireSlots("none", { gateway: service, dataHall: "", demand: 1, held: [] });
+            smallShard.scheduler.acquireSlots("none", { gateway: gateway, dataHall: "", demand: 1, held: [] });
         }
     });
     add("processor a request for slots of an unknown service", acquire, "us");
--- a/packages/evidence/src/cell/caller.ts
+++ b/packages/evidence/src/cell/caller.ts
@@ -2,7 +2,7 @@
 import { Agent, request } from "undici";
 
 /** An answer of a gateway. */
-export interface CallerAnswer {
+export interface CallerResponse {
     readonly status: number;
     readonly headers: Readonly<Record<string, string | string[] | undefined>>;
     readonly text: string;
@@ -16,20 +16,24 @@
     readonly headers?: Readonly<Record<string, string>>;
 }
 
-const connections = 64;
-const answerTimeout = 60_000;
+const maxConnections = 64;
+const responseTimeout = 60_000;
 
 /** See the module's comment. */
 export class Caller {
-    readonly #agent = new Agent({ connections, headersTimeout: answerTimeout, bodyTimeout: answerTimeout });
-    #turn = 0;
+    readonly #agent = new Agent({
+        connections: maxConnections,
+        headersTimeout: responseTimeout,
+        bodyTimeout: responseTimeout,
+    });
+    #nextGateway = 0;
 
     constructor(private readonly gateways: () => readonly string[]) {}
 
     /** Sends one call to the next gateway. Rejects when the connection fails or the answer breaks off. */
-    async send(call: CallerRequest): Promise<CallerAnswer> {
+    async send(call: CallerRequest): Promise<CallerResponse> {
         const addresses = this.gateways();
-        const address = addresses[this.#turn++ % addresses.length];
+        const address = addresses[this.#nextGateway++ % addresses.length];
         const answer = await request(`http://${address}${call.path}`, {
             method: call.method,
             headers: call.headers,
@@ -66,11 +70,11 @@
     }
 
     /** Waits for a job's end; the final view, or undefined when `deadline` came first. */
-    async waitForEnd(job: string, deadline: number): Promise<FinalView | undefined> {
+    async waitForEnd(job: string, deadline: number): Promise<FinalJobView | undefined> {
         while (performance.now() < deadline) {
             try {
                 const answer = await this.send({ method: "GET", path: `/jobs/${job}/wait?milliseconds=2000` });
-                const view = JSON.parse(answer.text) as FinalView;
+                const view = JSON.parse(answer.text) as FinalJobView;
                 if (answer.status === 200 && !["queued", "running", "cancelling"].includes(view.state)) {
                     return view;
                 }
@@ -90,7 +94,7 @@
 }
 
 /** The final view of a job, as a caller reads it. */
-export interface FinalView {
+export interface FinalJobView {
     readonly job: string;
     readonly state: string;
     readonly ran: string;
@@ -102,15 +106,15 @@
 export const pause = (duration: number): Promise<void> => new Promise(resolve => setTimeout(resolve, duration));
 
 /** Waits until a condition holds; rejects after `limit` milliseconds with what was waited for. */
-export const until = async (
-    what: string,
-    limit: number,
+export const waitUntil = async (
+    description: string,
+    timeout: number,
     condition: () => Promise<boolean> | boolean,
 ): Promise<void> => {
-    const end = performance.now() + limit;
+    const deadline = performance.now() + timeout;
     while (!await condition()) {
-        if (performance.now() > end) {
-            throw new Error(`waited ${limit} ms in vain: ${what}`);
+        if (performance.now() > deadline) {
+            throw new Error(`waited ${timeout} ms in vain: ${description}`);
         }
         await pause(20);
     }
--- a/packages/evidence/src/cell/cell.ts
+++ b/packages/evidence/src/cell/cell.ts
@@ -7,7 +7,7 @@
     type PlatformControl,
     type PlatformCounts,
     readAudit,
-    Relay,
+    TcpRelay,
 } from "@pebbledale/stand-ins";
 import { mkdtempSync, rmSync, writeFileSync } from "node:fs";
 import { type AddressInfo, createServer } from "node:net";
@@ -15,9 +15,15 @@
 import { dirname, join } from "node:path";
 import { fileURLToPath } from "node:url";
 import { request } from "undici";
-import { Caller, until } from "./caller.js";
-import { Child } from "./child.js";
-import { type CellPlaces, gatewayFile, operatorFile, schedulerFile, shortTree } from "./settings.js";
+import { Caller, waitUntil } from "./caller.js";
+import { ManagedProcess } from "./managed-process.js";
+import {
+    type CellTopology,
+    renderGatewaySettings,
+    renderOperatorSettings,
+    renderSchedulerSettings,
+    shortTimeoutSettings,
+} from "./settings-files.js";
 
 /** What a cell consists of. */
 export interface CellOptions {
@@ -33,12 +39,12 @@
     readonly preload?: string;
 }
 
-const startLimit = 20_000;
-const listInterval = 100;
-const shortLease = "1s";
-const probeInterval = 50;
+const startTimeout = 20_000;
+const workerListInterval = 100;
+const defaultOwnerLease = "1s";
+const readinessInterval = 50;
 
-const scriptOf = (packageName: string): string =>
+const mainScriptOf = (packageName: string): string =>
     join(dirname(fileURLToPath(import.meta.resolve(`@pebbledale/${packageName}`))), "cli", "main.js");
 
 const freePort = (): Promise<number> =>
@@ -57,61 +63,64 @@
 /** See the module's comment. Made by {@link Cell.start}. */
 export class Cell {
     readonly folder = mkdtempSync(join(tmpdir(), "pebbledale-"));
-    readonly gateways = new Map<string, Child>();
-    readonly schedulers = new Map<string, Child>();
-    readonly relays = new Map<string, Relay>();
+    readonly gateways = new Map<string, ManagedProcess>();
+    readonly schedulers = new Map<string, ManagedProcess>();
+    readonly relays = new Map<string, TcpRelay>();
     readonly caller: Caller;
     readonly store: HttpPlatformStore;
     #gatewayAddresses: string[] = [];
     #administrationAddresses: string[] = [];
-    #listing: NodeJS.Timeout | undefined;
-    #isListFrozen = false;
-    readonly #ready = new Set<string>();
-    #probing: NodeJS.Timeout | undefined;
+    #workerListTimer: NodeJS.Timeout | undefined;
+    #isWorkerListFrozen = false;
+    readonly #readyGateways = new Set<string>();
+    #readinessTimer: NodeJS.Timeout | undefined;
 
     private constructor(
         readonly options: CellOptions,
-        readonly places: CellPlaces,
-        private readonly platform: Child,
-        private readonly fleet: Child,
+        readonly topology: CellTopology,
+        private readonly platform: ManagedProcess,
+        private readonly fleet: ManagedProcess,
         private readonly fleetAddress: string,
         readonly auditFolder: string,
     ) {
         this.caller = new Caller(() => this.callerAddresses());
-        this.store = new HttpPlatformStore(places.platform, 500);
+        this.store = new HttpPlatformStore(topology.platform, 500);
     }
 
     /** Starts all processes and waits until work can be placed. */
     static async start(options: CellOptions): Promise<Cell> {
         const auditFolder = mkdtempSync(join(tmpdir(), "pebbledale-audit-"));
-        const standIn = scriptOf("stand-ins");
+        const standInScript = mainScriptOf("stand-ins");
         const log = join(auditFolder, "stand-ins.log");
-        const platform = new Child("platform", standIn, ["platform", join(auditFolder, "platform.jsonl")], log);
-        const fleet = new Child(
+        const platform = new ManagedProcess("platform", standInScript, [
+            "platform",
+            join(auditFolder, "platform.jsonl"),
+        ], log);
+        const fleet = new ManagedProcess(
             "workers",
-            standIn,
+            standInScript,
             ["workers", options.user, String(options.workers), join(auditFolder, "workers.jsonl")],
             log,
         );
         const [platformAddress, fleetAddress] = await Promise.all([platform.firstLine(), fleet.firstLine()]);
-        const places: CellPlaces = {
+        const topology: CellTopology = {
             region: options.user === "bayanihan" ? "luzon" : "quebec",
             site: options.user === "bayanihan" ? "pasig" : "retrouve",
             platform: platformAddress,
             schedulers: await freeAddresses(options.schedulers),
             shards: options.shards ?? 1,
         };
-        const cell = new Cell(options, places, platform, fleet, fleetAddress, auditFolder);
-        await cell.#begin();
+        const cell = new Cell(options, topology, platform, fleet, fleetAddress, auditFolder);
+        await cell.#startPrograms();
         return cell;
     }
 
     /** Addresses of the gateways that run and were ready at the last probe, as the platform's balancer has them. */
     callerAddresses(): string[] {
         const running = this.#gatewayAddresses.filter((_, index) =>
-            this.gateways.get(`gateway-${index}`)?.isEnded === false
+            this.gateways.get(`gateway-${index}`)?.hasExited === false
         );
-        const ready = running.filter(address => this.#ready.has(address));
+        const ready = running.filter(address => this.#readyGateways.has(address));
         return ready.length > 0 ? ready : running;
     }
 
@@ -121,32 +130,32 @@
     }
 
     /** The command line's settings file. */
-    operatorSettings(): string {
+    writeOperatorSettings(): string {
         const file = join(this.folder, "operator.ini");
-        writeFileSync(file, operatorFile(this.places, this.#administrationAddresses));
+        writeFileSync(file, renderOperatorSettings(this.topology, this.#administrationAddresses));
         return file;
     }
 
     /** Starts a scheduler, or starts it again after it ended. */
-    async startScheduler(index: number): Promise<Child> {
+    async startScheduler(index: number): Promise<ManagedProcess> {
         const name = `scheduler-${index}`;
-        const relay = this.relays.get(name) ?? new Relay(this.places.platform);
+        const relay = this.relays.get(name) ?? new TcpRelay(this.topology.platform);
         this.relays.set(name, relay);
         const address = await relay.listen();
         const file = join(this.folder, `${name}.ini`);
         writeFileSync(
             file,
-            schedulerFile(
-                this.places,
+            renderSchedulerSettings(
+                this.topology,
                 name,
-                this.places.schedulers[index],
+                this.topology.schedulers[index],
                 address,
-                this.options.ownerLease ?? shortLease,
+                this.options.ownerLease ?? defaultOwnerLease,
             ),
         );
-        const child = new Child(
+        const child = new ManagedProcess(
             name,
-            scriptOf("scheduler"),
+            mainScriptOf("scheduler"),
             [file],
             join(this.folder, `${name}.log`),
             this.options.preload,
@@ -156,14 +165,14 @@
     }
 
     /** Starts a gateway, or starts it again after it ended. */
-    startGateway(index: number): Child {
+    startGateway(index: number): ManagedProcess {
         const name = `gateway-${index}`;
         const file = join(this.folder, `${name}.ini`);
         const [callers, administration] = [this.#gatewayAddresses[index], this.#administrationAddresses[index]];
-        writeFileSync(file, gatewayFile(this.places, name, callers, administration));
-        const child = new Child(
+        writeFileSync(file, renderGatewaySettings(this.topology, name, callers, administration));
+        const child = new ManagedProcess(
             name,
-            scriptOf("gateway"),
+            mainScriptOf("gateway"),
             [file],
             join(this.folder, `${name}.log`),
             this.options.preload,
@@ -173,7 +182,7 @@
     }
 
     /** Accepts a tree on top of a revision. */
-    async accept(text: string, base: number): Promise<void> {
+    async acceptSettings(text: string, base: number): Promise<void> {
         const outcome = await acceptSettings({
             store: this.store,
             clock: new SystemClock(),
@@ -191,12 +200,12 @@
 
     /** Makes the platform fail. */
     async controlPlatform(control: PlatformControl): Promise<void> {
-        await post(this.places.platform, control);
+        await postControl(this.topology.platform, control);
     }
 
     /** Makes a worker fail. */
     async controlWorker(control: FleetControl): Promise<void> {
-        await post(this.fleetAddress, control);
+        await postControl(this.fleetAddress, control);
     }
 
     /** Makes every worker fail in the same way. */
@@ -207,38 +216,38 @@
     }
 
     /** Keeps the platform's list of VMs as it is, however old. */
-    setListFrozen(isFrozen: boolean): void {
-        this.#isListFrozen = isFrozen;
+    setWorkerListFrozen(isFrozen: boolean): void {
+        this.#isWorkerListFrozen = isFrozen;
     }
 
     /** Takes a worker out of the platform's list for good. */
-    async unlist(worker: string): Promise<void> {
-        this.setListFrozen(true);
-        const workers = (await this.#listedWorkers()).filter(entry => entry.worker !== worker);
+    async removeFromWorkerList(worker: string): Promise<void> {
+        this.setWorkerListFrozen(true);
+        const workers = (await this.#readWorkers()).filter(entry => entry.worker !== worker);
         await this.controlPlatform({ workers });
     }
 
     /** The settings revision of each running process of the product that answers. */
-    async revisions(): Promise<Map<string, number>> {
+    async settingsRevisions(): Promise<Map<string, number>> {
         const addresses = new Map([
             ...this.#administrationAddresses.map((address, index) => [`gateway-${index}`, address] as const),
-            ...this.places.schedulers.map((address, index) => [`scheduler-${index}`, address] as const),
+            ...this.topology.schedulers.map((address, index) => [`scheduler-${index}`, address] as const),
         ]);
-        const revisions = new Map<string, number>();
+        const revisionsByProcess = new Map<string, number>();
         await Promise.all([...addresses].map(async ([name, address]) => {
             const answer = await request(`http://${address}/metrics`).catch(() => undefined);
             const text = await answer?.body.text() ?? "";
             const value = /^pebbledale_settings_revision (\d+)/m.exec(text)?.[1];
             if (value !== undefined) {
-                revisions.set(name, Number(value));
+                revisionsByProcess.set(name, Number(value));
             }
         }));
-        return revisions;
+        return revisionsByProcess;
     }
 
     /** What the platform has counted. */
     async platformCounts(): Promise<PlatformCounts> {
-        const answer = await request(`http://${this.places.platform}/counts`);
+        const answer = await request(`http://${this.topology.platform}/counts`);
         return await answer.body.json() as PlatformCounts;
     }
 
@@ -253,8 +262,8 @@
     }
 
     /** The status of every scheduler that answers. */
-    async statuses(): Promise<SchedulerStatus[]> {
-        const clients = this.places.schedulers.map(address => new SchedulerClient(address));
+    async schedulerStatuses(): Promise<SchedulerStatus[]> {
+        const clients = this.topology.schedulers.map(address => new SchedulerClient(address));
         const answers = await Promise.allSettled(
             clients.map(client => client.call(500, (calls, signal) => calls.status.query(undefined, { signal }))),
         );
@@ -264,7 +273,7 @@
 
     /** The scheduler that owns a shard, by what schedulers say; the highest epoch is right. */
     async ownerOf(shard = "shard-0"): Promise<string | undefined> {
-        const owners = (await this.statuses()).flatMap(status =>
+        const owners = (await this.schedulerStatuses()).flatMap(status =>
             status.shards.filter(entry => entry.shard === shard).map(entry => ({
                 name: String(status.process),
                 epoch: entry.epoch,
@@ -274,23 +283,23 @@
     }
 
     /** Waits until every shard has an owner with open workers. */
-    async untilPlacing(): Promise<void> {
-        await until("every shard has an owner with open workers", startLimit, async () => {
-            const shards = (await this.statuses()).flatMap(status => status.shards);
+    async waitUntilPlacing(): Promise<void> {
+        await waitUntil("every shard has an owner with open workers", startTimeout, async () => {
+            const shards = (await this.schedulerStatuses()).flatMap(status => status.shards);
             const open = shards.flatMap(shard => shard.workers).filter(worker => worker.open).length;
-            return shards.length >= this.places.shards && open > 0;
+            return shards.length >= this.topology.shards && open > 0;
         });
     }
 
     /** Ends all processes; resolves to the exit codes of the product's own. */
     async stop(): Promise<(number | undefined)[]> {
-        clearInterval(this.#listing);
-        clearInterval(this.#probing);
+        clearInterval(this.#workerListTimer);
+        clearInterval(this.#readinessTimer);
         await this.caller.close();
         await this.store.close();
-        const own = [...this.gateways.values(), ...this.schedulers.values()].filter(child => !child.isEnded);
-        own.forEach(child => child.thaw());
-        const codes = await Promise.all(own.map(child => child.stop()));
+        const programs = [...this.gateways.values(), ...this.schedulers.values()].filter(child => !child.hasExited);
+        programs.forEach(child => child.resume());
+        const codes = await Promise.all(programs.map(child => child.stop()));
         this.relays.forEach(relay => relay.close());
         await Promise.all([this.platform.kill(), this.fleet.kill()]);
         return codes;
@@ -302,14 +311,14 @@
         rmSync(this.auditFolder, { recursive: true, force: true });
     }
 
-    async #begin(): Promise<void> {
-        await this.accept(this.options.tree ?? shortTree, 0);
-        await this.#copyList();
-        this.#listing = setInterval(() => {
-            if (!this.#isListFrozen) {
-                this.#copyList().catch(() => undefined);
+    async #startPrograms(): Promise<void> {
+        await this.acceptSettings(this.options.tree ?? shortTimeoutSettings, 0);
+        await this.#publishWorkerList();
+        this.#workerListTimer = setInterval(() => {
+            if (!this.#isWorkerListFrozen) {
+                this.#publishWorkerList().catch(() => undefined);
             }
-        }, listInterval);
+        }, workerListInterval);
         for (let index = 0; index < this.options.schedulers; index++) {
             await this.startScheduler(index);
         }
@@ -318,41 +327,45 @@
         for (let index = 0; index < this.options.gateways; index++) {
             this.startGateway(index);
         }
-        await this.untilPlacing();
-        this.#probing = setInterval(() => void this.#probe(), probeInterval);
-        await until("all gateways are ready", startLimit, () => this.#ready.size === this.options.gateways);
+        await this.waitUntilPlacing();
+        this.#readinessTimer = setInterval(() => void this.#probeReadiness(), readinessInterval);
+        await waitUntil(
+            "all gateways are ready",
+            startTimeout,
+            () => this.#readyGateways.size === this.options.gateways,
+        );
     }
 
     /** Asks each gateway whether it is ready. */
-    async #probe(): Promise<void> {
+    async #probeReadiness(): Promise<void> {
         await Promise.all(this.#administrationAddresses.map(async (administration, index) => {
             const answer = await request(`http://${administration}/readyz`).catch(() => undefined);
             await answer?.body.dump();
             const address = this.#gatewayAddresses[index];
             if (answer?.statusCode === 200) {
-                this.#ready.add(address);
+                this.#readyGateways.add(address);
             }
             else {
-                this.#ready.delete(address);
+                this.#readyGateways.delete(address);
             }
         }));
     }
 
-    async #listedWorkers(): Promise<ListedWorker[]> {
+    async #readWorkers(): Promise<ListedWorker[]> {
         const answer = await request(`http://${this.fleetAddress}/workers`);
         return (await answer.body.json() as { workers: ListedWorker[]; }).workers;
     }
 
     /** The platform's list follows the workers with a lag. */
-    async #copyList(): Promise<void> {
-        const workers = await this.#listedWorkers();
-        if (!this.#isListFrozen) {
+    async #publishWorkerList(): Promise<void> {
+        const workers = await this.#readWorkers();
+        if (!this.#isWorkerListFrozen) {
             await this.controlPlatform({ workers });
         }
     }
 }
 
-const post = async (address: string, body: unknown): Promise<void> => {
+const postControl = async (address: string, body: unknown): Promise<void> => {
     const answer = await request(`http://${address}/control`, {
         method: "POST",
         headers: { "content-type": "application/json" },
--- a/packages/evidence/src/cell/index.ts
+++ b/packages/evidence/src/cell/index.ts
@@ -1,5 +1,5 @@
 /** A cell of real processes on loopback, with the stand-ins, for the demo and the proofs. */
 export * from "./caller.js";
 export * from "./cell.js";
-export * from "./child.js";
-export * from "./settings.js";
+export * from "./managed-process.js";
+export * from "./settings-files.js";
--- a/packages/evidence/src/cell/child.ts
+++ b/packages/evidence/src/cell/managed-process.ts
@@ -3,14 +3,14 @@
 import { openSync, writeSync } from "node:fs";
 
 /** How long a process may take to leave after SIGTERM before it is killed, in milliseconds. */
-const leaveWithin = 30_000;
+const exitTimeout = 30_000;
 
 /** See the module's comment. */
-export class Child {
+export class ManagedProcess {
     readonly #process: ChildProcess;
-    readonly #ended: Promise<number | undefined>;
+    readonly #exited: Promise<number | undefined>;
     readonly #firstLine: Promise<string>;
-    #isEnded = false;
+    #hasExited = false;
 
     /** `preload`: a module that is loaded before the script. */
     constructor(
@@ -21,11 +21,13 @@
         preload?: string,
     ) {
         const log = openSync(logFile, "a");
-        const before = preload === undefined ? [] : ["--import", preload];
-        this.#process = spawn(process.execPath, [...before, script, ...parameters], { stdio: ["pipe", "pipe", log] });
-        this.#ended = new Promise(resolve =>
+        const nodeArguments = preload === undefined ? [] : ["--import", preload];
+        this.#process = spawn(process.execPath, [...nodeArguments, script, ...parameters], {
+            stdio: ["pipe", "pipe", log],
+        });
+        this.#exited = new Promise(resolve =>
             this.#process.once("exit", code => {
-                this.#isEnded = true;
+                this.#hasExited = true;
                 resolve(code ?? undefined);
             })
         );
@@ -49,30 +51,30 @@
     /** Ends the process without warning. */
     async kill(): Promise<void> {
         this.#process.kill("SIGKILL");
-        await this.#ended;
+        await this.#exited;
     }
 
     /** Asks the process to leave; resolves to its exit code. */
     async stop(): Promise<number | undefined> {
         this.#process.kill("SIGTERM");
-        const timer = setTimeout(() => this.#process.kill("SIGKILL"), leaveWithin);
-        const code = await this.#ended;
+        const timer = setTimeout(() => this.#process.kill("SIGKILL"), exitTimeout);
+        const code = await this.#exited;
         clearTimeout(timer);
         return code;
     }
 
     /** Makes the process stand still. */
-    freeze(): void {
+    suspend(): void {
         this.#process.kill("SIGSTOP");
     }
 
     /** Lets the process go on. */
-    thaw(): void {
+    resume(): void {
         this.#process.kill("SIGCONT");
     }
 
     /** Whether the process has ended. */
-    get isEnded(): boolean {
-        return this.#isEnded;
+    get hasExited(): boolean {
+        return this.#hasExited;
     }
 }
--- a/packages/evidence/src/cell/settings.ts
+++ b/packages/evidence/src/cell/settings-files.ts
@@ -1,7 +1,7 @@
 /** Settings files of a cell's processes, and a tree for short runs. */
 
 /** A tree whose times suit runs of seconds. */
-export const shortTree = `[organisation]
+export const shortTimeoutSettings = `[organisation]
 lease.duration = 2s
 lease.margin = 300ms
 lease.start_within = 2s
@@ -21,7 +21,7 @@
 `;
 
 /** Where a cell's processes are. */
-export interface CellPlaces {
+export interface CellTopology {
     readonly region: string;
     readonly site: string;
     readonly platform: string;
@@ -29,40 +29,45 @@
     readonly shards: number;
 }
 
-const common = (places: CellPlaces, name: string, platform: string): string =>
+const renderCommonSections = (topology: CellTopology, name: string, platform: string): string =>
     `[process]
 name = ${name}
-region = ${places.region}
-site = ${places.site}
+region = ${topology.region}
+site = ${topology.site}
 data_hall = hall-0
 log_level = info
 stop_within = 10s
 [peers]
-schedulers = ${places.schedulers.join(", ")}
+schedulers = ${topology.schedulers.join(", ")}
 [cell]
-shards = ${places.shards}
+shards = ${topology.shards}
 [platform]
 address = ${platform}
 timeout = 500ms
 `;
 
 /** The file of a gateway. */
-export const gatewayFile = (places: CellPlaces, name: string, callers: string, administration: string): string =>
-    `${common(places, name, places.platform)}[listen]
+export const renderGatewaySettings = (
+    topology: CellTopology,
+    name: string,
+    callers: string,
+    administration: string,
+): string =>
+    `${renderCommonSections(topology, name, topology.platform)}[listen]
 callers = ${callers}
 administration = ${administration}
 drain = 300ms
 `;
 
 /** The file of a scheduler. `platform`: its own way to the platform, which may be cut. `lease`: on a shard. */
-export const schedulerFile = (
-    places: CellPlaces,
+export const renderSchedulerSettings = (
+    topology: CellTopology,
     name: string,
     peers: string,
     platform: string,
     lease: string,
 ): string =>
-    `${common(places, name, platform)}vm_list = ${platform}
+    `${renderCommonSections(topology, name, platform)}vm_list = ${platform}
 list_interval = 200ms
 [listen]
 peers = ${peers}
@@ -74,13 +79,13 @@
 `;
 
 /** The file of the command line. */
-export const operatorFile = (places: CellPlaces, gateways: readonly string[]): string =>
+export const renderOperatorSettings = (topology: CellTopology, gateways: readonly string[]): string =>
     `[platform]
-address = ${places.platform}
+address = ${topology.platform}
 timeout = 500ms
 [peers]
-schedulers = ${places.schedulers.join(", ")}
+schedulers = ${topology.schedulers.join(", ")}
 gateways = ${gateways.join(", ")}
 [cell]
-shards = ${places.shards}
+shards = ${topology.shards}
 `;
--- a/packages/evidence/src/checks/index.ts
+++ b/packages/evidence/src/checks/index.ts
@@ -7,27 +7,27 @@
     readonly workers: readonly string[];
 }
 
-interface Run {
+interface TaskRun {
     readonly task: string;
     readonly worker: string;
-    readonly from: number;
-    to: number;
+    readonly startedAt: number;
+    endedAt: number;
 }
 
-const runsOf = (audit: readonly AuditLine[]): Run[] => {
-    const open = new Map<string, Run>();
-    const runs: Run[] = [];
+const listRuns = (audit: readonly AuditLine[]): TaskRun[] => {
+    const runsByAttempt = new Map<string, TaskRun>();
+    const runs: TaskRun[] = [];
     for (const line of audit) {
         const key = `${line.worker}|${line.task}|${line.attempt}`;
         if (line.event === "start") {
-            const run = { task: String(line.task), worker: String(line.worker), from: line.at, to: Infinity };
-            open.set(key, run);
+            const run = { task: String(line.task), worker: String(line.worker), startedAt: line.at, endedAt: Infinity };
+            runsByAttempt.set(key, run);
             runs.push(run);
         }
         else if (line.event === "end") {
-            const run = open.get(key);
+            const run = runsByAttempt.get(key);
             if (run !== undefined) {
-                run.to = line.at;
+                run.endedAt = line.at;
             }
         }
     }
@@ -36,16 +36,16 @@
 
 /** Tasks that ran in two places at once. */
 export const findOverlaps = (audit: readonly AuditLine[]): Overlap[] => {
-    const byTask = new Map<string, Run[]>();
-    for (const run of runsOf(audit)) {
-        byTask.set(run.task, [...(byTask.get(run.task) ?? []), run]);
+    const runsByTask = new Map<string, TaskRun[]>();
+    for (const run of listRuns(audit)) {
+        runsByTask.set(run.task, [...(runsByTask.get(run.task) ?? []), run]);
     }
     const overlaps: Overlap[] = [];
-    for (const [task, runs] of byTask) {
-        const inOrder = [...runs].sort((left, right) => left.from - right.from);
-        for (let index = 1; index < inOrder.length; index++) {
-            if (inOrder[index].from < inOrder[index - 1].to) {
-                overlaps.push({ task, workers: [inOrder[index - 1].worker, inOrder[index].worker] });
+    for (const [task, runs] of runsByTask) {
+        const sortedRuns = [...runs].sort((left, right) => left.startedAt - right.startedAt);
+        for (let index = 1; index < sortedRuns.length; index++) {
+            if (sortedRuns[index].startedAt < sortedRuns[index - 1].endedAt) {
+                overlaps.push({ task, workers: [sortedRuns[index - 1].worker, sortedRuns[index].worker] });
             }
         }
     }
@@ -66,4 +66,4 @@
     audit.filter(line => line.event === "start" && line.isOver === true).length;
 
 /** The job of a task's id. */
-export const jobOf = (task: string): string => task.slice(0, task.lastIndexOf("/"));
+export const jobIdOf = (task: string): string => task.slice(0, task.lastIndexOf("/"));
--- a/packages/evidence/src/cli/demo.ts
+++ b/packages/evidence/src/cli/demo.ts
@@ -1,5 +1,5 @@
 /** `npm run demo`: runs the demonstration and prints its table. */
-import { isPassed, runDemo } from "../demo/index.js";
+import { hasPassed, runDemo } from "../demo/index.js";
 
 const asJson = process.argv.includes("--json");
 const result = await runDemo(line => process.stdout.write(`${line}\n`));
@@ -15,8 +15,8 @@
     ["packing after the kill", `${(result.packing * 100).toFixed(1)}%`],
 ];
 rows.forEach(([name, value]) => process.stdout.write(`${name.padEnd(24)}${value}\n`));
-process.stdout.write(isPassed(result) ? "all holds\n" : "SOMETHING DOES NOT HOLD\n");
+process.stdout.write(hasPassed(result) ? "all holds\n" : "SOMETHING DOES NOT HOLD\n");
 if (asJson) {
-    process.stdout.write(`${JSON.stringify({ passed: isPassed(result), ...result })}\n`);
+    process.stdout.write(`${JSON.stringify({ passed: hasPassed(result), ...result })}\n`);
 }
-process.exitCode = isPassed(result) ? 0 : 1;
+process.exitCode = hasPassed(result) ? 0 : 1;
--- a/packages/evidence/src/cli/docs.ts
+++ b/packages/evidence/src/cli/docs.ts
@@ -1,8 +1,8 @@
 /** `npm run docs`: writes the pages that are made from the schemas and catalogues. */
 import { writeFileSync } from "node:fs";
 import { fileURLToPath } from "node:url";
-import { renderedPages } from "../docs/index.js";
+import { pageRenderers } from "../docs/index.js";
 
-for (const [name, render] of Object.entries(renderedPages)) {
+for (const [name, render] of Object.entries(pageRenderers)) {
     writeFileSync(fileURLToPath(new URL(`../../../../../docs/${name}`, import.meta.url)), render());
 }
--- a/packages/evidence/src/demo/index.ts
+++ b/packages/evidence/src/demo/index.ts
@@ -1,7 +1,7 @@
 /** The demonstration: a cell under mixed work, one scheduler killed in the middle, and a table of what came of it. */
 import { build } from "hdr-histogram-js";
-import { Cell, pause, until } from "../cell/index.js";
-import { countOverCapacity, countStarts, findOverlaps, jobOf } from "../checks/index.js";
+import { Cell, pause, waitUntil } from "../cell/index.js";
+import { countOverCapacity, countStarts, findOverlaps, jobIdOf } from "../checks/index.js";
 
 /** What the demonstration counted. */
 export interface DemoResult {
@@ -18,11 +18,11 @@
     exitCodes: (number | undefined)[];
 }
 
-const deadlineAfter = 40_000;
-const builds = 120;
-const matches = 60;
+const workloadTimeout = 40_000;
+const buildCount = 120;
+const matchCount = 60;
 const liveRounds = 40;
-const livePerRound = 10;
+const requestsPerRound = 10;
 const mebibyte = 1;
 const smallSize = { processors: 4, memoryMebibytes: 4_096 * mebibyte };
 
@@ -35,8 +35,8 @@
 };
 
 /** Runs the demonstration; `say` is told each step. */
-export const runDemo = async (say: (line: string) => void): Promise<DemoResult> => {
-    say("starting stand-ins, three gateways and three schedulers");
+export const runDemo = async (printStep: (line: string) => void): Promise<DemoResult> => {
+    printStep("starting stand-ins, three gateways and three schedulers");
     const cell = await Cell.start({ gateways: 3, schedulers: 3, workers: 30, user: "bayanihan" });
     const result: DemoResult = {
         sent: 0,
@@ -52,7 +52,7 @@
         exitCodes: [],
     };
     try {
-        await drive(cell, result, say);
+        await runWorkload(cell, result, printStep);
     }
     finally {
         result.exitCodes = await cell.stop();
@@ -60,26 +60,26 @@
     const audit = cell.workerAudit();
     result.runTwice = findOverlaps(audit).length;
     result.overCapacity = countOverCapacity(audit);
-    if (isPassed(result)) {
+    if (hasPassed(result)) {
         cell.removeFiles();
     }
     else {
-        say(`files are kept in ${cell.folder} and ${cell.auditFolder}`);
+        printStep(`files are kept in ${cell.folder} and ${cell.auditFolder}`);
     }
     return result;
 };
 
 /** Whether everything held. */
-export const isPassed = (result: DemoResult): boolean =>
+export const hasPassed = (result: DemoResult): boolean =>
     result.runTwice === 0 && result.lost === 0 && result.failed === 0 && result.overCapacity === 0
     && result.answeredWhole + result.refusedWithReason === result.sent
     && result.exitCodes.every(code => code === 0);
 
-const drive = async (cell: Cell, result: DemoResult, say: (line: string) => void): Promise<void> => {
-    const deadline = performance.now() + deadlineAfter;
+const runWorkload = async (cell: Cell, result: DemoResult, printStep: (line: string) => void): Promise<void> => {
+    const deadline = performance.now() + workloadTimeout;
     const waits = build();
     await cell.caller.submitUntilSettled(serviceJob, deadline);
-    await until("the service answers at every gateway", deadlineAfter, async () => {
+    await waitUntil("the service answers at every gateway", workloadTimeout, async () => {
         const answers = await Promise.all(
             cell.callerAddresses().map(() =>
                 cell.caller.send({ method: "GET", path: "/services/prompts/" }).catch(() => undefined)
@@ -87,12 +87,12 @@
         );
         return answers.every(answer => answer?.status === 200);
     });
-    say("sending live requests, builds, matches, a gang, and a job that fits nowhere");
-    const live = sendLive(cell, result, waits);
+    printStep("sending live requests, builds, matches, a gang, and a job that fits nowhere");
+    const live = sendLiveRequests(cell, result, waits);
     const jobs = sendJobs(cell, result, deadline);
     await pause(600);
     const owner = await cell.ownerOf();
-    say(`killing ${owner}, which owns the shard`);
+    printStep(`killing ${owner}, which owns the shard`);
     await cell.schedulers.get(owner ?? "")?.kill();
     result.packing = await peakPacking(cell);
     await Promise.all([live, jobs]);
@@ -101,12 +101,12 @@
 };
 
 const peakPacking = async (cell: Cell): Promise<number> => {
-    await cell.untilPlacing();
-    const shards = (await cell.statuses()).flatMap(status => status.shards);
+    await cell.waitUntilPlacing();
+    const shards = (await cell.schedulerStatuses()).flatMap(status => status.shards);
     return Math.max(0, ...shards.map(shard => shard.packing));
 };
 
-const sendLive = async (cell: Cell, result: DemoResult, waits: ReturnType<typeof build>): Promise<void> => {
+const sendLiveRequests = async (cell: Cell, result: DemoResult, waits: ReturnType<typeof build>): Promise<void> => {
     const sendOne = async (id: string): Promise<void> => {
         result.sent++;
         const started = performance.now();
@@ -129,7 +129,7 @@
     };
     const running: Promise<void>[] = [];
     for (let round = 0; round < liveRounds; round++) {
-        for (let index = 0; index < livePerRound; index++) {
+        for (let index = 0; index < requestsPerRound; index++) {
             running.push(sendOne(`request-${round}-${index}`));
         }
         await pause(100);
@@ -142,7 +142,7 @@
     const job = (key: string, more: object) => ({ key, class: "batch", size: smallSize, ...more });
     const submissions = [
         ...Array.from(
-            { length: builds },
+            { length: buildCount },
             (_, index) =>
                 job(`build-${index}`, {
                     unrepeatable: true,
@@ -150,7 +150,7 @@
                 }),
         ),
         ...Array.from(
-            { length: matches },
+            { length: matchCount },
             (_, index) =>
                 job(`match-${index}`, {
                     priority: "patient",
@@ -178,7 +178,7 @@
             result.lost++;
         }
     }));
-    const ran = new Set([...countStarts(cell.workerAudit()).keys()].map(jobOf));
+    const ran = new Set([...countStarts(cell.workerAudit()).keys()].map(jobIdOf));
     const neverRan = [...succeeded].filter(id => !ran.has(id)).length;
     result.answeredWhole -= neverRan;
     result.lost += neverRan;
--- a/packages/evidence/src/docs/index.ts
+++ b/packages/evidence/src/docs/index.ts
@@ -11,20 +11,21 @@
 
 type Schema = Readonly<Record<string, SettingDefinition<unknown>>>;
 
-const cell = (text: string): string => text.replaceAll("|", "\\|");
+const escapeCell = (text: string): string => text.replaceAll("|", "\\|");
 
-const settingRows = (schema: Schema, filePart: (name: string) => string): string[] =>
+const renderSettingRows = (schema: Schema, formatKey: (name: string) => string): string[] =>
     Object.entries(schema).map(([name, { kind, fallback, comment }]) => {
         const shown = fallback === undefined ? "must be set" : fallback === "" ? "empty" : `\`${fallback}\``;
-        return `| ${filePart(name)} | ${cell(kind.description)} | ${shown} | ${cell(comment)} |`;
+        return `| ${formatKey(name)} | ${escapeCell(kind.description)} | ${shown} | ${escapeCell(comment)} |`;
     });
 
-const table = (schema: Schema, filePart: (name: string) => string): string =>
-    ["| key | value | default | what it does |", "| --- | --- | --- | --- |", ...settingRows(schema, filePart)].join(
-        "\n",
-    );
+const renderTable = (schema: Schema, formatKey: (name: string) => string): string =>
+    ["| key | value | default | what it does |", "| --- | --- | --- | --- |", ...renderSettingRows(schema, formatKey)]
+        .join(
+            "\n",
+        );
 
-const inFile = (name: string): string => {
+const formatFileKey = (name: string): string => {
     const dot = name.indexOf(".");
     return `\`[${name.slice(0, dot)}]\` \`${name.slice(dot + 1)}\``;
 };
@@ -42,13 +43,13 @@
 region from the organisation, and that from the defaults below. \`pebbledale settings explain KEY --site REGION/SITE
 --class NAME\` shows the value in force and the line it came from. Classes are \`live\`, \`batch\`, \`gang\` and \`service\`.
 
-${table(treeSchema, name => `\`${name}\``)}
+${renderTable(treeSchema, name => `\`${name}\``)}
 
 ### Teams
 
 A quota that is not set is no limit.
 
-${table(teamSchema, name => `\`${name}\``).replaceAll("must be set", "none")}
+${renderTable(teamSchema, name => `\`${name}\``).replaceAll("must be set", "none")}
 
 ## The programs' files
 
@@ -56,21 +57,23 @@
 
 ### \`pebbledale-gateway\`
 
-${table(gatewaySchema, inFile)}
+${renderTable(gatewaySchema, formatFileKey)}
 
 ### \`pebbledale-scheduler\`
 
-${table(schedulerSchema, inFile)}
+${renderTable(schedulerSchema, formatFileKey)}
 
 ### \`pebbledale\`
 
-${table(operatorSchema, inFile)}
+${renderTable(operatorSchema, formatFileKey)}
 `;
 
 /** The page of all log events. */
 export const renderEventsPage = (): string => {
     const rows = Object.values(logEvents)
-        .map(({ number, level, message, action }) => `| ${number} | ${level} | ${cell(message)} | ${cell(action)} |`);
+        .map(({ number, level, message, action }) =>
+            `| ${number} | ${level} | ${escapeCell(message)} | ${escapeCell(action)} |`
+        );
     return `# Log events
 
 This page is made from the catalogue by \`npm run docs\`. Logs are JSON lines on standard output; \`event\` is the number.
@@ -86,7 +89,9 @@
 export const renderErrorsPage = (): string => {
     const rows = Object.entries(errorCatalogue).map(([name, entry]) => {
         const { title, message, hint, status }: ErrorEntry = entry;
-        return `| \`${name}\` | ${status ?? "command line"} | ${cell(title)} | ${cell(message)} | ${cell(hint)} |`;
+        return `| \`${name}\` | ${status ?? "command line"} | ${escapeCell(title)} | ${escapeCell(message)} | ${
+            escapeCell(hint)
+        } |`;
     });
     return `# Errors
 
@@ -101,7 +106,7 @@
 };
 
 /** All pages by file name. */
-export const renderedPages: Readonly<Record<string, () => string>> = {
+export const pageRenderers: Readonly<Record<string, () => string>> = {
     "SETTINGS.md": renderSettingsPage,
     "EVENTS.md": renderEventsPage,
     "ERRORS.md": renderErrorsPage,
--- a/packages/evidence/src/prove/proofs/once.ts
+++ b/packages/evidence/src/prove/proofs/at-most-once.ts
@@ -1,14 +1,14 @@
 /** Point 5: what is marked unrepeatable runs at most once. */
 import { pause } from "../../cell/index.js";
-import { countStarts, jobOf } from "../../checks/index.js";
+import { countStarts, jobIdOf } from "../../checks/index.js";
 import type { Proof } from "../types.js";
-import { killOwner, startService, submitAll, taskJob, waitAll } from "./work.js";
+import { createJob, killOwner, startService, submitAll, waitForAll } from "./workload.js";
 
-const jobs = 60;
-const notices = 30;
+const jobCount = 60;
+const noticeCount = 30;
 
 /** Every build is submitted twice and every notice sent twice, through different gateways, while owners die. */
-export const onceProof: Proof = {
+export const atMostOnceProof: Proof = {
     point: 5,
     name: "what is unrepeatable runs at most once",
     failures: "copies through two gateways, owner killed, lost answers of the platform, a worker killed",
@@ -17,11 +17,11 @@
     async run(cell) {
         await startService(cell, 4);
         const work = Array.from(
-            { length: jobs },
-            (_, index) => taskJob(`build-${index}`, { unrepeatable: true, payload: { runMilliseconds: 300 } }),
+            { length: jobCount },
+            (_, index) => createJob(`build-${index}`, { unrepeatable: true, payload: { runMilliseconds: 300 } }),
         );
         await cell.controlPlatform({ loseAnswers: 4 });
-        const notice = (index: number) =>
+        const sendNotice = (index: number) =>
             cell.caller.send({
                 method: "POST",
                 path: "/services/prompts/notice",
@@ -32,49 +32,49 @@
                     "pebbledale-request-id": `notice-${index}`,
                 },
             }).catch(() => undefined);
-        const sending = Promise.all(
-            Array.from({ length: notices }, async (_, index) => {
+        const noticesSent = Promise.all(
+            Array.from({ length: noticeCount }, async (_, index) => {
                 await pause(index * 250);
-                return [await notice(index), await notice(index)];
+                return [await sendNotice(index), await sendNotice(index)];
             }),
         );
-        const twice = Promise.all([submitAll(cell, work), submitAll(cell, work)]);
+        const submittedTwice = Promise.all([submitAll(cell, work), submitAll(cell, work)]);
         await cell.controlWorker({ worker: "worker-3", action: "kill" });
         await killOwner(cell);
-        const [first, second] = await twice;
-        await sending;
+        const [first, second] = await submittedTwice;
+        await noticesSent;
         const again = await submitAll(cell, work);
         const ids = new Set([...first.values(), ...second.values(), ...again.values()]);
-        const views = await waitAll(cell, ids);
+        const views = await waitForAll(cell, ids);
         const audit = cell.workerAudit();
         const startsByKey = new Map<string, number>();
-        const keyOf = new Map([...first, ...second, ...again].map(([key, id]) => [id, key]));
+        const keysById = new Map([...first, ...second, ...again].map(([key, id]) => [id, key]));
         for (const [task, count] of countStarts(audit)) {
-            const key = keyOf.get(jobOf(task));
+            const key = keysById.get(jobIdOf(task));
             if (key !== undefined) {
                 startsByKey.set(key, (startsByKey.get(key) ?? 0) + count);
             }
         }
-        const live = audit.filter(line => line.event === "live" && String(line.request).startsWith("notice-"));
-        const noticesRun = new Set(live.map(line => line.request)).size;
+        const noticeRuns = audit.filter(line => line.event === "live" && String(line.request).startsWith("notice-"));
+        const distinctNoticesRun = new Set(noticeRuns.map(line => line.request)).size;
         const repeated = [...startsByKey].filter(([, count]) => count > 1).map(([key, count]) =>
             `${key} was started ${count} times`
         );
         const unknown = views.filter(view => view.state === "unknown").length;
         return {
-            breaches: [...repeated, ...repeatedNotices(live)],
+            breaches: [...repeated, ...findRepeatedNotices(noticeRuns)],
             evidence:
-                `${jobs} builds submitted three times, ${startsByKey.size} started, ${unknown} answered as not known;`
-                + ` ${notices} notices sent twice, ${noticesRun} of them run, none twice`,
-            isMeaningful: startsByKey.size > jobs / 2 && noticesRun > 0 && views.length === ids.size,
+                `${jobCount} builds submitted three times, ${startsByKey.size} started, ${unknown} answered as not known;`
+                + ` ${noticeCount} notices sent twice, ${distinctNoticesRun} of them run, none twice`,
+            isMeaningful: startsByKey.size > jobCount / 2 && distinctNoticesRun > 0 && views.length === ids.size,
         };
     },
 };
 
 /** Ids of live requests that an instance saw more than once. */
-const repeatedNotices = (live: readonly { readonly [field: string]: unknown; }[]): string[] => {
+const findRepeatedNotices = (noticeRuns: readonly { readonly [field: string]: unknown; }[]): string[] => {
     const counts = new Map<string, number>();
-    live.forEach(line => counts.set(String(line.request), (counts.get(String(line.request)) ?? 0) + 1));
+    noticeRuns.forEach(line => counts.set(String(line.request), (counts.get(String(line.request)) ?? 0) + 1));
     return [...counts].filter(([, count]) => count > 1).map(([id, count]) =>
         `live request ${id} was run ${count} times`
     );
--- a/packages/evidence/src/prove/proofs/capacity.ts
+++ b/packages/evidence/src/prove/proofs/capacity.ts
@@ -2,9 +2,9 @@
 import { pause } from "../../cell/index.js";
 import { countOverCapacity } from "../../checks/index.js";
 import type { Proof } from "../types.js";
-import { killOwner, submitAll, taskJob, waitAll } from "./work.js";
+import { createJob, killOwner, submitAll, waitForAll } from "./workload.js";
 
-const jobs = 120;
+const jobCount = 120;
 
 /** Every twentieth task runs long and uses twice its grant. */
 const payloadOf = (index: number) =>
@@ -21,8 +21,8 @@
     async run(cell) {
         const size = { processors: 20, memoryMebibytes: 30_000 };
         const work = Array.from(
-            { length: jobs },
-            (_, index) => taskJob(`job-${index}`, { size, payload: payloadOf(index) }),
+            { length: jobCount },
+            (_, index) => createJob(`job-${index}`, { size, payload: payloadOf(index) }),
         );
         const submitting = submitAll(cell, work);
         await cell.controlWorker({ worker: "worker-0", action: "faults", faults: { failsAll: true } });
@@ -34,7 +34,7 @@
         await pause(1_500);
         await cell.controlPlatform({ delay: 0 });
         await cell.controlWorker({ worker: "worker-0", action: "faults", faults: { failsAll: false } });
-        const views = await waitAll(cell, ids.values());
+        const views = await waitForAll(cell, ids.values());
         const audit = cell.workerAudit();
         const over = countOverCapacity(audit);
         const starts = audit.filter(line => line.event === "start").length;
@@ -42,8 +42,8 @@
         return {
             breaches: Array.from({ length: over }, () => "a start left a worker with more granted than it has"),
             evidence:
-                `${starts} starts, ${views.length} of ${jobs} jobs ended, ${throttled} held to their grant, 0 over capacity`,
-            isMeaningful: starts >= jobs && views.length === jobs,
+                `${starts} starts, ${views.length} of ${jobCount} jobs ended, ${throttled} held to their grant, 0 over capacity`,
+            isMeaningful: starts >= jobCount && views.length === jobCount,
         };
     },
 };
--- a/packages/evidence/src/prove/proofs/index.ts
+++ b/packages/evidence/src/prove/proofs/index.ts
@@ -1,22 +1,22 @@
 /** All proofs, in the order of the brief's points. */
 import type { Proof } from "../types.js";
+import { atMostOnceProof } from "./at-most-once.js";
 import { capacityProof } from "./capacity.js";
-import { leavingProof } from "./leaving.js";
+import { exclusiveExecutionProof } from "./exclusive-execution.js";
+import { leavingWorkerProof } from "./leaving-worker.js";
 import { notRunProof } from "./not-run.js";
-import { onceProof } from "./once.js";
-import { onePlaceProof } from "./one-place.js";
+import { plannedStopProof } from "./planned-stop.js";
+import { responseIntegrityProof } from "./response-integrity.js";
 import { settingsProof } from "./settings.js";
-import { stopProof } from "./stop.js";
-import { wholeAnswerProof } from "./whole-answer.js";
 
 /** One proof a point at the least. */
 export const proofs: readonly Proof[] = [
     capacityProof,
-    onePlaceProof,
-    wholeAnswerProof,
+    exclusiveExecutionProof,
+    responseIntegrityProof,
     notRunProof,
-    onceProof,
-    leavingProof,
-    stopProof,
+    atMostOnceProof,
+    leavingWorkerProof,
+    plannedStopProof,
     settingsProof,
 ];
--- a/packages/evidence/src/prove/proofs/not-run.ts
+++ b/packages/evidence/src/prove/proofs/not-run.ts
@@ -1,10 +1,10 @@
 /** Point 4: when the answer is that something was not run, it was not run. */
 import { pause } from "../../cell/index.js";
-import { countStarts, jobOf } from "../../checks/index.js";
+import { countStarts, jobIdOf } from "../../checks/index.js";
 import type { Proof } from "../types.js";
-import { submitAll, taskJob, waitAll } from "./work.js";
+import { createJob, submitAll, waitForAll } from "./workload.js";
 
-const jobs = 60;
+const jobCount = 60;
 
 /** Starts whose answers are lost, then a wave of cancellations while they are on their way. */
 export const notRunProof: Proof = {
@@ -16,9 +16,9 @@
     async run(cell) {
         await cell.controlAllWorkers({ action: "faults", faults: { loseStartAnswers: 8 } });
         const work = Array.from(
-            { length: jobs },
+            { length: jobCount },
             (_, index) =>
-                taskJob(`job-${index}`, { unrepeatable: index % 2 === 0, payload: { runMilliseconds: 1_500 } }),
+                createJob(`job-${index}`, { unrepeatable: index % 2 === 0, payload: { runMilliseconds: 1_500 } }),
         );
         const ids = await submitAll(cell, work);
         await cell.controlWorker({ worker: "worker-2", action: "faults", faults: { isCut: true } });
@@ -31,14 +31,15 @@
         await cell.schedulers.get(owner ?? "")?.kill();
         await pause(2_000);
         await cell.controlWorker({ worker: "worker-2", action: "faults", faults: { isCut: false } });
-        const views = await waitAll(cell, ids.values());
-        const started = new Set([...countStarts(cell.workerAudit()).keys()].map(jobOf));
+        const views = await waitForAll(cell, ids.values());
+        const started = new Set([...countStarts(cell.workerAudit()).keys()].map(jobIdOf));
         const notRun = views.filter(view => view.ran === "not-run");
         const wrong = notRun.filter(view => started.has(view.job));
         return {
             breaches: wrong.map(view => `${view.job} was answered as not run and ran`),
-            evidence: `${views.length} of ${jobs} ended, ${started.size} started, ${notRun.length} answered as not run`,
-            isMeaningful: views.length === jobs && started.size > 10 && notRun.length > 0,
+            evidence:
+                `${views.length} of ${jobCount} ended, ${started.size} started, ${notRun.length} answered as not run`,
+            isMeaningful: views.length === jobCount && started.size > 10 && notRun.length > 0,
         };
     },
 };
--- a/packages/evidence/src/prove/proofs/whole-answer.ts
+++ b/packages/evidence/src/prove/proofs/response-integrity.ts
@@ -1,11 +1,11 @@
 /** Point 3: a caller receives the whole answer to its own request. */
 import type { Proof } from "../types.js";
-import { sendLive, startService } from "./work.js";
+import { sendLiveRequest, startService } from "./workload.js";
 
-const requests = 120;
+const requestCount = 120;
 
 /** Workers that break answers off and workers that answer with another request's body, among good ones. */
-export const wholeAnswerProof: Proof = {
+export const responseIntegrityProof: Proof = {
     point: 3,
     name: "a caller gets the whole answer to its own request",
     failures: "answers cut in the middle, crossed answers, late answers, owner killed",
@@ -15,22 +15,22 @@
         await startService(cell, 4);
         await cell.controlWorker({ worker: "worker-0", action: "faults", faults: { cutsAnswers: true } });
         await cell.controlWorker({ worker: "worker-1", action: "faults", faults: { crossesAnswers: true } });
-        const sends = Array.from({ length: requests }, async (_, index) => {
+        const sends = Array.from({ length: requestCount }, async (_, index) => {
             await new Promise(resolve => setTimeout(resolve, index * 15));
-            return sendLive(cell, `request-${index}`, index % 3 === 0 ? 120 : 10, 5_000);
+            return sendLiveRequest(cell, `request-${index}`, index % 3 === 0 ? 120 : 10, 5_000);
         });
         const owner = await cell.ownerOf();
         await cell.schedulers.get(owner ?? "")?.kill();
-        const ends = await Promise.all(sends);
-        const count = (end: string) => ends.filter(other => other === end).length;
+        const outcomes = await Promise.all(sends);
+        const count = (end: string) => outcomes.filter(other => other === end).length;
         return {
-            breaches: ends.filter(end => end === "wrong").map(() =>
+            breaches: outcomes.filter(end => end === "wrong").map(() =>
                 "a caller took a cut or foreign answer for its own"
             ),
-            evidence: `${requests} sent, ${count("whole")} whole, ${count("broken")} seen as broken, ${
+            evidence: `${requestCount} sent, ${count("whole")} whole, ${count("broken")} seen as broken, ${
                 count("refused")
             } refused`,
-            isMeaningful: count("whole") > requests / 4 && count("broken") > 0,
+            isMeaningful: count("whole") > requestCount / 4 && count("broken") > 0,
         };
     },
 };
--- a/packages/evidence/src/prove/proofs/settings.ts
+++ b/packages/evidence/src/prove/proofs/settings.ts
@@ -1,10 +1,10 @@
 /** Point 8: accepted settings are in force everywhere within seconds and never revert. */
-import { type Cell, pause, until } from "../../cell/index.js";
-import { shortTree } from "../../cell/settings.js";
+import { type Cell, pause, waitUntil } from "../../cell/index.js";
+import { shortTimeoutSettings } from "../../cell/settings-files.js";
 import type { Proof } from "../types.js";
 
 /** What "within seconds" is here, in milliseconds: the users' target. */
-const withinSeconds = 6_000;
+const propagationTimeout = 6_000;
 const racingOperators = 6;
 
 /** Operators race, answers are lost, the platform is down while processes start again. */
@@ -23,16 +23,16 @@
         const races = await Promise.allSettled(
             Array.from(
                 { length: racingOperators },
-                (_, index) => cell.accept(`${shortTree}\n; operator ${index}\n`, 1),
+                (_, index) => cell.acceptSettings(`${shortTimeoutSettings}\n; operator ${index}\n`, 1),
             ),
         );
         const accepted = races.filter(race => race.status === "fulfilled").length;
         if (accepted !== 1) {
             breaches.push(`${accepted} operators were told that revision 2 is theirs`);
         }
-        await inForce(cell, 2, breaches);
-        await cell.accept(`${shortTree}\n; third\n`, 2);
-        await inForce(cell, 3, breaches);
+        await expectInForce(cell, 2, breaches);
+        await cell.acceptSettings(`${shortTimeoutSettings}\n; third\n`, 2);
+        await expectInForce(cell, 3, breaches);
         await cell.controlPlatform({ outage: true });
         // A gateway and a scheduler are replaced while the platform is down; they can only ask their peers.
         await cell.gateways.get("gateway-0")?.kill();
@@ -42,16 +42,16 @@
         seen.delete(`scheduler-${idle}`);
         cell.startGateway(0);
         await cell.startScheduler(idle);
-        await inForce(cell, 3, breaches);
+        await expectInForce(cell, 3, breaches);
         await cell.controlPlatform({ outage: false });
-        await cell.accept(`${shortTree}\n; fourth\n`, 3);
-        await inForce(cell, 4, breaches);
+        await cell.acceptSettings(`${shortTimeoutSettings}\n; fourth\n`, 3);
+        await expectInForce(cell, 4, breaches);
         end.abort();
         await watching;
         return {
             breaches,
             evidence:
-                `1 of ${racingOperators} racing operators won; 3 revisions in force in all 4 processes within ${withinSeconds} ms`,
+                `1 of ${racingOperators} racing operators won; 3 revisions in force in all 4 processes within ${propagationTimeout} ms`,
             isMeaningful: seen.size === 4,
         };
     },
@@ -64,7 +64,7 @@
     end: AbortSignal,
 ): Promise<void> => {
     while (!end.aborted) {
-        for (const [name, revision] of await cell.revisions()) {
+        for (const [name, revision] of await cell.settingsRevisions()) {
             const before = seen.get(name) ?? 0;
             // A replaced process may say 0 until it is ready; it serves nothing then.
             if (revision < before && revision > 0) {
@@ -76,11 +76,11 @@
     }
 };
 
-const inForce = async (cell: Cell, revision: number, breaches: string[]): Promise<void> => {
-    const all = async () => {
-        const revisions = await cell.revisions();
+const expectInForce = async (cell: Cell, revision: number, breaches: string[]): Promise<void> => {
+    const isInForceEverywhere = async () => {
+        const revisions = await cell.settingsRevisions();
         return revisions.size === 4 && [...revisions.values()].every(other => other >= revision);
     };
-    await until(`revision ${revision} is in force everywhere`, withinSeconds, all)
+    await waitUntil(`revision ${revision} is in force everywhere`, propagationTimeout, isInForceEverywhere)
         .catch((cause: Error) => breaches.push(cause.message));
 };
--- a/packages/evidence/src/prove/proofs/work.ts
+++ b/packages/evidence/src/prove/proofs/workload.ts
@@ -1,11 +1,11 @@
 /** Work that proofs send. */
-import { type Cell, type FinalView, until } from "../../cell/index.js";
+import { type Cell, type FinalJobView, waitUntil } from "../../cell/index.js";
 
 /** How long a proof waits for what must come. */
-export const patience = 30_000;
+export const waitTimeout = 30_000;
 
 /** A batch job of one task. */
-export const taskJob = (key: string, more: object = {}) => ({
+export const createJob = (key: string, more: object = {}) => ({
     key,
     class: "batch",
     size: { processors: 4, memoryMebibytes: 4_096 },
@@ -14,7 +14,7 @@
 
 /** Submits jobs through changing gateways until each is settled; ids by key, refused ones left out. */
 export const submitAll = async (cell: Cell, jobs: readonly { key: string; }[]): Promise<Map<string, string>> => {
-    const deadline = performance.now() + patience;
+    const deadline = performance.now() + waitTimeout;
     const ids = new Map<string, string>();
     await Promise.all(jobs.map(async job => {
         const answer = await cell.caller.submitUntilSettled(job, deadline);
@@ -26,8 +26,8 @@
 };
 
 /** Waits for the end of jobs; the views of those that ended. */
-export const waitAll = async (cell: Cell, ids: Iterable<string>): Promise<FinalView[]> => {
-    const deadline = performance.now() + patience;
+export const waitForAll = async (cell: Cell, ids: Iterable<string>): Promise<FinalJobView[]> => {
+    const deadline = performance.now() + waitTimeout;
     const views = await Promise.all([...ids].map(id => cell.caller.waitForEnd(id, deadline)));
     return views.filter(view => view !== undefined);
 };
@@ -36,19 +36,19 @@
 export const killOwner = async (cell: Cell): Promise<void> => {
     const owner = await cell.ownerOf();
     await cell.schedulers.get(owner ?? "")?.kill();
-    await cell.untilPlacing();
+    await cell.waitUntilPlacing();
 };
 
 /** Submits a service and waits until every gateway gets answers from it. */
 export const startService = async (cell: Cell, instances: number): Promise<void> => {
     await submitAll(cell, [{
-        ...taskJob("prompts"),
+        ...createJob("prompts"),
         class: "service",
         service: "prompts",
         tasks: instances,
         size: { processors: 4, memoryMebibytes: 4_096, slots: 4, connections: 8 },
     } as { key: string; }]);
-    await until("the service answers at every gateway", patience, async () => {
+    await waitUntil("the service answers at every gateway", waitTimeout, async () => {
         const answers = await Promise.all(
             cell.callerAddresses().map(() =>
                 cell.caller.send({ method: "GET", path: "/services/prompts/" }).catch(() => undefined)
@@ -59,7 +59,7 @@
 };
 
 /** One live request with a body that depends on its id; whether its answer was whole and its own. */
-export const sendLive = async (
+export const sendLiveRequest = async (
     cell: Cell,
     id: string,
     milliseconds: number,
--- a/packages/evidence/src/prove/runner.ts
+++ b/packages/evidence/src/prove/run-proof.ts
@@ -1,14 +1,14 @@
 /** Runs proofs: each once as the product is, and once with its protection taken away. */
 import { fileURLToPath } from "node:url";
 import { Cell } from "../cell/index.js";
-import { type Proof, type ProofFinding, type ProofRow, Verdict } from "./types.js";
-import { withoutVariable } from "./without-protection.js";
+import { type Proof, type ProofRow, type ProofRunResult, Verdict } from "./types.js";
+import { removedProtectionVariable } from "./without-protection.js";
 
 const preload = fileURLToPath(new URL("./without-protection.js", import.meta.url));
 
-const runOnce = async (proof: Proof, isProtected: boolean): Promise<ProofFinding> => {
+const runOnce = async (proof: Proof, isProtected: boolean): Promise<ProofRunResult> => {
     if (!isProtected) {
-        process.env[withoutVariable] = proof.protection;
+        process.env[removedProtectionVariable] = proof.protection;
     }
     try {
         const cell = await Cell.start({
@@ -28,32 +28,32 @@
         }
     }
     finally {
-        delete process.env[withoutVariable];
+        delete process.env[removedProtectionVariable];
     }
 };
 
-const describe = (finding: ProofFinding): string =>
-    finding.breaches.length === 0
-        ? finding.evidence
-        : `${finding.breaches.length} breaches, first: ${finding.breaches[0]}`;
+const describeResult = (result: ProofRunResult): string =>
+    result.breaches.length === 0
+        ? result.evidence
+        : `${result.breaches.length} breaches, first: ${result.breaches[0]}`;
 
 /** Runs one proof; a run that throws is a failed one. */
 export const runProof = async (proof: Proof): Promise<ProofRow> => {
     const { point, name, failures } = proof;
     try {
         const protectedRun = await runOnce(proof, true);
-        const openRun = await runOnce(proof, false);
+        const unprotectedRun = await runOnce(proof, false);
         const holds = protectedRun.breaches.length === 0 && protectedRun.isMeaningful;
-        const wasSeenToFail = openRun.breaches.length > 0;
+        const failsUnprotected = unprotectedRun.breaches.length > 0;
         return {
             point,
             name,
             failures,
-            verdict: holds && wasSeenToFail ? Verdict.Proved : Verdict.Failed,
+            verdict: holds && failsUnprotected ? Verdict.Proved : Verdict.Failed,
             evidence: protectedRun.isMeaningful
-                ? describe(protectedRun)
-                : `not enough happened: ${describe(protectedRun)}`,
-            withoutProtection: `without ${proof.protection}: ${describe(openRun)}`,
+                ? describeResult(protectedRun)
+                : `not enough happened: ${describeResult(protectedRun)}`,
+            withoutProtection: `without ${proof.protection}: ${describeResult(unprotectedRun)}`,
         };
     }
     catch (cause) {
--- a/packages/evidence/src/prove/types.ts
+++ b/packages/evidence/src/prove/types.ts
@@ -2,7 +2,7 @@
 import type { Cell, CellOptions } from "../cell/index.js";
 
 /** What one run of a proof found. */
-export interface ProofFinding {
+export interface ProofRunResult {
     /** Breaches of the point, in words; none if it held. */
     readonly breaches: readonly string[];
     /** What was done and seen, so that a run that did nothing is not taken for a proof. */
@@ -21,7 +21,7 @@
     readonly protection: string;
     readonly cell: Partial<CellOptions>;
     /** Runs against a cell. `isProtected` is false in the run that is to fail. */
-    run(cell: Cell, isProtected: boolean): Promise<ProofFinding>;
+    run(cell: Cell, isProtected: boolean): Promise<ProofRunResult>;
 }
 
 /** What came of a proof. */
--- a/packages/evidence/src/prove/without-protection.ts
+++ b/packages/evidence/src/prove/without-protection.ts
@@ -17,7 +17,7 @@
 import { request as send } from "undici";
 
 /** The variable that names the protection to take away. */
-export const withoutVariable = "PEBBLEDALE_EVIDENCE_WITHOUT";
+export const removedProtectionVariable = "PEBBLEDALE_EVIDENCE_WITHOUT";
 
 const removals: Readonly<Record<string, () => void>> = {
     "counting of grants": () => {
@@ -28,7 +28,7 @@
         LeasePolicy.prototype.formerTerms = () => ({ horizon: 0, leaseDuration: 0, leaseMargin: 0 });
     },
     "check of an answer": () => {
-        Forwarder.prototype.send = sendUnchecked;
+        Forwarder.prototype.send = sendWithoutChecks;
     },
     "doubt about a start without an answer": () => {
         const start = HttpWorkerClient.prototype.start;
@@ -43,16 +43,16 @@
         JobRegistry.prototype.findByKey = () => undefined;
     },
     "heed of leaving VMs": () => {
-        const { applyWorkerList: listWorkers, claimAnswered, heartbeatAnswered } = ShardScheduler.prototype;
-        const stayed = (report: WorkerReport): WorkerReport => ({ ...report, leaving: false });
+        const { applyWorkerList: applyWorkerList, claimAnswered, heartbeatAnswered } = ShardScheduler.prototype;
+        const hideLeaving = (report: WorkerReport): WorkerReport => ({ ...report, leaving: false });
         ShardScheduler.prototype.applyWorkerList = function(workers: readonly ListedWorker[]) {
-            return listWorkers.call(this, workers.map(worker => ({ ...worker, state: VmState.Live })));
+            return applyWorkerList.call(this, workers.map(worker => ({ ...worker, state: VmState.Live })));
         };
         ShardScheduler.prototype.claimAnswered = function(worker, report, sentAt) {
-            return claimAnswered.call(this, worker, stayed(report), sentAt);
+            return claimAnswered.call(this, worker, hideLeaving(report), sentAt);
         };
         ShardScheduler.prototype.heartbeatAnswered = function(worker, report, sentAt) {
-            return heartbeatAnswered.call(this, worker, stayed(report), sentAt);
+            return heartbeatAnswered.call(this, worker, hideLeaving(report), sentAt);
         };
     },
     "learning from peers": () => {
@@ -61,7 +61,7 @@
 };
 
 /** Passes on whatever comes, whole or not, whosever it is. */
-async function sendUnchecked(request: LiveRequest, address: string, reply: ServerResponse): Promise<SendOutcome> {
+async function sendWithoutChecks(request: LiveRequest, address: string, reply: ServerResponse): Promise<SendOutcome> {
     const answer = await send(`http://${address}${request.path}`, {
         method: request.method as "POST",
         headers: { "pebbledale-request-id": request.id },
@@ -80,4 +80,4 @@
     return { kind: "answered", status: answer.statusCode };
 }
 
-removals[process.env[withoutVariable] ?? ""]?.();
+removals[process.env[removedProtectionVariable] ?? ""]?.();
--- a/packages/evidence/test/docs/pages.test.ts
+++ b/packages/evidence/test/docs/pages.test.ts
@@ -3,13 +3,13 @@
 import { readFileSync } from "node:fs";
 import { describe, it } from "node:test";
 import { fileURLToPath } from "node:url";
-import { renderedPages } from "../../src/docs/index.js";
+import { pageRenderers } from "../../src/docs/index.js";
 
 const pageOf = (name: string): string =>
     readFileSync(fileURLToPath(new URL(`../../../../../docs/${name}`, import.meta.url)), "utf8");
 
 describe("pages made from catalogues", () => {
-    for (const [name, render] of Object.entries(renderedPages)) {
+    for (const [name, render] of Object.entries(pageRenderers)) {
         it(`${name} is what the catalogue says; npm run docs writes it`, () => {
             expect(pageOf(name)).toEqual(render());
         });
--- a/packages/evidence/test/journal/flaky-store.ts
+++ b/packages/evidence/test/journal/flaky-store.ts
@@ -11,15 +11,15 @@
 import { MemoryStore } from "@pebbledale/stand-ins";
 
 /** What happens to a write: it takes effect and is answered, takes effect unanswered, or is lost. */
-export type Fate = "answered" | "answer lost" | "call lost";
+export type WriteOutcome = "answered" | "answer lost" | "call lost";
 
 /** See the module's comment. */
 export class FlakyStore implements PlatformStore {
     readonly memory = new MemoryStore();
     /** Fates of the next writes; later ones are answered. */
-    readonly fates: Fate[] = [];
+    readonly outcomes: WriteOutcome[] = [];
     /** How often a prefix was read. */
-    listings = 0;
+    listCalls = 0;
     /** Called before each write takes effect. */
     beforeSwap: ((key: string) => void | Promise<void>) | undefined;
 
@@ -28,7 +28,7 @@
     }
 
     async list(prefix: string): Promise<readonly KeyValue[]> {
-        this.listings++;
+        this.listCalls++;
         return this.memory.list(prefix);
     }
 
@@ -38,13 +38,13 @@
         value: string,
         lease?: PlatformLeaseId,
     ): Promise<SwapOutcome> {
-        const fate = this.fates.shift() ?? "answered";
+        const writeOutcome = this.outcomes.shift() ?? "answered";
         await this.beforeSwap?.(key);
-        if (fate === "call lost") {
+        if (writeOutcome === "call lost") {
             throw new PlatformUnavailableError("lost before it took effect");
         }
         const outcome = this.memory.swap(key, expected, value, lease);
-        if (fate === "answer lost") {
+        if (writeOutcome === "answer lost") {
             throw new PlatformUnavailableError("lost after it took effect");
         }
         return outcome;
--- a/packages/evidence/test/journal/journal-fuzz.test.ts
+++ b/packages/evidence/test/journal/journal-fuzz.test.ts
@@ -13,17 +13,17 @@
 
 const seeds = 60;
 const owners = 4;
-const recordsOfOwner = 25;
+const recordsPerOwner = 25;
 /** Share of the calls that are lost before or after they take effect. */
 const lossShare = 0.15;
-const longestDelay = 6;
+const maxDelayTurns = 6;
 
 const turn = (): Promise<void> => new Promise(resolve => setImmediate(resolve));
 
 const turnClock: Clock = { monotonic: () => 0, now: () => new Date(0), sleep: turn };
 
 /** A store whose calls take effect late, in any order, or are lost. */
-class UnrulyStore extends FlakyStore {
+class ReorderingStore extends FlakyStore {
     constructor(private readonly random: SeededRandom) {
         super();
     }
@@ -43,7 +43,7 @@
     }
 
     async #delay(): Promise<void> {
-        const turns = Math.floor(this.random.next() * longestDelay);
+        const turns = Math.floor(this.random.next() * maxDelayTurns);
         for (let passed = 0; passed < turns; passed++) {
             await turn();
         }
@@ -69,32 +69,32 @@
         },
     });
 
-/** Owners take the journal from each other while they write; returns what each was told is kept, and what is read. */
-const play = async (seed: number): Promise<{ told: string[]; read: string[]; }> => {
+/** Owners take the journal from each other while they write; returns what each was committed is kept, and what is read. */
+const runOwners = async (seed: number): Promise<{ committed: string[]; read: string[]; }> => {
     const random = new SeededRandom(seed);
-    const store = new UnrulyStore(random);
-    const told: string[] = [];
+    const store = new ReorderingStore(random);
+    const committed: string[] = [];
     const writing: Promise<unknown>[] = [];
     for (let owner = 0; owner < owners; owner++) {
-        const { journal, contents } = await openUntilDone(store, random, `owner-${owner}`);
+        const { journal, contents } = await openWithRetries(store, random, `owner-${owner}`);
         const state = [...(contents.snapshot as string[] | undefined ?? []), ...contents.records as string[]];
         journal.setSnapshotSource(() => state);
-        for (let index = 0; index < recordsOfOwner; index++) {
+        for (let index = 0; index < recordsPerOwner; index++) {
             const record = `${owner}/${index}`;
             state.push(record);
-            writing.push(journal.append([record]).then(() => told.push(record)).catch(() => undefined));
+            writing.push(journal.append([record]).then(() => committed.push(record)).catch(() => undefined));
             if (random.next() < 0.5) {
                 await turn();
             }
         }
     }
     await Promise.all(writing);
-    const { contents } = await openUntilDone(store, random, "reader");
-    return { told, read: [...(contents.snapshot as string[] | undefined ?? []), ...contents.records as string[]] };
+    const { contents } = await openWithRetries(store, random, "reader");
+    return { committed, read: [...(contents.snapshot as string[] | undefined ?? []), ...contents.records as string[]] };
 };
 
 /** A claim whose call was lost is tried again, as candidates do. */
-const openUntilDone = async (
+const openWithRetries = async (
     store: FlakyStore,
     random: SeededRandom,
     writer: string,
@@ -112,21 +112,21 @@
 };
 
 describe("a journal whose calls are delayed, lost and overtaken, under owners that take it from each other", () => {
-    it("holds all that was told to be kept, once and in order", async () => {
+    it("holds all that was committed to be kept, once and in order", async () => {
         for (let seed = 1; seed <= seeds; seed++) {
-            const { told, read } = await play(seed);
+            const { committed, read } = await runOwners(seed);
             expect(new Set(read).size).toEqual(read.length);
-            const missing = told.filter(record => !read.includes(record));
+            const missing = committed.filter(record => !read.includes(record));
             expect({ seed, missing }).toEqual({ seed, missing: [] });
-            expect({ seed, read }).toEqual({ seed, read: inOrder(read) });
+            expect({ seed, read }).toEqual({ seed, read: sortBySubmission(read) });
         }
     });
 });
 
-const inOrder = (records: readonly string[]): string[] => {
-    const placeOf = (record: string): number => {
+const sortBySubmission = (records: readonly string[]): string[] => {
+    const positionOf = (record: string): number => {
         const [owner, index] = record.split("/").map(Number);
-        return owner * recordsOfOwner + index;
+        return owner * recordsPerOwner + index;
     };
-    return [...records].sort((left, right) => placeOf(left) - placeOf(right));
+    return [...records].sort((left, right) => positionOf(left) - positionOf(right));
 };
--- a/packages/evidence/test/journal/journal.test.ts
+++ b/packages/evidence/test/journal/journal.test.ts
@@ -20,7 +20,7 @@
 };
 const random = new SeededRandom(7);
 
-const open = async (
+const openAs = async (
     store: FlakyStore,
     writer: string,
     sizes: { ringSize?: number; snapshotEvery?: number; maxValueBytes?: number; maxInFlight?: number; } = {},
@@ -44,7 +44,7 @@
 });
 
 /** A state that is the list of its records, as a snapshot source. */
-const keepState = (journal: Journal, before: readonly unknown[] = []) => {
+const trackState = (journal: Journal, before: readonly unknown[] = []) => {
     const state = [...before];
     journal.setSnapshotSource(() => state);
     return {
@@ -57,104 +57,104 @@
 };
 
 /** `sizes`: those of the owner, as a reader has to know the ring. */
-const allRecords = async (store: FlakyStore, sizes: { ringSize?: number; } = {}): Promise<unknown[]> => {
-    const { contents } = await open(store, "reader", sizes);
+const readAllRecords = async (store: FlakyStore, sizes: { ringSize?: number; } = {}): Promise<unknown[]> => {
+    const { contents } = await openAs(store, "reader", sizes);
     return [...(contents.snapshot as unknown[] | undefined ?? []), ...contents.records];
 };
 
 describe("journal", () => {
     it("gives the next owner all that was kept, in order", async () => {
         const store = new FlakyStore();
-        const { journal } = await open(store, "first");
+        const { journal } = await openAs(store, "first");
         await Promise.all([journal.append(["a"]), journal.append(["b", "c"])]);
-        const { contents } = await open(store, "second");
+        const { contents } = await openAs(store, "second");
         expect(contents.records).toEqual(["a", "b", "c"]);
         expect<number>(contents.epoch).toEqual(2);
     });
 
     it("fences the old owner once a new one has claimed, however late its write comes", async () => {
         const store = new FlakyStore();
-        const { journal } = await open(store, "old");
+        const { journal } = await openAs(store, "old");
         await journal.append(["kept"]);
-        await open(store, "new");
+        await openAs(store, "new");
         await expect(journal.append(["late"])).toBeRejectedWith(JournalFencedError);
-        expect(await allRecords(store)).toEqual(["kept"]);
+        expect(await readAllRecords(store)).toEqual(["kept"]);
     });
 
     it("settles a write whose answer was lost: it is kept once", async () => {
         const store = new FlakyStore();
-        const { journal } = await open(store, "owner");
-        store.fates.push("answer lost", "call lost", "answered");
+        const { journal } = await openAs(store, "owner");
+        store.outcomes.push("answer lost", "call lost", "answered");
         await journal.append(["a"]);
-        store.fates.push("call lost", "answer lost");
+        store.outcomes.push("call lost", "answer lost");
         await journal.append(["b"]);
-        expect(await allRecords(store)).toEqual(["a", "b"]);
+        expect(await readAllRecords(store)).toEqual(["a", "b"]);
     });
 
     it("does not take another owner's segment for its own when the answer was lost", async () => {
         const store = new FlakyStore();
-        const { journal } = await open(store, "old");
-        store.fates.push("call lost");
+        const { journal } = await openAs(store, "old");
+        store.outcomes.push("call lost");
         store.beforeSwap = async () => {
             store.beforeSwap = undefined;
-            await open(store, "new");
+            await openAs(store, "new");
         };
         await expect(journal.append(["late"])).toBeRejectedWith(JournalFencedError);
-        expect(await allRecords(store)).toEqual([]);
+        expect(await readAllRecords(store)).toEqual([]);
     });
 
     it("rewrites the ring many times over and loses nothing, also when a late writer holds an old number", async () => {
         const store = new FlakyStore();
-        const first = await open(store, "old");
-        const old = keepState(first.journal);
+        const first = await openAs(store, "old");
+        const old = trackState(first.journal);
         await old.append("first");
-        const second = await open(store, "new");
-        const owner = keepState(second.journal, ["first"]);
+        const second = await openAs(store, "new");
+        const owner = trackState(second.journal, ["first"]);
         for (let index = 0; index < 100; index++) {
             await owner.append(index);
         }
         await expect(first.journal.append(["late"])).toBeRejectedWith(JournalFencedError);
-        expect(await allRecords(store)).toEqual(["first", ...Array.from({ length: 100 }, (_, index) => index)]);
+        expect(await readAllRecords(store)).toEqual(["first", ...Array.from({ length: 100 }, (_, index) => index)]);
     });
 
     it("splits what is larger than one value, groups and snapshots alike", async () => {
         const store = new FlakyStore();
-        const { journal } = await open(store, "owner", { maxValueBytes: 200, ringSize: 64 });
-        const owner = keepState(journal);
+        const { journal } = await openAs(store, "owner", { maxValueBytes: 200, ringSize: 64 });
+        const owner = trackState(journal);
         const texts = Array.from({ length: 30 }, (_, index) => `record ${index} `.padEnd(40, "xé漢"));
         await Promise.all(texts.map(text => owner.append(text)));
-        expect(await allRecords(store)).toEqual(texts);
+        expect(await readAllRecords(store)).toEqual(texts);
         const sizes = store.memory.list("").map(entry => entry.value.length);
         expect(Math.max(...sizes)).toBeLessThan(800);
     });
 
     it("holds in a snapshot exactly what its segments held, with records waiting at that moment", async () => {
         const store = new FlakyStore();
-        const { journal } = await open(store, "owner", { snapshotEvery: 2 });
-        const owner = keepState(journal);
+        const { journal } = await openAs(store, "owner", { snapshotEvery: 2 });
+        const owner = trackState(journal);
         for (let round = 0; round < 10; round++) {
             await Promise.all([owner.append(`${round}a`), owner.append(`${round}b`), owner.append(`${round}c`)]);
         }
-        expect(await allRecords(store)).toEqual(owner.state);
+        expect(await readAllRecords(store)).toEqual(owner.state);
     });
 
     it("writes snapshots no more often than their bytes are worth", async () => {
         const store = new FlakyStore();
-        const { journal } = await open(store, "owner", { ringSize: 256 });
-        const owner = keepState(journal);
+        const { journal } = await openAs(store, "owner", { ringSize: 256 });
+        const owner = trackState(journal);
         const count = 400;
         for (let index = 0; index < count; index++) {
             await owner.append(`record ${index}`.padEnd(50, "x"));
         }
         // Without the rule: a snapshot, of up to three parts, after every fourth of 400 segments.
         expect(journal.writes - count).toBeLessThan(20);
-        expect(await allRecords(store, { ringSize: 256 })).toEqual(owner.state);
+        expect(await readAllRecords(store, { ringSize: 256 })).toEqual(owner.state);
     });
 
     it("keeps the former snapshot until a segment names the new one", async () => {
         const store = new FlakyStore();
-        const { journal } = await open(store, "owner", { snapshotEvery: 3 });
-        const owner = keepState(journal);
+        const { journal } = await openAs(store, "owner", { snapshotEvery: 3 });
+        const owner = trackState(journal);
         const pointersSeen: (SnapshotPointer | undefined)[] = [];
         // Whatever moment the owner dies at, the newest segment must name a snapshot that is whole.
         store.beforeSwap = () => {
@@ -177,7 +177,7 @@
 
     it("is claimed from an owner that goes on writing, without reading all of it again", async () => {
         const store = new FlakyStore();
-        const { journal } = await open(store, "first");
+        const { journal } = await openAs(store, "first");
         await journal.append(["a"]);
         let left = 3;
         const write = async () => {
@@ -186,15 +186,15 @@
             store.beforeSwap = left > 0 ? write : undefined;
         };
         store.beforeSwap = write;
-        const { contents } = await open(store, "second");
+        const { contents } = await openAs(store, "second");
         expect(contents.records).toEqual(["a", "late 3", "late 2", "late 1"]);
-        expect(store.listings).toEqual(2);
+        expect(store.listCalls).toEqual(2);
         await expect(journal.append(["later"])).toBeRejected();
     });
 
     it("is read whole though an owner writes on while it is listed in pages", async () => {
         const store = new FlakyStore();
-        const { journal } = await open(store, "first", { snapshotEvery: 100 });
+        const { journal } = await openAs(store, "first", { snapshotEvery: 100 });
         for (const record of ["a", "b", "c", "d", "e"]) {
             await journal.append([record]);
         }
@@ -209,71 +209,71 @@
             const secondPage = (await list(prefix)).filter(({ key }) => !isOnFirst(key));
             return [...firstPage, ...secondPage];
         };
-        const { contents } = await open(store, "second", { snapshotEvery: 100 });
+        const { contents } = await openAs(store, "second", { snapshotEvery: 100 });
         expect(contents.records).toEqual(["a", "b", "c", "d", "e", "f", "g"]);
     });
 
     it("has several segments on their way, and tells of each only when all before it are kept", async () => {
         const store = new FlakyStore();
-        const { journal } = await open(store, "owner", { maxInFlight: 4, snapshotEvery: 100 });
+        const { journal } = await openAs(store, "owner", { maxInFlight: 4, snapshotEvery: 100 });
         const held = holdFirstWrite(store);
         const told: string[] = [];
         const first = journal.append(["a"]).then(() => told.push("a"));
-        await turns();
+        await runEventLoop();
         const second = journal.append(["b"]).then(() => told.push("b"));
-        await turns();
-        expect({ told, written: segmentsOf(store) }).toEqual({ told: [], written: 2 });
+        await runEventLoop();
+        expect({ told, written: countSegments(store) }).toEqual({ told: [], written: 2 });
         held.release();
         await Promise.all([first, second]);
         expect(told).toEqual(["a", "b"]);
-        expect(await allRecords(store)).toEqual(["a", "b"]);
+        expect(await readAllRecords(store)).toEqual(["a", "b"]);
     });
 
     it("keeps records while a snapshot is on its way, however long that takes", async () => {
         const store = new FlakyStore();
-        const { journal } = await open(store, "owner", { maxInFlight: 4, ringSize: 32 });
-        const owner = keepState(journal);
+        const { journal } = await openAs(store, "owner", { maxInFlight: 4, ringSize: 32 });
+        const owner = trackState(journal);
         let release: () => void = () => undefined;
         const held = new Promise<void>(resolve => release = resolve);
         store.beforeSwap = key => key.includes("/snapshots/") ? held : undefined;
         const told: number[] = [];
         const appends = Array.from({ length: 10 }, async (_, index) => {
-            await turns(index * 20);
+            await runEventLoop(index * 20);
             await owner.append(index);
             told.push(index);
         });
-        await turns(400);
+        await runEventLoop(400);
         expect(told.length).toEqual(10);
         expect(store.memory.list("shards/shard-0/snapshots/")).toEqual([]);
         release();
         await Promise.all(appends);
         await owner.append("the next");
         expect(store.memory.list("shards/shard-0/snapshots/").length).toEqual(1);
-        expect(await allRecords(store)).toEqual(owner.state);
+        expect(await readAllRecords(store)).toEqual(owner.state);
     });
 
     it("waits for a snapshot before the keys of its ring run out", async () => {
         const store = new FlakyStore();
-        const { journal } = await open(store, "owner", { maxInFlight: 4 });
-        const owner = keepState(journal);
+        const { journal } = await openAs(store, "owner", { maxInFlight: 4 });
+        const owner = trackState(journal);
         let release: () => void = () => undefined;
         const held = new Promise<void>(resolve => release = resolve);
         store.beforeSwap = key => key.includes("/snapshots/") ? held : undefined;
         const appends = Array.from({ length: 60 }, async (_, index) => {
-            await turns(index * 10);
+            await runEventLoop(index * 10);
             await owner.append(index);
         });
-        await turns(1_000);
+        await runEventLoop(1_000);
         release();
         await Promise.all(appends);
-        expect(await allRecords(store)).toEqual(owner.state);
+        expect(await readAllRecords(store)).toEqual(owner.state);
     });
 
     it("is read by calls side by side, so that a slow store answers once for all of a large ring and once for a snapshot", async () => {
         const store = new FlakyStore();
         const sizes = { ringSize: 1_024, snapshotEvery: 4, maxValueBytes: 200 };
-        const { journal } = await open(store, "first", sizes);
-        const owner = keepState(journal);
+        const { journal } = await openAs(store, "first", sizes);
+        const owner = trackState(journal);
         for (let index = 0; index < 30; index++) {
             await owner.append(`record ${index}`.padEnd(60, "x"));
         }
@@ -291,9 +291,9 @@
             await answered();
             return get(key);
         };
-        const opened = open(store, "second", sizes);
+        const opened = openAs(store, "second", sizes);
         for (let pause = 0; pause < 20; pause++) {
-            await turns();
+            await runEventLoop();
             rounds += waiting.length > 0 ? 1 : 0;
             waiting.forEach(resolve => resolve());
             waiting = [];
@@ -305,40 +305,40 @@
 
     it("does not count what follows a segment that never arrived, and overwrites it", async () => {
         const store = new FlakyStore();
-        const { journal } = await open(store, "old", { maxInFlight: 4, snapshotEvery: 100 });
+        const { journal } = await openAs(store, "old", { maxInFlight: 4, snapshotEvery: 100 });
         await journal.append(["kept"]);
         const held = holdFirstWrite(store);
         const lost = journal.append(["lost"]);
-        await turns();
+        await runEventLoop();
         const after = journal.append(["after it"]);
-        await turns();
-        const next = await open(store, "new", { snapshotEvery: 100 });
+        await runEventLoop();
+        const next = await openAs(store, "new", { snapshotEvery: 100 });
         expect(next.contents.records).toEqual(["kept"]);
         held.release();
         await expect(lost).toBeRejectedWith(JournalFencedError);
         await expect(after).toBeRejectedWith(JournalFencedError);
         await next.journal.append(["of the new owner"]);
         await next.journal.append(["and more"]);
-        expect(await allRecords(store)).toEqual(["kept", "of the new owner", "and more"]);
+        expect(await readAllRecords(store)).toEqual(["kept", "of the new owner", "and more"]);
     });
 
     it("does not take an earlier owner's segments beyond its claim for a later owner's", async () => {
         const store = new FlakyStore();
-        const { journal } = await open(store, "old", { maxInFlight: 4, snapshotEvery: 100 });
+        const { journal } = await openAs(store, "old", { maxInFlight: 4, snapshotEvery: 100 });
         const held = holdFirstWrite(store);
         const lost = journal.append(["lost"]);
-        await turns();
+        await runEventLoop();
         const after = journal.append(["after it"]);
-        await turns();
-        await open(store, "new", { snapshotEvery: 100 });
+        await runEventLoop();
+        await openAs(store, "new", { snapshotEvery: 100 });
         held.release();
         await Promise.allSettled([lost, after]);
-        expect(await allRecords(store)).toEqual([]);
+        expect(await readAllRecords(store)).toEqual([]);
     });
 });
 
 /** Lets what is ready run. */
-const turns = async (count = 20): Promise<void> => {
+const runEventLoop = async (count = 20): Promise<void> => {
     for (let turn = 0; turn < count; turn++) {
         await new Promise(resolve => setImmediate(resolve));
     }
@@ -355,4 +355,4 @@
     return { release: () => release() };
 };
 
-const segmentsOf = (store: FlakyStore): number => store.memory.list("shards/shard-0/journal/").length;
+const countSegments = (store: FlakyStore): number => store.memory.list("shards/shard-0/journal/").length;
--- a/packages/evidence/test/operator/command-line.test.ts
+++ b/packages/evidence/test/operator/command-line.test.ts
@@ -13,12 +13,12 @@
     readonly err: string;
 }
 
-const mainOf = (program: string): string =>
+const mainScriptOf = (program: string): string =>
     join(dirname(fileURLToPath(import.meta.resolve(`@pebbledale/${program}`))), "cli", "main.js");
 
 const run = (program: string, parameters: readonly string[]): Promise<Run> =>
     new Promise(resolve => {
-        execFile(process.execPath, [mainOf(program), ...parameters], (error, out, err) => {
+        execFile(process.execPath, [mainScriptOf(program), ...parameters], (error, out, err) => {
             resolve({ code: typeof error?.code === "number" ? error.code : 0, out, err });
         });
     });
@@ -32,7 +32,7 @@
         writeFileSync(path, text);
         return path;
     };
-    const operate = (...parameters: string[]) => run("operator", [...parameters, "--config", config]);
+    const runOperator = (...parameters: string[]) => run("operator", [...parameters, "--config", config]);
 
     before(async () => {
         const address = await platform.listen();
@@ -67,13 +67,13 @@
             "second.ini",
             "[organisation]\nlease.duration = 30s\n[site luzon/pasig]\nplacement.preference = pack\n",
         );
-        expect((await operate("settings", "accept", first, "--base", "0")).out).toEqual("revision 1 is in force\n");
-        expect((await operate("settings", "accept", second, "--base", "1", "--author", "ana")).code).toEqual(0);
-        const lost = await operate("settings", "accept", first, "--base", "1", "--json");
+        expect((await runOperator("settings", "accept", first, "--base", "0")).out).toEqual("revision 1 is in force\n");
+        expect((await runOperator("settings", "accept", second, "--base", "1", "--author", "ana")).code).toEqual(0);
+        const lost = await runOperator("settings", "accept", first, "--base", "1", "--json");
         expect(lost.code).toEqual(1);
         expect(lost.err.includes("revision 2 is in force, ana accepted it")).toEqual(true);
         expect((JSON.parse(lost.out) as { changedSince: unknown[]; }).changedSince.length).toEqual(2);
-        const explained = await operate(
+        const explained = await runOperator(
             "settings",
             "explain",
             "placement.preference",
@@ -84,10 +84,10 @@
         expect((JSON.parse(explained.out) as { values: unknown[]; }).values).toEqual([
             { key: "placement.preference", value: "pack", section: "site luzon/pasig", line: 4 },
         ]);
-        const history = await operate("settings", "history", "--json");
+        const history = await runOperator("settings", "history", "--json");
         const { revisions } = JSON.parse(history.out) as { revisions: { revision: number; }[]; };
         expect(revisions.map(entry => entry.revision)).toEqual([2, 1]);
-        const diff = await operate("settings", "diff", first, "--json");
+        const diff = await runOperator("settings", "diff", first, "--json");
         expect(JSON.parse(diff.out)).toEqual({
             base: 2,
             differences: [
@@ -99,23 +99,23 @@
 
     it("refuses a tree with findings and an unknown revision, and changes nothing", async () => {
         const wrong = file("tree.ini", "[organisation]\nlease.duration = -1s\n[village x]\n");
-        const answer = await operate("settings", "accept", wrong, "--base", "2");
+        const answer = await runOperator("settings", "accept", wrong, "--base", "2");
         expect(answer.code).toEqual(1);
         expect(answer.err.trim().split("\n").length).toEqual(2);
-        const unknown = await operate("settings", "get", "--revision", "77");
+        const unknown = await runOperator("settings", "get", "--revision", "77");
         expect(unknown.code).toEqual(1);
         expect(unknown.err.startsWith("No such revision")).toEqual(true);
     });
 
     it("says so when no scheduler answers", async () => {
-        const answer = await operate("status");
+        const answer = await runOperator("status");
         expect(answer.code).toEqual(1);
         expect(answer.out.includes("no answer")).toEqual(true);
     });
 
     it("says so when the platform does not answer", async () => {
         platform.control({ outage: true });
-        const answer = await operate("settings", "get");
+        const answer = await runOperator("settings", "get");
         platform.control({ outage: false });
         expect(answer.code).toEqual(1);
         expect(answer.err.startsWith("The platform does not answer")).toEqual(true);
--- a/packages/evidence/test/settings/accept.test.ts
+++ b/packages/evidence/test/settings/accept.test.ts
@@ -29,7 +29,7 @@
 
     it("settles a lost answer by reading: accepted once", async () => {
         const store = new FlakyStore();
-        store.fates.push("answer lost");
+        store.outcomes.push("answer lost");
         expect((await accept(store, 0, "ana")).kind).toEqual("accepted");
         expect((await readSettings(store))?.revision).toEqual(settingsRevision(1));
     });
@@ -37,7 +37,7 @@
     it("knows its own revision also when another was accepted on top before the answer was settled", async () => {
         const store = new FlakyStore();
         await accept(store, 0, "first");
-        store.fates.push("answered", "answer lost");
+        store.outcomes.push("answered", "answer lost");
         let raced = false;
         store.beforeSwap = async () => {
             if (!raced && (await readSettings(store))?.author === "ana") {
--- a/packages/stand-ins/src/audit/index.ts
+++ b/packages/stand-ins/src/audit/index.ts
@@ -28,6 +28,6 @@
     }
     const text = readFileSync(file, "utf8");
     // The stand-in may be writing: what follows the last line end is not a line yet.
-    const whole = text.slice(0, text.lastIndexOf("\n") + 1);
-    return whole.split("\n").filter(line => line !== "").map(line => JSON.parse(line) as AuditLine);
+    const completeLines = text.slice(0, text.lastIndexOf("\n") + 1);
+    return completeLines.split("\n").filter(line => line !== "").map(line => JSON.parse(line) as AuditLine);
 };
--- a/packages/stand-ins/src/platform/index.ts
+++ b/packages/stand-ins/src/platform/index.ts
@@ -1,3 +1,3 @@
 /** Stand-in of the platform: key-value service and list of VMs, with outages, slowness and lost answers. */
-export * from "./server.js";
-export * from "./store.js";
+export * from "./memory-store.js";
+export * from "./platform-stand-in.js";
--- a/packages/stand-ins/src/platform/store.ts
+++ b/packages/stand-ins/src/platform/memory-store.ts
@@ -1,9 +1,9 @@
 /** Keys, versions, leases and watches in memory. */
 import type { KeyValue, KeyVersion, Milliseconds, PlatformLeaseId, SwapOutcome, WatchEvents } from "@pebbledale/core";
 
-interface Lease {
+interface LeaseEntry {
     readonly duration: Milliseconds;
-    until: Milliseconds;
+    expiresAt: Milliseconds;
     readonly keys: Set<string>;
 }
 
@@ -12,24 +12,24 @@
     readonly key: string;
 }
 
-interface Watcher {
+interface ChangeListener {
     readonly prefix: string;
-    readonly wake: () => void;
+    readonly notify: () => void;
 }
 
 /** Changes that are remembered for watches; an older cursor makes the caller read again. */
-const rememberedChanges = 10_000;
+const maxRetainedChanges = 10_000;
 
 /** See the module's comment. Time is passed in by the caller of each call. */
 export class MemoryStore {
     readonly #entries = new Map<string, KeyValue>();
     /** Versions of keys outlive the keys, so that a key that was deleted and made again has a new version. */
     #lastVersion = 0;
-    readonly #leases = new Map<PlatformLeaseId, Lease>();
+    readonly #leases = new Map<PlatformLeaseId, LeaseEntry>();
     readonly #changes: Change[] = [];
-    readonly #watchers = new Set<Watcher>();
-    #sequence = 1;
-    #nextLease = 1;
+    readonly #listeners = new Set<ChangeListener>();
+    #nextSequence = 1;
+    #nextLeaseNumber = 1;
 
     /** Reads a key. */
     get(key: string): KeyValue | undefined {
@@ -49,15 +49,15 @@
         if ((current?.version ?? 0) !== expected) {
             return { kind: "conflict", current };
         }
-        const holder = lease === undefined ? undefined : this.#leases.get(lease);
-        if (lease !== undefined && holder === undefined) {
+        const leaseEntry = lease === undefined ? undefined : this.#leases.get(lease);
+        if (lease !== undefined && leaseEntry === undefined) {
             return { kind: "conflict", current };
         }
         this.#leases.forEach(other => other.keys.delete(key));
-        holder?.keys.add(key);
+        leaseEntry?.keys.add(key);
         const version = ++this.#lastVersion as KeyVersion;
         this.#entries.set(key, { key, value, version });
-        this.#changed(key);
+        this.#recordChange(key);
         return { kind: "swapped", version };
     }
 
@@ -69,14 +69,14 @@
         }
         this.#leases.forEach(lease => lease.keys.delete(key));
         this.#entries.delete(key);
-        this.#changed(key);
+        this.#recordChange(key);
         return true;
     }
 
     /** Makes a lease. */
     grantLease(duration: Milliseconds, now: Milliseconds): PlatformLeaseId {
-        const lease = `lease-${this.#nextLease++}` as PlatformLeaseId;
-        this.#leases.set(lease, { duration, until: now + duration, keys: new Set() });
+        const lease = `lease-${this.#nextLeaseNumber++}` as PlatformLeaseId;
+        this.#leases.set(lease, { duration, expiresAt: now + duration, keys: new Set() });
         return lease;
     }
 
@@ -84,7 +84,7 @@
     renewLease(lease: PlatformLeaseId, now: Milliseconds): boolean {
         const entry = this.#leases.get(lease);
         if (entry !== undefined) {
-            entry.until = now + entry.duration;
+            entry.expiresAt = now + entry.duration;
         }
         return entry !== undefined;
     }
@@ -95,14 +95,14 @@
         this.#leases.delete(lease);
         entry?.keys.forEach(key => {
             this.#entries.delete(key);
-            this.#changed(key);
+            this.#recordChange(key);
         });
     }
 
     /** Ends the leases that lapsed. */
     expire(now: Milliseconds): void {
         for (const [name, lease] of this.#leases) {
-            if (lease.until <= now) {
+            if (lease.expiresAt <= now) {
                 this.revokeLease(name);
             }
         }
@@ -111,33 +111,33 @@
     /** Changes below a prefix after a cursor; undefined when there are none. */
     changesAfter(prefix: string, cursor: string): WatchEvents | undefined {
         const after = Number(cursor);
-        const oldest = this.#changes[0]?.sequence ?? this.#sequence;
+        const oldest = this.#changes[0]?.sequence ?? this.#nextSequence;
         if (cursor === "" || after < oldest - 1) {
-            return { cursor: String(this.#sequence - 1), changed: [] };
+            return { cursor: String(this.#nextSequence - 1), changed: [] };
         }
         const changed = this.#changes.filter(change => change.sequence > after && change.key.startsWith(prefix));
         return changed.length === 0
             ? undefined
-            : { cursor: String(this.#sequence - 1), changed: changed.map(change => change.key) };
+            : { cursor: String(this.#nextSequence - 1), changed: changed.map(change => change.key) };
     }
 
     /** The present cursor. */
     cursor(): string {
-        return String(this.#sequence - 1);
+        return String(this.#nextSequence - 1);
     }
 
     /** Calls `wake` at the next change below a prefix; the result ends that. */
-    onChange(prefix: string, wake: () => void): () => void {
-        const watcher = { prefix, wake };
-        this.#watchers.add(watcher);
-        return () => this.#watchers.delete(watcher);
+    onChange(prefix: string, notify: () => void): () => void {
+        const listener = { prefix, notify };
+        this.#listeners.add(listener);
+        return () => this.#listeners.delete(listener);
     }
 
-    #changed(key: string): void {
-        this.#changes.push({ sequence: this.#sequence++, key });
-        if (this.#changes.length > rememberedChanges) {
+    #recordChange(key: string): void {
+        this.#changes.push({ sequence: this.#nextSequence++, key });
+        if (this.#changes.length > maxRetainedChanges) {
             this.#changes.shift();
         }
-        [...this.#watchers].filter(watcher => key.startsWith(watcher.prefix)).forEach(watcher => watcher.wake());
+        [...this.#listeners].filter(listener => key.startsWith(listener.prefix)).forEach(listener => listener.notify());
     }
 }
