--- a/packages/stand-ins/src/platform/server.ts
+++ b/packages/stand-ins/src/platform/platform-stand-in.ts
@@ -3,7 +3,7 @@
 import fastify, { type FastifyInstance } from "fastify";
 import type { AddressInfo } from "node:net";
 import type { AuditLog } from "../audit/index.js";
-import { MemoryStore } from "./store.js";
+import { MemoryStore } from "./memory-store.js";
 
 /** How the stand-in is to fail. */
 export interface PlatformFaults {
@@ -28,8 +28,8 @@
     readonly bytesWritten: number;
 }
 
-const expiryInterval = 50;
-const writes = new Set(["swap", "remove", "lease-grant", "lease-renew", "lease-revoke"]);
+const leaseExpiryInterval = 50;
+const writeCalls = new Set(["swap", "remove", "lease-grant", "lease-renew", "lease-revoke"]);
 /** Only these keys are written to the audit: the others change too often to be of use there. */
 const auditedPrefixes = ["settings/", "owners/"];
 
@@ -49,7 +49,7 @@
     readonly faults: PlatformFaults = { outage: false, delay: 0, loseAnswers: 0 };
     readonly counts = { reads: 0, writes: 0, watches: 0, bytesWritten: 0 };
     readonly #server: FastifyInstance = fastify({ logger: false, forceCloseConnections: true, bodyLimit: 4_000_000 });
-    readonly #expiring: NodeJS.Timeout;
+    readonly #expiryTimer: NodeJS.Timeout;
     #workers: readonly ListedWorker[] = [];
 
     constructor(private readonly audit?: AuditLog) {
@@ -59,11 +59,11 @@
                 request.raw.socket.destroy();
                 return reply.hijack();
             }
-            const gone = new AbortController();
-            reply.raw.once("close", () => gone.abort());
-            const answer = await this.#carryOut(call, request.body as CallBody, gone.signal);
+            const disconnected = new AbortController();
+            reply.raw.once("close", () => disconnected.abort());
+            const answer = await this.#execute(call, request.body as CallBody, disconnected.signal);
             await this.#wait(this.faults.delay);
-            const isLost = writes.has(call) && this.faults.loseAnswers > 0;
+            const isLost = writeCalls.has(call) && this.faults.loseAnswers > 0;
             if (isLost || this.faults.outage) {
                 this.faults.loseAnswers -= isLost ? 1 : 0;
                 request.raw.socket.destroy();
@@ -77,7 +77,7 @@
             return {};
         });
         this.#server.get("/counts", async () => this.counts);
-        this.#expiring = setInterval(() => this.store.expire(performance.now()), expiryInterval);
+        this.#expiryTimer = setInterval(() => this.store.expire(performance.now()), leaseExpiryInterval);
     }
 
     /** Changes what fails and which VMs are listed. */
@@ -100,11 +100,11 @@
 
     /** Ends the stand-in. */
     async close(): Promise<void> {
-        clearInterval(this.#expiring);
+        clearInterval(this.#expiryTimer);
         await this.#server.close();
     }
 
-    async #carryOut(call: string, body: CallBody, gone: AbortSignal): Promise<unknown> {
+    async #execute(call: string, body: CallBody, disconnected: AbortSignal): Promise<unknown> {
         const now = performance.now();
         const { store } = this;
         store.expire(now);
@@ -129,13 +129,13 @@
                 store.revokeLease(body.lease);
                 return {};
             case "watch":
-                return this.#watch(body, gone);
+                return this.#watch(body, disconnected);
             default:
                 throw new Error(`no such call: ${call}`);
         }
     }
 
-    async #watch(body: CallBody, gone: AbortSignal): Promise<unknown> {
+    async #watch(body: CallBody, disconnected: AbortSignal): Promise<unknown> {
         const known = this.store.changesAfter(body.prefix, body.cursor);
         if (known !== undefined) {
             return known;
@@ -148,7 +148,7 @@
             };
             const timer = setTimeout(finish, body.duration);
             const stopWatching = this.store.onChange(body.prefix, finish);
-            gone.addEventListener("abort", finish, { once: true });
+            disconnected.addEventListener("abort", finish, { once: true });
         });
         return this.store.changesAfter(body.prefix, body.cursor) ?? { cursor: this.store.cursor(), changed: [] };
     }
@@ -157,7 +157,7 @@
         if (call === "watch") {
             this.counts.watches++;
         }
-        else if (writes.has(call)) {
+        else if (writeCalls.has(call)) {
             this.counts.writes++;
             this.counts.bytesWritten += body.value?.length ?? 0;
         }
--- a/packages/stand-ins/src/relay/index.ts
+++ b/packages/stand-ins/src/relay/index.ts
@@ -2,52 +2,52 @@
 import { type AddressInfo, connect, createServer, type Server, type Socket } from "node:net";
 
 /** See the module's comment. */
-export class Relay {
+export class TcpRelay {
     readonly #sockets = new Set<Socket>();
     readonly #server: Server;
-    #isCut = false;
-    #listening: Promise<string> | undefined;
+    #isDisconnected = false;
+    #address: Promise<string> | undefined;
 
     constructor(target: string) {
         const [host, port] = target.split(":");
-        this.#server = createServer(near => {
-            if (this.#isCut) {
-                near.destroy();
+        this.#server = createServer(client => {
+            if (this.#isDisconnected) {
+                client.destroy();
                 return;
             }
-            const far = connect(Number(port), host);
-            this.#join(near, far);
+            const upstream = connect(Number(port), host);
+            this.#connectStreams(client, upstream);
         });
     }
 
     /** Listens on loopback; resolves to the address, the same one when called again. */
     listen(): Promise<string> {
-        this.#listening ??= new Promise(resolve => {
+        this.#address ??= new Promise(resolve => {
             this.#server.listen(
                 0,
                 "127.0.0.1",
                 () => resolve(`127.0.0.1:${(this.#server.address() as AddressInfo).port}`),
             );
         });
-        return this.#listening;
+        return this.#address;
     }
 
     /** Cuts all connections and lets none through, or lets them through again. */
-    setCut(isCut: boolean): void {
-        this.#isCut = isCut;
-        if (isCut) {
+    setDisconnected(isDisconnected: boolean): void {
+        this.#isDisconnected = isDisconnected;
+        if (isDisconnected) {
             this.#sockets.forEach(socket => socket.destroy());
         }
     }
 
     /** Ends the relay. */
     close(): void {
-        this.setCut(true);
+        this.setDisconnected(true);
         this.#server.close();
     }
 
-    #join(near: Socket, far: Socket): void {
-        for (const [from, to] of [[near, far], [far, near]]) {
+    #connectStreams(client: Socket, upstream: Socket): void {
+        for (const [from, to] of [[client, upstream], [upstream, client]]) {
             this.#sockets.add(from);
             from.pipe(to);
             from.on("error", () => to.destroy());
--- a/packages/stand-ins/src/workers/fleet.ts
+++ b/packages/stand-ins/src/workers/fleet-stand-in.ts
@@ -3,7 +3,7 @@
 import fastify, { type FastifyInstance } from "fastify";
 import type { AddressInfo } from "node:net";
 import type { AuditLog } from "../audit/index.js";
-import { type WorkerFaults, WorkerStandIn } from "./worker.js";
+import { type WorkerFaults, WorkerStandIn } from "./worker-stand-in.js";
 
 /** How many workers of which size, in racks and data halls. */
 export interface FleetShape {
@@ -56,7 +56,7 @@
                 audit,
             });
         });
-        this.#server.get("/workers", async () => ({ workers: this.listed() }));
+        this.#server.get("/workers", async () => ({ workers: this.listWorkers() }));
         this.#server.post("/control", async request => {
             await this.control(request.body as FleetControl);
             return {};
@@ -64,8 +64,8 @@
     }
 
     /** How the platform lists the workers. */
-    listed(): ListedWorker[] {
-        return this.workers.map(worker => worker.listed());
+    listWorkers(): ListedWorker[] {
+        return this.workers.map(worker => worker.toListedWorker());
     }
 
     /** Makes a worker fail. */
--- a/packages/stand-ins/src/workers/task-table.ts
+++ b/packages/stand-ins/src/workers/task-table.ts
@@ -25,30 +25,30 @@
 }
 
 /** A task that runs. */
-export interface LiveTask {
+export interface TaskExecution {
     readonly task: TaskId;
     readonly attempt: Attempt;
     readonly grant: Resources;
     readonly payload: TaskPayload;
     readonly serves: boolean;
-    leaseEndsAt: number;
+    leaseExpiresAt: number;
     endsAt: number;
     readonly startedAt: number;
     serviceAddress?: string;
     isStopping: boolean;
     /** Set by a throttle message: it uses no more than this. */
-    throttledTo?: number;
+    processorLimit?: number;
 }
 
 /** How late usage is reported, in milliseconds. */
-const usageLag = 500;
+const usageReportDelay = 500;
 
 /** Usage as the worker reports it: late, so at first nothing is known beyond the grant. */
-export const usageOf = (task: LiveTask, now: number): Resources => {
+export const reportedUsage = (task: TaskExecution, now: number): Resources => {
     const used = (task.payload.usesProcessors ?? task.grant.processorThousandths / 1000) * 1000;
-    const isKnown = now - task.startedAt >= usageLag;
+    const isKnown = now - task.startedAt >= usageReportDelay;
     const processorThousandths = isKnown
-        ? Math.min(used, task.throttledTo ?? Infinity)
+        ? Math.min(used, task.processorLimit ?? Infinity)
         : task.grant.processorThousandths;
     return { ...task.grant, processorThousandths };
 };
@@ -60,62 +60,62 @@
     readonly audit?: AuditLog;
     /** Whether every task fails as soon as it starts. */
     readonly failsAll: () => boolean;
-    /** Ends what serves a task; resolves once its live requests are answered. */
-    readonly stopServing: (task: LiveTask) => Promise<void>;
+    /** Ends what serves a task; resolves once its execution requests are answered. */
+    readonly closeService: (task: TaskExecution) => Promise<void>;
     /** Told when a task ended, so that a waiting heartbeat is answered. */
-    readonly changed: () => void;
+    readonly onChange: () => void;
 }
 
-const keyOf = (task: TaskId, attempt: Attempt): string => `${task}#${attempt}`;
+const attemptKey = (task: TaskId, attempt: Attempt): string => `${task}#${attempt}`;
 /** Numbers of reports that are remembered. */
-const rememberedNumbers = 200;
+const maxReportNumbers = 200;
 
 /** See the module's comment. Times are milliseconds of the worker's monotonic clock. */
 export class TaskTable {
-    readonly running = new Map<string, LiveTask>();
+    readonly running = new Map<string, TaskExecution>();
     readonly ended = new Map<string, EndedTask>();
-    readonly #refused = new Map<string, WorkerRefusal>();
-    readonly #issuedAt = new Map<number, number>();
-    #number = 0;
-    #epoch = 0 as Epoch;
+    readonly #refusals = new Map<string, WorkerRefusal>();
+    readonly #reportIssuedAt = new Map<number, number>();
+    #lastReportNumber = 0;
+    #highestEpoch = 0 as Epoch;
     isLeaving = false;
 
     constructor(private readonly options: TaskTableOptions) {}
 
     /** Takes an epoch if it is not older than the highest seen. */
-    accepts(epoch: Epoch): boolean {
-        if (epoch < this.#epoch) {
+    acceptEpoch(epoch: Epoch): boolean {
+        if (epoch < this.#highestEpoch) {
             return false;
         }
-        this.#epoch = epoch;
+        this.#highestEpoch = epoch;
         return true;
     }
 
     /** Issues the number of a report. */
-    issueNumber(now: number): number {
-        this.#number++;
-        this.#issuedAt.set(this.#number, now);
-        this.#issuedAt.delete(this.#number - rememberedNumbers);
-        return this.#number;
+    issueReportNumber(now: number): number {
+        this.#lastReportNumber++;
+        this.#reportIssuedAt.set(this.#lastReportNumber, now);
+        this.#reportIssuedAt.delete(this.#lastReportNumber - maxReportNumbers);
+        return this.#lastReportNumber;
     }
 
     /** Renews leases and forgets acknowledged ends. */
-    renew(message: HeartbeatMessage): void {
-        const issuedAt = this.#issuedAt.get(message.number);
+    applyHeartbeat(message: HeartbeatMessage): void {
+        const issuedAt = this.#reportIssuedAt.get(message.number);
         for (const { task, attempt } of message.acknowledged) {
-            this.ended.delete(keyOf(task, attempt));
+            this.ended.delete(attemptKey(task, attempt));
         }
         for (const { task, attempt } of issuedAt === undefined ? [] : message.renewals) {
-            const live = this.running.get(keyOf(task, attempt));
-            if (live !== undefined) {
-                live.leaseEndsAt = Math.max(live.leaseEndsAt, issuedAt! + message.lease);
+            const execution = this.running.get(attemptKey(task, attempt));
+            if (execution !== undefined) {
+                execution.leaseExpiresAt = Math.max(execution.leaseExpiresAt, issuedAt! + message.lease);
             }
         }
     }
 
     /** Starts a task, or says why not. A copy of an accepted start changes nothing. */
-    start(message: StartMessage, now: number): LiveTask | WorkerRefusal | "known" {
-        const key = keyOf(message.task, message.attempt);
+    start(message: StartMessage, now: number): TaskExecution | WorkerRefusal | "known" {
+        const key = attemptKey(message.task, message.attempt);
         const known = this.running.get(key);
         if (known !== undefined) {
             return known;
@@ -123,9 +123,9 @@
         if (this.ended.has(key)) {
             return "known";
         }
-        const refusal = this.#refused.get(key) ?? this.#refusalOf(message, now);
+        const refusal = this.#refusals.get(key) ?? this.#checkStart(message, now);
         if (refusal !== undefined) {
-            this.#refused.set(key, refusal);
+            this.#refusals.set(key, refusal);
             this.options.audit?.add("refuse", {
                 worker: this.options.worker,
                 task: message.task,
@@ -135,41 +135,41 @@
             return refusal;
         }
         const payload = (message.payload ?? {}) as TaskPayload;
-        const live: LiveTask = {
+        const execution: TaskExecution = {
             task: message.task,
             attempt: message.attempt,
             grant: message.grant,
             payload,
             serves: message.serves,
-            leaseEndsAt: this.#issuedAt.get(message.number)! + message.lease,
+            leaseExpiresAt: this.#reportIssuedAt.get(message.number)! + message.lease,
             endsAt: message.serves ? Infinity : now + (payload.runMilliseconds ?? 0),
             startedAt: now,
             isStopping: false,
         };
-        this.running.set(key, live);
-        this.#auditStart(live);
-        return live;
+        this.running.set(key, execution);
+        this.#auditStart(execution);
+        return execution;
     }
 
     /** Begins to stop a task. */
     stop(message: StopMessage, now: number): boolean {
-        const live = this.running.get(keyOf(message.task, message.attempt));
-        if (live === undefined || live.isStopping) {
+        const execution = this.running.get(attemptKey(message.task, message.attempt));
+        if (execution === undefined || execution.isStopping) {
             return false;
         }
-        live.isStopping = true;
+        execution.isStopping = true;
         const kind = message.mode === StopMode.Checkpoint ? EndKind.Checkpointed : EndKind.Stopped;
-        void this.options.stopServing(live).then(() => this.#end(live, kind, "", now));
+        void this.options.closeService(execution).then(() => this.#finish(execution, kind, "", now));
         return true;
     }
 
     /** Holds a task to an amount of processors. */
     throttle(message: ThrottleMessage): boolean {
-        const live = this.running.get(keyOf(message.task, message.attempt));
-        if (live === undefined) {
+        const execution = this.running.get(attemptKey(message.task, message.attempt));
+        if (execution === undefined) {
             return false;
         }
-        live.throttledTo = message.processorThousandths;
+        execution.processorLimit = message.processorThousandths;
         const { task, attempt, processorThousandths } = message;
         this.options.audit?.add("throttle", { worker: this.options.worker, task, attempt, processorThousandths });
         return true;
@@ -177,26 +177,28 @@
 
     /** Ends what is due: finished runs and lapsed leases. */
     expire(now: number): void {
-        for (const live of [...this.running.values()]) {
-            if (live.leaseEndsAt <= now) {
-                void this.options.stopServing(live);
-                this.#end(live, EndKind.LeaseLapsed, "", now);
+        for (const execution of [...this.running.values()]) {
+            if (execution.leaseExpiresAt <= now) {
+                void this.options.closeService(execution);
+                this.#finish(execution, EndKind.LeaseLapsed, "", now);
             }
-            else if (!live.isStopping && (live.endsAt <= now || (this.options.failsAll() && !live.serves))) {
-                const fails = live.payload.fail === true || this.options.failsAll();
-                const output = fails ? "failed as told" : live.payload.output ?? "";
-                this.#end(live, fails ? EndKind.Failed : EndKind.Succeeded, output, now);
+            else if (
+                !execution.isStopping && (execution.endsAt <= now || (this.options.failsAll() && !execution.serves))
+            ) {
+                const fails = execution.payload.fail === true || this.options.failsAll();
+                const output = fails ? "failed as told" : execution.payload.output ?? "";
+                this.#finish(execution, fails ? EndKind.Failed : EndKind.Succeeded, output, now);
             }
         }
     }
 
     /** Ends everything without a word, as a killed VM does. */
-    drop(): void {
-        for (const live of this.running.values()) {
+    killAll(): void {
+        for (const execution of this.running.values()) {
             this.options.audit?.add("end", {
                 worker: this.options.worker,
-                task: live.task,
-                attempt: live.attempt,
+                task: execution.task,
+                attempt: execution.attempt,
                 kind: "killed",
             });
         }
@@ -204,8 +206,8 @@
         this.ended.clear();
     }
 
-    #refusalOf(message: StartMessage, now: number): WorkerRefusal | undefined {
-        const issuedAt = this.#issuedAt.get(message.number);
+    #checkStart(message: StartMessage, now: number): WorkerRefusal | undefined {
+        const issuedAt = this.#reportIssuedAt.get(message.number);
         if (issuedAt === undefined) {
             return WorkerRefusal.OldNumber;
         }
@@ -215,31 +217,31 @@
         return this.isLeaving ? WorkerRefusal.Leaving : undefined;
     }
 
-    #end(live: LiveTask, kind: EndKind, output: string, now: number): void {
-        const key = keyOf(live.task, live.attempt);
+    #finish(execution: TaskExecution, kind: EndKind, output: string, now: number): void {
+        const key = attemptKey(execution.task, execution.attempt);
         if (!this.running.delete(key)) {
             return;
         }
-        const { task, attempt } = live;
-        this.ended.set(key, { task, attempt, kind, output, ranFor: now - live.startedAt });
+        const { task, attempt } = execution;
+        this.ended.set(key, { task, attempt, kind, output, ranFor: now - execution.startedAt });
         this.options.audit?.add("end", { worker: this.options.worker, task, attempt, kind });
-        this.options.changed();
+        this.options.onChange();
     }
 
     /** Notes the sum of all grants with each start: the proof that a VM is never given more than it has. */
-    #auditStart(live: LiveTask): void {
+    #auditStart(execution: TaskExecution): void {
         const { capacity, audit, worker } = this.options;
         const sum = (name: keyof Resources) =>
             [...this.running.values()].reduce((total, task) => total + task.grant[name], 0);
         const isOver = (Object.keys(capacity) as (keyof Resources)[]).some(name => sum(name) > capacity[name]);
         audit?.add("start", {
             worker,
-            task: live.task,
-            attempt: live.attempt,
+            task: execution.task,
+            attempt: execution.attempt,
             isOver,
             isLeaving: this.isLeaving,
             processors: sum("processorThousandths"),
-            epoch: this.#epoch,
+            epoch: this.#highestEpoch,
         });
     }
 }
--- a/packages/stand-ins/src/workers/worker.ts
+++ b/packages/stand-ins/src/workers/worker-stand-in.ts
@@ -14,7 +14,7 @@
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from "node:http";
 import type { AddressInfo } from "node:net";
 import type { AuditLog } from "../audit/index.js";
-import { type LiveTask, TaskTable, usageOf } from "./task-table.js";
+import { reportedUsage, type TaskExecution, TaskTable } from "./task-table.js";
 
 /** What fails at a worker. */
 export interface WorkerFaults {
@@ -35,13 +35,13 @@
 }
 
 /** Who a worker is. */
-export interface WorkerOptions extends Omit<ListedWorker, "address" | "state"> {
+export interface WorkerStandInOptions extends Omit<ListedWorker, "address" | "state"> {
     readonly audit?: AuditLog;
 }
 
 const statusOk = 200;
-const statusRefused = 409;
-const statusBusy = 503;
+const statusConflict = 409;
+const statusServiceUnavailable = 503;
 const expiryInterval = 5;
 
 const readBody = async (request: IncomingMessage): Promise<Buffer> => {
@@ -64,28 +64,28 @@
         crossesAnswers: false,
     };
     #table: TaskTable;
-    readonly #services = new Map<LiveTask, { server: Server; inFlight: number; }>();
-    readonly #waiting = new Set<() => void>();
+    readonly #services = new Map<TaskExecution, { server: Server; inFlight: number; }>();
+    readonly #waitingHeartbeats = new Set<() => void>();
     #server: Server | undefined;
     #port = 0;
     #incarnation = 1;
-    #expiring: NodeJS.Timeout | undefined;
+    #expiryTimer: NodeJS.Timeout | undefined;
 
-    constructor(readonly options: WorkerOptions) {
-        this.#table = this.#makeTable();
+    constructor(readonly options: WorkerStandInOptions) {
+        this.#table = this.#createTable();
     }
 
     /** Listens, at the same port after a restart. */
     async listen(): Promise<void> {
-        this.#server = createServer((request, response) => void this.#serve(request, response));
+        this.#server = createServer((request, response) => void this.#handleMessage(request, response));
         this.#server.keepAliveTimeout = 60_000;
         await new Promise<void>(resolve => this.#server!.listen(this.#port, "127.0.0.1", resolve));
         this.#port = (this.#server.address() as AddressInfo).port;
-        this.#expiring = setInterval(() => this.#table.expire(performance.now()), expiryInterval);
+        this.#expiryTimer = setInterval(() => this.#table.expire(performance.now()), expiryInterval);
     }
 
     /** How the platform lists this worker. */
-    listed(): ListedWorker {
+    toListedWorker(): ListedWorker {
         const { worker, rack, dataHall, region, capacity } = this.options;
         const state = this.#table.isLeaving ? VmState.Leaving : VmState.Live;
         return { worker, rack, dataHall, region, capacity, address: `127.0.0.1:${this.#port}`, state };
@@ -95,14 +95,14 @@
     leave(): void {
         this.#table.isLeaving = true;
         this.options.audit?.add("leaving", { worker: this.options.worker });
-        this.#wake();
+        this.#notifyHeartbeats();
     }
 
     /** Ends the worker and all its tasks without a word. */
     kill(): void {
-        clearInterval(this.#expiring);
+        clearInterval(this.#expiryTimer);
         this.options.audit?.add("killed", { worker: this.options.worker });
-        this.#table.drop();
+        this.#table.killAll();
         this.#services.forEach(({ server }) => {
             server.closeAllConnections();
             server.close();
@@ -110,13 +110,13 @@
         this.#services.clear();
         this.#server?.closeAllConnections();
         this.#server?.close();
-        this.#wake();
+        this.#notifyHeartbeats();
     }
 
     /** Starts again after {@link kill}, with nothing running. */
     async restart(): Promise<void> {
         this.#incarnation++;
-        this.#table = this.#makeTable();
+        this.#table = this.#createTable();
         await this.listen();
     }
 
@@ -128,39 +128,39 @@
         }
     }
 
-    #makeTable(): TaskTable {
+    #createTable(): TaskTable {
         return new TaskTable({
             worker: this.options.worker,
             capacity: this.options.capacity,
             audit: this.options.audit,
             failsAll: () => this.faults.failsAll,
-            stopServing: task => this.#stopServing(task),
-            changed: () => this.#wake(),
+            closeService: task => this.#closeService(task),
+            onChange: () => this.#notifyHeartbeats(),
         });
     }
 
-    #wake(): void {
-        this.#waiting.forEach(wake => wake());
+    #notifyHeartbeats(): void {
+        this.#waitingHeartbeats.forEach(wake => wake());
     }
 
-    async #serve(request: IncomingMessage, response: ServerResponse): Promise<void> {
+    async #handleMessage(request: IncomingMessage, response: ServerResponse): Promise<void> {
         try {
             const message = JSON.parse((await readBody(request)).toString()) as ClaimMessage;
-            if (this.#isCutFrom(message.epoch)) {
+            if (this.#isDisconnectedFrom(message.epoch)) {
                 request.socket.destroy();
                 return;
             }
-            const answer = this.#table.accepts(message.epoch)
-                ? await this.#carryOut(request.url ?? "", message, response)
+            const answer = this.#table.acceptEpoch(message.epoch)
+                ? await this.#execute(request.url ?? "", message, response)
                 : WorkerRefusal.OldEpoch;
             const isLost = request.url === "/tasks/start" && this.faults.loseStartAnswers > 0;
-            if (isLost || this.#isCutFrom(message.epoch)) {
+            if (isLost || this.#isDisconnectedFrom(message.epoch)) {
                 this.faults.loseStartAnswers -= isLost ? 1 : 0;
                 request.socket.destroy();
                 return;
             }
             const isRefusal = typeof answer === "string";
-            response.writeHead(isRefusal ? statusRefused : statusOk, { "content-type": "application/json" });
+            response.writeHead(isRefusal ? statusConflict : statusOk, { "content-type": "application/json" });
             response.end(JSON.stringify(isRefusal ? { refusal: answer } : answer));
         }
         catch {
@@ -168,23 +168,23 @@
         }
     }
 
-    #isCutFrom(epoch: number): boolean {
+    #isDisconnectedFrom(epoch: number): boolean {
         const { isCut, cutUpToEpoch, cutFromEpoch } = this.faults;
         return isCut || epoch <= cutUpToEpoch || (cutFromEpoch > 0 && epoch >= cutFromEpoch);
     }
 
-    async #carryOut(path: string, message: ClaimMessage, response: ServerResponse): Promise<unknown> {
+    async #execute(path: string, message: ClaimMessage, response: ServerResponse): Promise<unknown> {
         const now = performance.now();
         switch (path) {
             case "/tasks/claim":
                 return this.#report();
             case "/tasks/heartbeat": {
                 const heartbeat = message as HeartbeatMessage;
-                this.#table.renew(heartbeat);
+                this.#table.applyHeartbeat(heartbeat);
                 if (this.#table.ended.size === 0) {
-                    await this.#untilChanged(heartbeat.wait, response);
+                    await this.#waitForChange(heartbeat.wait, response);
                 }
-                return this.#table.accepts(message.epoch) ? this.#report() : WorkerRefusal.OldEpoch;
+                return this.#table.acceptEpoch(message.epoch) ? this.#report() : WorkerRefusal.OldEpoch;
             }
             case "/tasks/start":
                 return this.#start(message as StartMessage, now);
@@ -197,15 +197,15 @@
         }
     }
 
-    #untilChanged(wait: number, response: ServerResponse): Promise<void> {
+    #waitForChange(wait: number, response: ServerResponse): Promise<void> {
         return new Promise(resolve => {
             const finish = () => {
                 clearTimeout(timer);
-                this.#waiting.delete(finish);
+                this.#waitingHeartbeats.delete(finish);
                 resolve();
             };
             const timer = setTimeout(finish, wait);
-            this.#waiting.add(finish);
+            this.#waitingHeartbeats.add(finish);
             response.once("close", finish);
         });
     }
@@ -214,9 +214,9 @@
         return {
             worker: this.options.worker,
             incarnation: `${this.options.worker}-${this.#incarnation}` as WorkerReport["incarnation"],
-            number: this.#table.issueNumber(performance.now()),
+            number: this.#table.issueReportNumber(performance.now()),
             leaving: this.#table.isLeaving,
-            running: [...this.#table.running.values()].map(describeRunning),
+            running: [...this.#table.running.values()].map(toRunningTask),
             ended: [...this.#table.ended.values()],
         };
     }
@@ -232,21 +232,21 @@
         if (outcome.serves && outcome.serviceAddress === undefined) {
             outcome.serviceAddress = await this.#openService(outcome);
         }
-        return describeRunning(outcome);
+        return toRunningTask(outcome);
     }
 
-    async #openService(task: LiveTask): Promise<string> {
+    async #openService(task: TaskExecution): Promise<string> {
         const service = { server: createServer(), inFlight: 0 };
         this.#services.set(task, service);
         service.server.keepAliveTimeout = 60_000;
         service.server.on("request", (request: IncomingMessage, response: ServerResponse) => {
-            void this.#serveLive(task, service, request, response);
+            void this.#handleLiveRequest(task, service, request, response);
         });
         await new Promise<void>(resolve => service.server.listen(0, "127.0.0.1", resolve));
         return `127.0.0.1:${(service.server.address() as AddressInfo).port}`;
     }
 
-    async #stopServing(task: LiveTask): Promise<void> {
+    async #closeService(task: TaskExecution): Promise<void> {
         const service = this.#services.get(task);
         if (service === undefined) {
             return;
@@ -259,8 +259,8 @@
     }
 
     /** Answers after `milliseconds` with `bytes` bytes that depend on the request's id. */
-    async #serveLive(
-        task: LiveTask,
+    async #handleLiveRequest(
+        task: TaskExecution,
         service: { inFlight: number; },
         request: IncomingMessage,
         response: ServerResponse,
@@ -268,7 +268,7 @@
         const id = String(request.headers["pebbledale-request-id"]);
         if (service.inFlight >= task.grant.slots) {
             request.resume();
-            response.writeHead(statusBusy, { "pebbledale-refused": "busy" }).end();
+            response.writeHead(statusServiceUnavailable, { "pebbledale-refused": "busy" }).end();
             return;
         }
         service.inFlight++;
@@ -301,9 +301,9 @@
     }
 }
 
-const describeRunning = (task: LiveTask): RunningTask => ({
+const toRunningTask = (task: TaskExecution): RunningTask => ({
     task: task.task,
     attempt: task.attempt,
-    usage: usageOf(task, performance.now()),
+    usage: reportedUsage(task, performance.now()),
     serviceAddress: task.serviceAddress,
 });
