--- a/packages/stand-ins/src/cli/main.ts
+++ b/packages/stand-ins/src/cli/main.ts
@@ -1,5 +1,8 @@
 #!/usr/bin/env node
-/** Runs one stand-in as a process: `platform AUDIT` or `workers SHAPE COUNT AUDIT`. Prints its address, ends with its input. */
+/**
+ * Runs a stand-in as a process of its own. Usage: `platform AUDIT_FILE` or `workers bayanihan|retrouve COUNT AUDIT_FILE`.
+ * Prints its address on the first line and exits when its standard input ends.
+ */
 import { AuditLog } from "../audit/index.js";
 import { PlatformStandIn } from "../platform/index.js";
 import { bayanihanShape, FleetStandIn, retrouveShape } from "../workers/index.js";
@@ -15,5 +18,5 @@
 };
 
 process.stdout.write(`${await start()}\n`);
-// The stand-in ends with the process that started it.
+// Standard input closes when the parent process dies, so no stand-in is left behind.
 process.stdin.on("end", () => process.exit(0)).resume();
--- a/packages/stand-ins/src/platform/index.ts
+++ b/packages/stand-ins/src/platform/index.ts
@@ -1,3 +1,3 @@
-/** Stand-in of the platform: key-value service and list of VMs, with outages, slowness and lost answers. */
+/** Stand-in for the platform: an in-memory key-value service and VM list with injectable outages, delays and lost responses. */
 export * from "./memory-store.js";
 export * from "./platform-stand-in.js";
--- a/packages/stand-ins/src/platform/memory-store.ts
+++ b/packages/stand-ins/src/platform/memory-store.ts
@@ -1,4 +1,4 @@
-/** Keys, versions, leases and watches in memory. */
+/** In-memory implementation of the key-value service. */
 import type { KeyValue, KeyVersion, Milliseconds, PlatformLeaseId, SwapOutcome, WatchEvents } from "@pebbledale/core";
 
 interface LeaseEntry {
@@ -17,13 +17,16 @@
     readonly notify: () => void;
 }
 
-/** Changes that are remembered for watches; an older cursor makes the caller read again. */
+/** Number of changes kept for watches. A watch with an older cursor gets no list of changes and has to read the keys. */
 const maxRetainedChanges = 10_000;
 
-/** See the module's comment. Time is passed in by the caller of each call. */
+/**
+ * Versioned keys with compare-and-swap, leases and change notifications. It has no clock of its own: calls that depend
+ * on time receive the current monotonic time.
+ */
 export class MemoryStore {
     readonly #entries = new Map<string, KeyValue>();
-    /** Versions of keys outlive the keys, so that a key that was deleted and made again has a new version. */
+    /** Shared by all keys, so that a key that is deleted and created again never repeats a version. */
     #lastVersion = 0;
     readonly #leases = new Map<PlatformLeaseId, LeaseEntry>();
     readonly #changes: Change[] = [];
@@ -31,19 +34,17 @@
     #nextSequence = 1;
     #nextLeaseNumber = 1;
 
-    /** Reads a key. */
     get(key: string): KeyValue | undefined {
         return this.#entries.get(key);
     }
 
-    /** Reads all keys that begin with a prefix. */
     list(prefix: string): KeyValue[] {
         return [...this.#entries.values()]
             .filter(entry => entry.key.startsWith(prefix))
             .sort((left, right) => left.key < right.key ? -1 : 1);
     }
 
-    /** Compare-and-swap. The key goes with the lease of its last write, and with no earlier one. */
+    /** Writes a key if it has the expected version (0: does not exist). The key is attached to the lease of this write only. */
     swap(key: string, expected: number, value: string, lease?: PlatformLeaseId): SwapOutcome {
         const current = this.#entries.get(key);
         if ((current?.version ?? 0) !== expected) {
@@ -61,7 +62,7 @@
         return { kind: "swapped", version };
     }
 
-    /** Deletes a key if it has the version. */
+    /** Deletes a key if it has the expected version; true also when it does not exist. */
     remove(key: string, expected: number): boolean {
         const current = this.#entries.get(key);
         if (current !== undefined && current.version !== expected) {
@@ -73,14 +74,13 @@
         return true;
     }
 
-    /** Makes a lease. */
     grantLease(duration: Milliseconds, now: Milliseconds): PlatformLeaseId {
         const lease = `lease-${this.#nextLeaseNumber++}` as PlatformLeaseId;
         this.#leases.set(lease, { duration, expiresAt: now + duration, keys: new Set() });
         return lease;
     }
 
-    /** Renews a lease that has not ended. */
+    /** Extends a lease by its duration; false when it has expired or was revoked. */
     renewLease(lease: PlatformLeaseId, now: Milliseconds): boolean {
         const entry = this.#leases.get(lease);
         if (entry !== undefined) {
@@ -89,7 +89,7 @@
         return entry !== undefined;
     }
 
-    /** Ends a lease and its keys. */
+    /** Ends a lease and deletes the keys attached to it. */
     revokeLease(lease: PlatformLeaseId): void {
         const entry = this.#leases.get(lease);
         this.#leases.delete(lease);
@@ -99,7 +99,7 @@
         });
     }
 
-    /** Ends the leases that lapsed. */
+    /** Revokes all leases whose duration has passed. */
     expire(now: Milliseconds): void {
         for (const [name, lease] of this.#leases) {
             if (lease.expiresAt <= now) {
@@ -108,7 +108,10 @@
         }
     }
 
-    /** Changes below a prefix after a cursor; undefined when there are none. */
+    /**
+     * Changes below a prefix since a cursor; undefined when there are none. An empty or outdated cursor gives the current
+     * cursor without changes.
+     */
     changesAfter(prefix: string, cursor: string): WatchEvents | undefined {
         const after = Number(cursor);
         const oldest = this.#changes[0]?.sequence ?? this.#nextSequence;
@@ -121,12 +124,12 @@
             : { cursor: String(this.#nextSequence - 1), changed: changed.map(change => change.key) };
     }
 
-    /** The present cursor. */
+    /** The position of the latest change. */
     cursor(): string {
         return String(this.#nextSequence - 1);
     }
 
-    /** Calls `wake` at the next change below a prefix; the result ends that. */
+    /** Calls `notify` at each change below a prefix until the returned function is called. */
     onChange(prefix: string, notify: () => void): () => void {
         const listener = { prefix, notify };
         this.#listeners.add(listener);
--- a/packages/stand-ins/src/platform/platform-stand-in.ts
+++ b/packages/stand-ins/src/platform/platform-stand-in.ts
@@ -1,26 +1,26 @@
-/** Serves the stand-in of the platform over HTTP, with a path to make it fail. */
+/** The platform's HTTP interface, with control endpoints for tests. */
 import type { ListedWorker, Milliseconds, PlatformLeaseId } from "@pebbledale/core";
 import fastify, { type FastifyInstance } from "fastify";
 import type { AddressInfo } from "node:net";
 import type { AuditLog } from "../audit/index.js";
 import { MemoryStore } from "./memory-store.js";
 
-/** How the stand-in is to fail. */
+/** Faults that the stand-in injects into calls of the key-value service. */
 export interface PlatformFaults {
-    /** No call is answered and none takes effect. */
+    /** Connections are closed without a response, and calls have no effect. */
     outage: boolean;
-    /** Each answer comes this much later. */
+    /** Added to the response time of each call, in milliseconds. */
     delay: Milliseconds;
-    /** This many writes take effect and get no answer. */
+    /** Number of upcoming writes that take effect without a response. */
     loseAnswers: number;
 }
 
-/** The body of a control call; what is left out stays as it is. */
+/** The body of `POST /control`; omitted fields keep their values. */
 export interface PlatformControl extends Partial<PlatformFaults> {
     readonly workers?: readonly ListedWorker[];
 }
 
-/** Calls of the platform so far. */
+/** Calls since the start, as returned by `GET /counts`. */
 export interface PlatformCounts {
     readonly reads: number;
     readonly writes: number;
@@ -30,7 +30,7 @@
 
 const leaseExpiryInterval = 50;
 const writeCalls = new Set(["swap", "remove", "lease-grant", "lease-renew", "lease-revoke"]);
-/** Only these keys are written to the audit: the others change too often to be of use there. */
+/** Keys whose writes are audited; the others change too often. */
 const auditedPrefixes = ["settings/", "owners/"];
 
 interface CallBody {
@@ -43,7 +43,10 @@
     readonly cursor: string;
 }
 
-/** Serves the platform's key-value service and VM list over HTTP from memory, with faults on demand. */
+/**
+ * Serves the platform's key-value service and VM list from memory on loopback. `POST /control` sets faults and the VM
+ * list, `GET /counts` returns call counts.
+ */
 export class PlatformStandIn {
     readonly store = new MemoryStore();
     readonly faults: PlatformFaults = { outage: false, delay: 0, loseAnswers: 0 };
@@ -80,25 +83,23 @@
         this.#expiryTimer = setInterval(() => this.store.expire(performance.now()), leaseExpiryInterval);
     }
 
-    /** Changes what fails and which VMs are listed. */
+    /** Sets faults and the list of VMs. */
     control({ workers, ...faults }: PlatformControl): void {
         Object.assign(this.faults, faults);
         this.#workers = workers ?? this.#workers;
         this.audit?.add("platform-control", { ...faults, workers: workers?.length });
     }
 
-    /** Listens; resolves to the address. */
+    /** Starts listening on loopback, by default on a free port; resolves to the address. */
     async listen(port = 0): Promise<string> {
         await this.#server.listen({ host: "127.0.0.1", port });
         return this.address;
     }
 
-    /** Where it listens. */
     get address(): string {
         return `127.0.0.1:${(this.#server.server.address() as AddressInfo).port}`;
     }
 
-    /** Ends the stand-in. */
     async close(): Promise<void> {
         clearInterval(this.#expiryTimer);
         await this.#server.close();
@@ -131,7 +132,7 @@
             case "watch":
                 return this.#watch(body, disconnected);
             default:
-                throw new Error(`no such call: ${call}`);
+                throw new Error(`unknown platform call: ${call}`);
         }
     }
 
--- a/packages/stand-ins/src/relay/index.ts
+++ b/packages/stand-ins/src/relay/index.ts
@@ -1,7 +1,7 @@
-/** A TCP relay that can be cut: stands between one process and an outside system. */
+/** TCP relay for simulating network partitions. */
 import { type AddressInfo, connect, createServer, type Server, type Socket } from "node:net";
 
-/** See the module's comment. */
+/** Forwards connections from a loopback port to a target, so that a test can disconnect one process from an external system. */
 export class TcpRelay {
     readonly #sockets = new Set<Socket>();
     readonly #server: Server;
@@ -20,7 +20,7 @@
         });
     }
 
-    /** Listens on loopback; resolves to the address, the same one when called again. */
+    /** Starts listening on loopback, once; every call resolves to the same address. */
     listen(): Promise<string> {
         this.#address ??= new Promise(resolve => {
             this.#server.listen(
@@ -32,7 +32,7 @@
         return this.#address;
     }
 
-    /** Cuts all connections and lets none through, or lets them through again. */
+    /** While disconnected, open connections are closed and new ones are rejected. */
     setDisconnected(isDisconnected: boolean): void {
         this.#isDisconnected = isDisconnected;
         if (isDisconnected) {
@@ -40,7 +40,6 @@
         }
     }
 
-    /** Ends the relay. */
     close(): void {
         this.setDisconnected(true);
         this.#server.close();
--- a/packages/stand-ins/src/workers/fleet-stand-in.ts
+++ b/packages/stand-ins/src/workers/fleet-stand-in.ts
@@ -1,11 +1,11 @@
-/** Many workers in one process, with a path to make them fail. */
+/** The workers of a cell in one process, with control endpoints for tests. */
 import { type ListedWorker, type Resources, workerId } from "@pebbledale/core";
 import fastify, { type FastifyInstance } from "fastify";
 import type { AddressInfo } from "node:net";
 import type { AuditLog } from "../audit/index.js";
 import { type WorkerFaults, WorkerStandIn } from "./worker-stand-in.js";
 
-/** How many workers of which size, in racks and data halls. */
+/** Number and size of the workers, and how they are spread over racks and data halls. */
 export interface FleetShape {
     readonly count: number;
     readonly rackSize: number;
@@ -14,14 +14,14 @@
     readonly capacity: Resources;
 }
 
-/** The body of a control call. */
+/** The body of `POST /control`. `faults` is read by the action `faults` only; omitted faults keep their values. */
 export interface FleetControl {
     readonly worker: string;
     readonly action: "kill" | "restart" | "leave" | "faults";
     readonly faults?: Partial<WorkerFaults>;
 }
 
-/** Bayanihan's workers. */
+/** Default fleet of the organisation Bayanihan. */
 export const bayanihanShape: FleetShape = {
     count: 30,
     rackSize: 8,
@@ -30,7 +30,7 @@
     capacity: { processorThousandths: 64_000, memoryMebibytes: 131_072, accelerators: 0, slots: 8, connections: 64 },
 };
 
-/** Retrouve's workers. */
+/** Default fleet of the organisation Retrouve: more memory, smaller racks. */
 export const retrouveShape: FleetShape = {
     count: 30,
     rackSize: 6,
@@ -39,7 +39,7 @@
     capacity: { processorThousandths: 64_000, memoryMebibytes: 262_144, accelerators: 0, slots: 8, connections: 64 },
 };
 
-/** Stand-ins of a cell's workers. */
+/** Runs one {@link WorkerStandIn} per worker. `GET /workers` lists them as the platform does, `POST /control` injects faults. */
 export class FleetStandIn {
     readonly workers: readonly WorkerStandIn[];
     readonly #server: FastifyInstance = fastify({ logger: false, forceCloseConnections: true });
@@ -63,12 +63,12 @@
         });
     }
 
-    /** How the platform lists the workers. */
+    /** The workers in the form of the platform's VM list. */
     listWorkers(): ListedWorker[] {
         return this.workers.map(worker => worker.toListedWorker());
     }
 
-    /** Makes a worker fail. */
+    /** Applies a control action to a worker; unknown workers are ignored. */
     async control(control: FleetControl): Promise<void> {
         const worker = this.workers.find(entry => entry.options.worker === control.worker);
         switch (control.action) {
@@ -83,14 +83,13 @@
         }
     }
 
-    /** Listens with all workers; resolves to the control address. */
+    /** Starts all workers and the control server; resolves to the address of the latter. */
     async listen(): Promise<string> {
         await Promise.all(this.workers.map(worker => worker.listen()));
         await this.#server.listen({ host: "127.0.0.1", port: 0 });
         return `127.0.0.1:${(this.#server.server.address() as AddressInfo).port}`;
     }
 
-    /** Ends all workers. */
     async close(): Promise<void> {
         this.workers.forEach(worker => worker.kill());
         await this.#server.close();
--- a/packages/stand-ins/src/workers/task-table.ts
+++ b/packages/stand-ins/src/workers/task-table.ts
@@ -1,4 +1,4 @@
-/** Tasks of one worker under leases, as the workers' protocol has them. */
+/** Task state of one worker. */
 import {
     type Attempt,
     type EndedTask,
@@ -15,16 +15,16 @@
 } from "@pebbledale/core";
 import type { AuditLog } from "../audit/index.js";
 
-/** What a task of the stand-in does; the payload of a job. */
+/** Job payload that the stand-in understands: how the simulated task behaves. */
 export interface TaskPayload {
     readonly runMilliseconds?: number;
     readonly output?: string;
     readonly fail?: boolean;
-    /** Processors that it uses whatever it was granted; its grant if absent. */
+    /** Processors it uses regardless of its grant; defaults to its grant. */
     readonly usesProcessors?: number;
 }
 
-/** A task that runs. */
+/** A running task. Times are in milliseconds of the worker's monotonic clock. */
 export interface TaskExecution {
     readonly task: TaskId;
     readonly attempt: Attempt;
@@ -36,14 +36,14 @@
     readonly startedAt: number;
     serviceAddress?: string;
     isStopping: boolean;
-    /** Set by a throttle message: it uses no more than this. */
+    /** Upper limit of its processor use in thousandths, set by a throttle message. */
     processorLimit?: number;
 }
 
-/** How late usage is reported, in milliseconds. */
+/** Delay before measured usage is reported, in milliseconds. */
 const usageReportDelay = 500;
 
-/** Usage as the worker reports it: late, so at first nothing is known beyond the grant. */
+/** Usage as the worker reports it: the grant until a first measurement is available. */
 export const reportedUsage = (task: TaskExecution, now: number): Resources => {
     const used = (task.payload.usesProcessors ?? task.grant.processorThousandths / 1000) * 1000;
     const isKnown = now - task.startedAt >= usageReportDelay;
@@ -53,24 +53,27 @@
     return { ...task.grant, processorThousandths };
 };
 
-/** What a table needs of its worker. */
+/** The owning worker's properties and callbacks. */
 export interface TaskTableOptions {
     readonly worker: string;
     readonly capacity: Resources;
     readonly audit?: AuditLog;
-    /** Whether every task fails as soon as it starts. */
+    /** Whether every task that is not a service fails as soon as it starts. */
     readonly failsAll: () => boolean;
-    /** Ends what serves a task; resolves once its execution requests are answered. */
+    /** Stops serving live requests for a task; resolves once those in progress are answered. */
     readonly closeService: (task: TaskExecution) => Promise<void>;
-    /** Told when a task ended, so that a waiting heartbeat is answered. */
+    /** Called when a task has ended, so that a waiting heartbeat can be answered. */
     readonly onChange: () => void;
 }
 
 const attemptKey = (task: TaskId, attempt: Attempt): string => `${task}#${attempt}`;
-/** Numbers of reports that are remembered. */
+/** Number of reports whose time of issue is kept; starts that refer to older ones are refused. */
 const maxReportNumbers = 200;
 
-/** See the module's comment. Times are milliseconds of the worker's monotonic clock. */
+/**
+ * Running and ended tasks of one worker under the worker protocol: leases, epochs and report numbers. Times are in
+ * milliseconds of the worker's monotonic clock.
+ */
 export class TaskTable {
     readonly running = new Map<string, TaskExecution>();
     readonly ended = new Map<string, EndedTask>();
@@ -82,7 +85,7 @@
 
     constructor(private readonly options: TaskTableOptions) {}
 
-    /** Takes an epoch if it is not older than the highest seen. */
+    /** Records the epoch of a message; false when a higher one has been seen. */
     acceptEpoch(epoch: Epoch): boolean {
         if (epoch < this.#highestEpoch) {
             return false;
@@ -91,7 +94,7 @@
         return true;
     }
 
-    /** Issues the number of a report. */
+    /** Issues the number of the next report and records its time: leases count from there. */
     issueReportNumber(now: number): number {
         this.#lastReportNumber++;
         this.#reportIssuedAt.set(this.#lastReportNumber, now);
@@ -99,7 +102,7 @@
         return this.#lastReportNumber;
     }
 
-    /** Renews leases and forgets acknowledged ends. */
+    /** Renews leases and drops ended tasks that the owner has acknowledged. */
     applyHeartbeat(message: HeartbeatMessage): void {
         const issuedAt = this.#reportIssuedAt.get(message.number);
         for (const { task, attempt } of message.acknowledged) {
@@ -113,7 +116,7 @@
         }
     }
 
-    /** Starts a task, or says why not. A copy of an accepted start changes nothing. */
+    /** Starts a task or refuses it. Idempotent: a repeated start returns the running task, or `known` when it has ended. */
     start(message: StartMessage, now: number): TaskExecution | WorkerRefusal | "known" {
         const key = attemptKey(message.task, message.attempt);
         const known = this.running.get(key);
@@ -151,7 +154,7 @@
         return execution;
     }
 
-    /** Begins to stop a task. */
+    /** Initiates the stop of a task; false when it does not run or is already stopping. */
     stop(message: StopMessage, now: number): boolean {
         const execution = this.running.get(attemptKey(message.task, message.attempt));
         if (execution === undefined || execution.isStopping) {
@@ -163,7 +166,7 @@
         return true;
     }
 
-    /** Holds a task to an amount of processors. */
+    /** Limits a task's processor use; false when it does not run. */
     throttle(message: ThrottleMessage): boolean {
         const execution = this.running.get(attemptKey(message.task, message.attempt));
         if (execution === undefined) {
@@ -175,7 +178,7 @@
         return true;
     }
 
-    /** Ends what is due: finished runs and lapsed leases. */
+    /** Ends tasks whose run time is over or whose lease has expired. */
     expire(now: number): void {
         for (const execution of [...this.running.values()]) {
             if (execution.leaseExpiresAt <= now) {
@@ -192,7 +195,7 @@
         }
     }
 
-    /** Ends everything without a word, as a killed VM does. */
+    /** Drops all tasks without reporting their end, as when a VM is killed. */
     killAll(): void {
         for (const execution of this.running.values()) {
             this.options.audit?.add("end", {
@@ -228,7 +231,7 @@
         this.options.onChange();
     }
 
-    /** Notes the sum of all grants with each start: the proof that a VM is never given more than it has. */
+    /** Records with each start whether the sum of all grants exceeds the worker's capacity. */
     #auditStart(execution: TaskExecution): void {
         const { capacity, audit, worker } = this.options;
         const sum = (name: keyof Resources) =>
--- a/packages/stand-ins/src/workers/worker-stand-in.ts
+++ b/packages/stand-ins/src/workers/worker-stand-in.ts
@@ -1,4 +1,4 @@
-/** One worker: the protocol over HTTP, and instances that serve live requests at ports of their own. */
+/** Stand-in for one worker. */
 import {
     type ClaimMessage,
     type HeartbeatMessage,
@@ -16,25 +16,25 @@
 import type { AuditLog } from "../audit/index.js";
 import { reportedUsage, type TaskExecution, TaskTable } from "./task-table.js";
 
-/** What fails at a worker. */
+/** Faults that a worker injects. */
 export interface WorkerFaults {
-    /** Connections are dropped; tasks go on. */
+    /** Connections are closed without a response; tasks keep running. */
     isCut: boolean;
-    /** Messages of owners up to this epoch are dropped. */
+    /** Messages of owners up to this epoch get no response and have no effect. */
     cutUpToEpoch: number;
-    /** Messages of owners from this epoch on are dropped; 0 drops none. */
+    /** The same for owners from this epoch on; 0 disables it. */
     cutFromEpoch: number;
-    /** The next starts are carried out and their answers are lost. */
+    /** Number of upcoming start messages that take effect without a response. */
     loseStartAnswers: number;
-    /** Every task fails as soon as it starts. */
+    /** Every task that is not a service fails as soon as it starts. */
     failsAll: boolean;
-    /** Answers to live requests break off in the middle. */
+    /** Responses to live requests are truncated. */
     cutsAnswers: boolean;
-    /** Answers to live requests carry the id and body of another request. */
+    /** Responses to live requests carry the ID of another request. */
     crossesAnswers: boolean;
 }
 
-/** Who a worker is. */
+/** Identity, location and capacity of a worker. */
 export interface WorkerStandInOptions extends Omit<ListedWorker, "address" | "state"> {
     readonly audit?: AuditLog;
 }
@@ -52,7 +52,10 @@
     return Buffer.concat(chunks);
 };
 
-/** See the module's comment. */
+/**
+ * Serves the worker protocol over HTTP on loopback. Tasks are simulated; each instance of a service listens on a port of
+ * its own for live requests.
+ */
 export class WorkerStandIn {
     readonly faults: WorkerFaults = {
         isCut: false,
@@ -75,7 +78,7 @@
         this.#table = this.#createTable();
     }
 
-    /** Listens, at the same port after a restart. */
+    /** Starts listening; after a restart, on the same port. */
     async listen(): Promise<void> {
         this.#server = createServer((request, response) => void this.#handleMessage(request, response));
         this.#server.keepAliveTimeout = 60_000;
@@ -84,21 +87,21 @@
         this.#expiryTimer = setInterval(() => this.#table.expire(performance.now()), expiryInterval);
     }
 
-    /** How the platform lists this worker. */
+    /** The worker's entry in the platform's VM list. */
     toListedWorker(): ListedWorker {
         const { worker, rack, dataHall, region, capacity } = this.options;
         const state = this.#table.isLeaving ? VmState.Leaving : VmState.Live;
         return { worker, rack, dataHall, region, capacity, address: `127.0.0.1:${this.#port}`, state };
     }
 
-    /** Says that the worker is leaving: it refuses new starts. */
+    /** Marks the worker as leaving: it reports so and refuses to start tasks. */
     leave(): void {
         this.#table.isLeaving = true;
         this.options.audit?.add("leaving", { worker: this.options.worker });
         this.#notifyHeartbeats();
     }
 
-    /** Ends the worker and all its tasks without a word. */
+    /** Stops the worker and all its tasks at once, without reporting their end. */
     kill(): void {
         clearInterval(this.#expiryTimer);
         this.options.audit?.add("killed", { worker: this.options.worker });
@@ -113,14 +116,13 @@
         this.#notifyHeartbeats();
     }
 
-    /** Starts again after {@link kill}, with nothing running. */
+    /** Starts the worker again after {@link kill}, as a new incarnation without tasks. */
     async restart(): Promise<void> {
         this.#incarnation++;
         this.#table = this.#createTable();
         await this.listen();
     }
 
-    /** Applies faults. */
     setFaults(faults: Partial<WorkerFaults>): void {
         Object.assign(this.faults, faults);
         if (this.faults.isCut) {
@@ -193,7 +195,7 @@
             case "/tasks/throttle":
                 return this.#table.throttle(message as ThrottleMessage);
             default:
-                throw new Error(`no such message: ${path}`);
+                throw new Error(`unknown worker message: ${path}`);
         }
     }
 
@@ -258,7 +260,10 @@
         });
     }
 
-    /** Answers after `milliseconds` with `bytes` bytes that depend on the request's id. */
+    /**
+     * Responds after `milliseconds` with the request's ID and body and `bytes` bytes of repeated ID. The query may also set
+     * `status`, and `cut` truncates the response.
+     */
     async #handleLiveRequest(
         task: TaskExecution,
         service: { inFlight: number; },
