--- a/packages/evidence/src/bench/decisions.ts
+++ b/packages/evidence/src/bench/decisions.ts
@@ -81,7 +81,9 @@
     readonly p999: number;
 }
 
-/** The whole decision in the real scheduler: queue, quota, filter, score, grant, recorded reason. Times in microseconds. */
+/**
+ * The whole decision in the real scheduler: queue, quota, filter, score, grant, recorded reason. Times in microseconds.
+ */
 const measureFullDecision = (count: number): FullDecisionResult => {
     const clock = new SystemClock();
     const random = new SeededRandom(5);
--- a/packages/evidence/src/capacity/decision-slopes.ts
+++ b/packages/evidence/src/capacity/decision-slopes.ts
@@ -1,4 +1,4 @@
-/** Slopes of the scheduler's decisions, measured in this process. */
+/** Costs of the scheduler's decisions, measured in this process without network and storage. */
 import {
     type Attempt,
     type Epoch,
@@ -46,7 +46,7 @@
     return (spent.user + spent.system) / count;
 };
 
-/** A shard with running tasks; times of its making in microseconds each. */
+/** A shard's scheduler with workers that accept every task. Each transition is committed at once, without a journal. */
 class LoadedShard {
     readonly scheduler: ShardScheduler;
     readonly records: ShardRecord[] = [];
@@ -75,7 +75,9 @@
         }
     }
 
-    /** Submits and places tasks until the fleet holds its fill, and confirms them. */
+    /**
+     * Submits and starts {@link tasksPerWorker} tasks per worker; returns the processor time of each in microseconds.
+     */
     fill(): { submit: number; start: number; } {
         const tasks = this.workers * tasksPerWorker;
         const submit = processorTimePerItem(tasks, () => {
@@ -111,7 +113,10 @@
         };
     }
 
-    /** One heartbeat of every worker; sizes of the messages in bytes. */
+    /**
+     * Exchanges one heartbeat with every worker; returns the mean sizes of heartbeat (`out`) and report (`back`) in
+     * bytes.
+     */
     exchangeHeartbeats(): { out: number; back: number; } {
         let out = 0;
         let back = 0;
@@ -152,7 +157,7 @@
     return JSON.stringify(chosen).length / Math.max(1, chosen.length);
 };
 
-/** Measures the decisions' slopes at two sizes of a shard. */
+/** Measures memory, processor time and message sizes of a shard, heartbeats and ticks at two numbers of workers. */
 export const measureDecisionSlopes = (): Slope[] => {
     const slopes: Slope[] = [];
     const add = (what: string, value: number, unit: string) => slopes.push({ role: "scheduler", what, value, unit });
@@ -203,7 +208,7 @@
     const gateway = processId("gateway-0");
     const acquire = processorTimePerItem(10_000, () => {
         for (let index = 0; index < 10_000; index++) {
-            smallShard.scheduler.acquireSlots("none", { gateway: gateway, dataHall: "", demand: 1, held: [] });
+            smallShard.scheduler.acquireSlots("none", { gateway, dataHall: "", demand: 1, held: [] });
         }
     });
     add("processor a request for slots of an unknown service", acquire, "us");
--- a/packages/evidence/src/capacity/index.ts
+++ b/packages/evidence/src/capacity/index.ts
@@ -1,4 +1,4 @@
-/** Slopes behind the capacity page: what one more worker, task, job, heartbeat or request costs. */
+/** Cost per worker, task, job, heartbeat and request, for capacity planning. */
 export * from "./decision-slopes.js";
 export * from "./process-slopes.js";
 export * from "./types.js";
--- a/packages/evidence/src/capacity/process-slopes.ts
+++ b/packages/evidence/src/capacity/process-slopes.ts
@@ -1,4 +1,4 @@
-/** Slopes of real processes on loopback: processor time, memory and platform calls, read from their own metrics. */
+/** Costs of real processes on loopback, read from their metrics. */
 import { request } from "undici";
 import { Cell, pause } from "../cell/index.js";
 import { createJob, sendLiveRequest, startService, submitAll, waitForAll } from "../prove/proofs/workload.js";
@@ -27,7 +27,10 @@
     };
 };
 
-/** Measures a cell of 30 workers at rest, under live requests, and under jobs. */
+/**
+ * Measures processor time, memory and platform calls of a cell of 30 workers when idle, under live requests and under
+ * jobs.
+ */
 export const measureProcessSlopes = async (): Promise<Slope[]> => {
     const slopes: Slope[] = [];
     const add = (role: string, what: string, value: number, unit: string) => slopes.push({ role, what, value, unit });
--- a/packages/evidence/src/capacity/types.ts
+++ b/packages/evidence/src/capacity/types.ts
@@ -1,6 +1,6 @@
-/** A measured slope. */
+/** Results of the capacity measurements. */
 
-/** What one more of something costs. */
+/** Cost of one more unit of load, or a base value, for one role of process. */
 export interface Slope {
     readonly role: string;
     readonly what: string;
--- a/packages/evidence/src/cell/caller.ts
+++ b/packages/evidence/src/cell/caller.ts
@@ -1,14 +1,14 @@
-/** A caller of a cell: sends to gateways in turn, as the platform's balancer does. */
+/** HTTP client of a test cell. */
 import { Agent, request } from "undici";
 
-/** An answer of a gateway. */
+/** A gateway's response. */
 export interface CallerResponse {
     readonly status: number;
     readonly headers: Readonly<Record<string, string | string[] | undefined>>;
     readonly text: string;
 }
 
-/** One call. */
+/** A request to a gateway. */
 export interface CallerRequest {
     readonly method: "GET" | "POST" | "PUT" | "DELETE";
     readonly path: string;
@@ -19,7 +19,7 @@
 const maxConnections = 64;
 const responseTimeout = 60_000;
 
-/** See the module's comment. */
+/** Sends requests to the gateways round-robin, as the platform's load balancer does. */
 export class Caller {
     readonly #agent = new Agent({
         connections: maxConnections,
@@ -30,7 +30,7 @@
 
     constructor(private readonly gateways: () => readonly string[]) {}
 
-    /** Sends one call to the next gateway. Rejects when the connection fails or the answer breaks off. */
+    /** Sends a request to the next gateway. Rejects when the connection fails or the response is truncated. */
     async send(call: CallerRequest): Promise<CallerResponse> {
         const addresses = this.gateways();
         const address = addresses[this.#nextGateway++ % addresses.length];
@@ -43,7 +43,7 @@
         return { status: answer.statusCode, headers: answer.headers, text: await answer.body.text() };
     }
 
-    /** Submits a job; the parsed answer. */
+    /** Submits a job; resolves to the status and the parsed body. */
     async submit(job: object): Promise<{ status: number; body: Record<string, unknown>; }> {
         const answer = await this.send({
             method: "POST",
@@ -54,7 +54,10 @@
         return { status: answer.status, body: JSON.parse(answer.text) as Record<string, unknown> };
     }
 
-    /** Submits a job again and again until it is accepted or refused for good; its key makes that safe. */
+    /**
+     * Submits a job, retrying on 429, 503 and connection errors until it is accepted or refused or `deadline` has passed. The
+     * job's key prevents duplicates.
+     */
     async submitUntilSettled(
         job: { key: string; },
         deadline: number,
@@ -69,7 +72,7 @@
         }
     }
 
-    /** Waits for a job's end; the final view, or undefined when `deadline` came first. */
+    /** Waits for a job to end; resolves to its final view, or to undefined when `deadline` has passed. */
     async waitForEnd(job: string, deadline: number): Promise<FinalJobView | undefined> {
         while (performance.now() < deadline) {
             try {
@@ -80,20 +83,19 @@
                 }
             }
             catch {
-                // A gateway that is gone; the next one is asked.
+                // The gateway is unavailable; the next request goes to another one.
             }
             await pause(50);
         }
         return undefined;
     }
 
-    /** Ends all connections. */
     close(): Promise<void> {
         return this.#agent.destroy();
     }
 }
 
-/** The final view of a job, as a caller reads it. */
+/** Final view of a job in the caller API. */
 export interface FinalJobView {
     readonly job: string;
     readonly state: string;
@@ -102,10 +104,12 @@
     readonly outcomes: readonly { readonly output: string; readonly succeeded: boolean; }[];
 }
 
-/** Waits for a time, in milliseconds. */
+/** Waits for a duration in milliseconds. */
 export const pause = (duration: number): Promise<void> => new Promise(resolve => setTimeout(resolve, duration));
 
-/** Waits until a condition holds; rejects after `limit` milliseconds with what was waited for. */
+/**
+ * Polls a condition until it holds; rejects after `timeout` milliseconds with an error that contains the description.
+ */
 export const waitUntil = async (
     description: string,
     timeout: number,
--- a/packages/evidence/src/cell/cell.ts
+++ b/packages/evidence/src/cell/cell.ts
@@ -1,4 +1,4 @@
-/** Starts and ends the processes of a cell. */
+/** The processes of a test cell. */
 import { acceptSettings, type ListedWorker, settingsRevision, SystemClock, SystemRandom } from "@pebbledale/core";
 import { HttpPlatformStore, SchedulerClient, type SchedulerStatus } from "@pebbledale/runtime";
 import {
@@ -25,7 +25,7 @@
     shortTimeoutSettings,
 } from "./settings-files.js";
 
-/** What a cell consists of. */
+/** Size and settings of a test cell. */
 export interface CellOptions {
     readonly gateways: number;
     readonly schedulers: number;
@@ -33,9 +33,9 @@
     readonly user: "bayanihan" | "retrouve";
     readonly shards?: number;
     readonly tree?: string;
-    /** The platform's lease on a shard; a short one where it is left out. */
+    /** Duration of the lease on a shard, as in the settings file; short by default. */
     readonly ownerLease?: string;
-    /** A module that the product's processes load first, to take a protection away. */
+    /** A module that the gateways and schedulers import first, to remove a protection. */
     readonly preload?: string;
 }
 
@@ -60,7 +60,10 @@
     return ports.map(port => `127.0.0.1:${port}`);
 };
 
-/** See the module's comment. Made by {@link Cell.start}. */
+/**
+ * A running cell: stand-ins for the platform and the workers, schedulers that reach the platform through relays, and
+ * gateways. Its settings, logs and audit files are in temporary folders. Created by {@link Cell.start}.
+ */
 export class Cell {
     readonly folder = mkdtempSync(join(tmpdir(), "pebbledale-"));
     readonly gateways = new Map<string, ManagedProcess>();
@@ -87,7 +90,7 @@
         this.store = new HttpPlatformStore(topology.platform, 500);
     }
 
-    /** Starts all processes and waits until work can be placed. */
+    /** Starts all processes and waits until tasks can be placed and all gateways are ready. */
     static async start(options: CellOptions): Promise<Cell> {
         const auditFolder = mkdtempSync(join(tmpdir(), "pebbledale-audit-"));
         const standInScript = mainScriptOf("stand-ins");
@@ -115,7 +118,7 @@
         return cell;
     }
 
-    /** Addresses of the gateways that run and were ready at the last probe, as the platform's balancer has them. */
+    /** Addresses of the running gateways that were ready at the last probe; of all running ones when none was. */
     callerAddresses(): string[] {
         const running = this.#gatewayAddresses.filter((_, index) =>
             this.gateways.get(`gateway-${index}`)?.hasExited === false
@@ -129,14 +132,14 @@
         return this.#administrationAddresses;
     }
 
-    /** The command line's settings file. */
+    /** Writes the settings file of the operator's command line; returns its path. */
     writeOperatorSettings(): string {
         const file = join(this.folder, "operator.ini");
         writeFileSync(file, renderOperatorSettings(this.topology, this.#administrationAddresses));
         return file;
     }
 
-    /** Starts a scheduler, or starts it again after it ended. */
+    /** Starts a scheduler, also again after it has exited. */
     async startScheduler(index: number): Promise<ManagedProcess> {
         const name = `scheduler-${index}`;
         const relay = this.relays.get(name) ?? new TcpRelay(this.topology.platform);
@@ -164,7 +167,7 @@
         return child;
     }
 
-    /** Starts a gateway, or starts it again after it ended. */
+    /** Starts a gateway, also again after it has exited. */
     startGateway(index: number): ManagedProcess {
         const name = `gateway-${index}`;
         const file = join(this.folder, `${name}.ini`);
@@ -181,7 +184,7 @@
         return child;
     }
 
-    /** Accepts a tree on top of a revision. */
+    /** Accepts a settings tree as the revision after `base`; rejects when another one was accepted first. */
     async acceptSettings(text: string, base: number): Promise<void> {
         const outcome = await acceptSettings({
             store: this.store,
@@ -198,36 +201,36 @@
         }
     }
 
-    /** Makes the platform fail. */
+    /** Sets the platform's faults and VM list. */
     async controlPlatform(control: PlatformControl): Promise<void> {
         await postControl(this.topology.platform, control);
     }
 
-    /** Makes a worker fail. */
+    /** Applies a control action to a worker. */
     async controlWorker(control: FleetControl): Promise<void> {
         await postControl(this.fleetAddress, control);
     }
 
-    /** Makes every worker fail in the same way. */
+    /** Applies a control action to all workers. */
     async controlAllWorkers(control: Omit<FleetControl, "worker">): Promise<void> {
         for (let index = 0; index < this.options.workers; index++) {
             await this.controlWorker({ ...control, worker: `worker-${index}` });
         }
     }
 
-    /** Keeps the platform's list of VMs as it is, however old. */
+    /** While frozen, the platform's VM list does not follow the state of the workers. */
     setWorkerListFrozen(isFrozen: boolean): void {
         this.#isWorkerListFrozen = isFrozen;
     }
 
-    /** Takes a worker out of the platform's list for good. */
+    /** Removes a worker from the platform's VM list and freezes the list. */
     async removeFromWorkerList(worker: string): Promise<void> {
         this.setWorkerListFrozen(true);
         const workers = (await this.#readWorkers()).filter(entry => entry.worker !== worker);
         await this.controlPlatform({ workers });
     }
 
-    /** The settings revision of each running process of the product that answers. */
+    /** Settings revisions by process name, read from the metrics of the gateways and schedulers that respond. */
     async settingsRevisions(): Promise<Map<string, number>> {
         const addresses = new Map([
             ...this.#administrationAddresses.map((address, index) => [`gateway-${index}`, address] as const),
@@ -245,23 +248,23 @@
         return revisionsByProcess;
     }
 
-    /** What the platform has counted. */
+    /** The platform's call counts. */
     async platformCounts(): Promise<PlatformCounts> {
         const answer = await request(`http://${this.topology.platform}/counts`);
         return await answer.body.json() as PlatformCounts;
     }
 
-    /** What the workers noted. */
+    /** The workers' audit, up to now. */
     workerAudit(): AuditLine[] {
         return readAudit(join(this.auditFolder, "workers.jsonl"));
     }
 
-    /** What the platform noted. */
+    /** The platform's audit, up to now. */
     platformAudit(): AuditLine[] {
         return readAudit(join(this.auditFolder, "platform.jsonl"));
     }
 
-    /** The status of every scheduler that answers. */
+    /** Statuses of the schedulers that respond within 500 ms. */
     async schedulerStatuses(): Promise<SchedulerStatus[]> {
         const clients = this.topology.schedulers.map(address => new SchedulerClient(address));
         const answers = await Promise.allSettled(
@@ -271,7 +274,10 @@
         return answers.flatMap(answer => answer.status === "fulfilled" ? [answer.value] : []);
     }
 
-    /** The scheduler that owns a shard, by what schedulers say; the highest epoch is right. */
+    /**
+     * The scheduler that owns a shard according to the schedulers; of several claims, the one with the highest epoch
+     * counts.
+     */
     async ownerOf(shard = "shard-0"): Promise<string | undefined> {
         const owners = (await this.schedulerStatuses()).flatMap(status =>
             status.shards.filter(entry => entry.shard === shard).map(entry => ({
@@ -282,7 +288,7 @@
         return owners.sort((left, right) => right.epoch - left.epoch)[0]?.name;
     }
 
-    /** Waits until every shard has an owner with open workers. */
+    /** Waits until every shard has an owner and tasks can be placed on some worker. */
     async waitUntilPlacing(): Promise<void> {
         await waitUntil("every shard has an owner with open workers", startTimeout, async () => {
             const shards = (await this.schedulerStatuses()).flatMap(status => status.shards);
@@ -291,7 +297,7 @@
         });
     }
 
-    /** Ends all processes; resolves to the exit codes of the product's own. */
+    /** Stops all processes; resolves to the exit codes of the gateways and schedulers that still ran. */
     async stop(): Promise<(number | undefined)[]> {
         clearInterval(this.#workerListTimer);
         clearInterval(this.#readinessTimer);
@@ -305,7 +311,6 @@
         return codes;
     }
 
-    /** Removes the files of the cell. */
     removeFiles(): void {
         rmSync(this.folder, { recursive: true, force: true });
         rmSync(this.auditFolder, { recursive: true, force: true });
@@ -336,7 +341,7 @@
         );
     }
 
-    /** Asks each gateway whether it is ready. */
+    /** Updates the set of ready gateways. */
     async #probeReadiness(): Promise<void> {
         await Promise.all(this.#administrationAddresses.map(async (administration, index) => {
             const answer = await request(`http://${administration}/readyz`).catch(() => undefined);
@@ -356,7 +361,7 @@
         return (await answer.body.json() as { workers: ListedWorker[]; }).workers;
     }
 
-    /** The platform's list follows the workers with a lag. */
+    /** Copies the workers' list to the platform, unless the list is frozen. */
     async #publishWorkerList(): Promise<void> {
         const workers = await this.#readWorkers();
         if (!this.#isWorkerListFrozen) {
--- a/packages/evidence/src/cell/index.ts
+++ b/packages/evidence/src/cell/index.ts
@@ -1,4 +1,4 @@
-/** A cell of real processes on loopback, with the stand-ins, for the demo and the proofs. */
+/** A cell of real processes and stand-ins on loopback, used by the demo, the proofs and the capacity program. */
 export * from "./caller.js";
 export * from "./cell.js";
 export * from "./managed-process.js";
--- a/packages/evidence/src/cell/managed-process.ts
+++ b/packages/evidence/src/cell/managed-process.ts
@@ -1,18 +1,18 @@
-/** A process that the evidence started and ends again. */
+/** Child processes. */
 import { type ChildProcess, spawn } from "node:child_process";
 import { openSync, writeSync } from "node:fs";
 
-/** How long a process may take to leave after SIGTERM before it is killed, in milliseconds. */
+/** Time from SIGTERM to SIGKILL, in milliseconds. */
 const exitTimeout = 30_000;
 
-/** See the module's comment. */
+/** A child process that runs a Node.js script, with its output in a log file. */
 export class ManagedProcess {
     readonly #process: ChildProcess;
     readonly #exited: Promise<number | undefined>;
     readonly #firstLine: Promise<string>;
     #hasExited = false;
 
-    /** `preload`: a module that is loaded before the script. */
+    /** `preload` is a module that Node.js imports before the script. */
     constructor(
         readonly name: string,
         script: string,
@@ -43,18 +43,18 @@
         });
     }
 
-    /** The first line that the process printed. */
+    /** Resolves to the first line on standard output; stays pending if the process exits before. */
     firstLine(): Promise<string> {
         return this.#firstLine;
     }
 
-    /** Ends the process without warning. */
+    /** Kills the process with SIGKILL; resolves once it has exited. */
     async kill(): Promise<void> {
         this.#process.kill("SIGKILL");
         await this.#exited;
     }
 
-    /** Asks the process to leave; resolves to its exit code. */
+    /** Stops the process with SIGTERM; resolves to its exit code, or undefined when a signal ended it. */
     async stop(): Promise<number | undefined> {
         this.#process.kill("SIGTERM");
         const timer = setTimeout(() => this.#process.kill("SIGKILL"), exitTimeout);
@@ -63,17 +63,16 @@
         return code;
     }
 
-    /** Makes the process stand still. */
+    /** Suspends the process with SIGSTOP. */
     suspend(): void {
         this.#process.kill("SIGSTOP");
     }
 
-    /** Lets the process go on. */
+    /** Resumes the process after {@link suspend}. */
     resume(): void {
         this.#process.kill("SIGCONT");
     }
 
-    /** Whether the process has ended. */
     get hasExited(): boolean {
         return this.#hasExited;
     }
--- a/packages/evidence/src/cell/settings-files.ts
+++ b/packages/evidence/src/cell/settings-files.ts
@@ -1,6 +1,6 @@
-/** Settings files of a cell's processes, and a tree for short runs. */
+/** Contents of the settings files of a test cell. */
 
-/** A tree whose times suit runs of seconds. */
+/** A settings tree with leases, heartbeats and timeouts short enough for runs of seconds. */
 export const shortTimeoutSettings = `[organisation]
 lease.duration = 2s
 lease.margin = 300ms
@@ -20,7 +20,9 @@
 placement.headroom = 0%
 `;
 
-/** Where a cell's processes are. */
+/**
+ * Location of a cell and addresses of its processes. `platform` is the address of the platform itself, without a relay.
+ */
 export interface CellTopology {
     readonly region: string;
     readonly site: string;
@@ -46,7 +48,7 @@
 timeout = 500ms
 `;
 
-/** The file of a gateway. */
+/** Renders a gateway's settings file. `callers` and `administration` are the addresses it listens on. */
 export const renderGatewaySettings = (
     topology: CellTopology,
     name: string,
@@ -59,7 +61,10 @@
 drain = 300ms
 `;
 
-/** The file of a scheduler. `platform`: its own way to the platform, which may be cut. `lease`: on a shard. */
+/**
+ * Renders a scheduler's settings file. `platform` is the address of its relay to the platform, `lease` the duration of its
+ * lease on a shard.
+ */
 export const renderSchedulerSettings = (
     topology: CellTopology,
     name: string,
@@ -78,7 +83,7 @@
 timeout = 500ms
 `;
 
-/** The file of the command line. */
+/** Renders the settings file of the operator's command line. */
 export const renderOperatorSettings = (topology: CellTopology, gateways: readonly string[]): string =>
     `[platform]
 address = ${topology.platform}
--- a/packages/evidence/src/checks/index.ts
+++ b/packages/evidence/src/checks/index.ts
@@ -1,7 +1,7 @@
-/** Checks that read the stand-ins' audit and never the system's own word. */
+/** Checks on the stand-ins' audit files. They are independent of what the system itself reports. */
 import type { AuditLine } from "@pebbledale/stand-ins";
 
-/** Two runs of one task that overlapped in time. */
+/** Two runs of one task that overlapped in time, and the workers they ran on. */
 export interface Overlap {
     readonly task: string;
     readonly workers: readonly string[];
@@ -34,7 +34,10 @@
     return runs;
 };
 
-/** Tasks that ran in two places at once. */
+/**
+ * Finds runs that started before an earlier run of the same task had ended. A run without an end overlaps all later
+ * ones.
+ */
 export const findOverlaps = (audit: readonly AuditLine[]): Overlap[] => {
     const runsByTask = new Map<string, TaskRun[]>();
     for (const run of listRuns(audit)) {
@@ -52,7 +55,7 @@
     return overlaps;
 };
 
-/** Number of starts by task. */
+/** Counts starts by task ID, over all attempts. */
 export const countStarts = (audit: readonly AuditLine[]): Map<string, number> => {
     const counts = new Map<string, number>();
     for (const line of audit.filter(entry => entry.event === "start")) {
@@ -61,9 +64,9 @@
     return counts;
 };
 
-/** Starts after which a worker's grants were more than it has. */
+/** Counts starts after which the sum of a worker's grants exceeded its capacity. */
 export const countOverCapacity = (audit: readonly AuditLine[]): number =>
     audit.filter(line => line.event === "start" && line.isOver === true).length;
 
-/** The job of a task's id. */
+/** The job ID within a task ID, `JOB/INDEX`. */
 export const jobIdOf = (task: string): string => task.slice(0, task.lastIndexOf("/"));
--- a/packages/evidence/src/cli/bench.ts
+++ b/packages/evidence/src/cli/bench.ts
@@ -1,6 +1,6 @@
 /**
- * `npm run bench`: prints the tables. With words, only the parts they name: decisions, live,
- * packing, situations; and after `situations` only the runs that are named.
+ * `npm run bench`: runs the benchmarks and prints their tables. Arguments select parts (`decisions`, `live`, `packing`,
+ * `situations`); further names select single situations. `--json` appends the figures as JSON.
  */
 import {
     benchDecisions,
--- a/packages/evidence/src/cli/capacity.ts
+++ b/packages/evidence/src/cli/capacity.ts
@@ -1,4 +1,6 @@
-/** `npm run capacity`: prints the slopes behind `docs/CAPACITY.md`. */
+/**
+ * `npm run capacity`: measures and prints the costs that `docs/CAPACITY.md` is based on. `--json` appends them as JSON.
+ */
 import { measureDecisionSlopes, measureProcessSlopes } from "../capacity/index.js";
 
 const slopes = [...measureDecisionSlopes(), ...await measureProcessSlopes()];
--- a/packages/evidence/src/cli/demo.ts
+++ b/packages/evidence/src/cli/demo.ts
@@ -1,4 +1,7 @@
-/** `npm run demo`: runs the demonstration and prints its table. */
+/**
+ * `npm run demo`: runs the demo and prints its counts; exits with 1 when a check fails. `--json` appends the result as
+ * JSON.
+ */
 import { hasPassed, runDemo } from "../demo/index.js";
 
 const asJson = process.argv.includes("--json");
--- a/packages/evidence/src/cli/docs.ts
+++ b/packages/evidence/src/cli/docs.ts
@@ -1,4 +1,4 @@
-/** `npm run docs`: writes the pages that are made from the schemas and catalogues. */
+/** `npm run docs`: writes the generated reference pages to `docs/`. */
 import { writeFileSync } from "node:fs";
 import { fileURLToPath } from "node:url";
 import { pageRenderers } from "../docs/index.js";
--- a/packages/evidence/src/cli/prove.ts
+++ b/packages/evidence/src/cli/prove.ts
@@ -1,4 +1,7 @@
-/** `npm run prove`: runs the proofs and prints one row each. With words, only the points they number. */
+/**
+ * `npm run prove`: runs the proofs and prints their results; exits with 1 when one fails. Numbers as arguments select
+ * proofs. `--json` appends the results as JSON.
+ */
 import { type ProofRow, proofs, runProof, Verdict } from "../prove/index.js";
 
 const wanted = process.argv.slice(2).filter(word => /^\d+$/.test(word)).map(Number);
--- a/packages/evidence/src/demo/index.ts
+++ b/packages/evidence/src/demo/index.ts
@@ -1,9 +1,12 @@
-/** The demonstration: a cell under mixed work, one scheduler killed in the middle, and a table of what came of it. */
+/** The demo: a cell under a mixed workload whose shard owner is killed. */
 import { build } from "hdr-histogram-js";
 import { Cell, pause, waitUntil } from "../cell/index.js";
 import { countOverCapacity, countStarts, findOverlaps, jobIdOf } from "../checks/index.js";
 
-/** What the demonstration counted. */
+/**
+ * Counts over live requests and jobs. `waitingP50` and `waitingP99` are live requests' response times in milliseconds
+ * beyond their run time; `packing` is a share from 0 to 1.
+ */
 export interface DemoResult {
     sent: number;
     answeredWhole: number;
@@ -34,7 +37,7 @@
     size: { processors: 8, memoryMebibytes: 8_192, slots: 4, connections: 8 },
 };
 
-/** Runs the demonstration; `say` is told each step. */
+/** Runs the demo and checks the workers' audit. The cell's files are kept when a check fails. */
 export const runDemo = async (printStep: (line: string) => void): Promise<DemoResult> => {
     printStep("starting stand-ins, three gateways and three schedulers");
     const cell = await Cell.start({ gateways: 3, schedulers: 3, workers: 30, user: "bayanihan" });
@@ -69,7 +72,10 @@
     return result;
 };
 
-/** Whether everything held. */
+/**
+ * Whether every request was answered completely or refused with a reason, no task ran twice at once, no worker exceeded its
+ * capacity, and all processes exited with 0.
+ */
 export const hasPassed = (result: DemoResult): boolean =>
     result.runTwice === 0 && result.lost === 0 && result.failed === 0 && result.overCapacity === 0
     && result.answeredWhole + result.refusedWithReason === result.sent
@@ -94,13 +100,14 @@
     const owner = await cell.ownerOf();
     printStep(`killing ${owner}, which owns the shard`);
     await cell.schedulers.get(owner ?? "")?.kill();
-    result.packing = await peakPacking(cell);
+    result.packing = await measurePacking(cell);
     await Promise.all([live, jobs]);
     result.waitingP50 = waits.getValueAtPercentile(50);
     result.waitingP99 = waits.getValueAtPercentile(99);
 };
 
-const peakPacking = async (cell: Cell): Promise<number> => {
+/** The highest packing of any shard, once tasks can be placed again. */
+const measurePacking = async (cell: Cell): Promise<number> => {
     await cell.waitUntilPlacing();
     const shards = (await cell.schedulerStatuses()).flatMap(status => status.shards);
     return Math.max(0, ...shards.map(shard => shard.packing));
--- a/packages/evidence/src/docs/index.ts
+++ b/packages/evidence/src/docs/index.ts
@@ -1,4 +1,4 @@
-/** Pages of `docs/` that are made from the schemas and catalogues. */
+/** Reference pages of `docs/`, generated from the settings schemas and the catalogues of events and errors. */
 import {
     errorCatalogue,
     type ErrorEntry,
@@ -30,7 +30,7 @@
     return `\`[${name.slice(0, dot)}]\` \`${name.slice(dot + 1)}\``;
 };
 
-/** The page of all settings. */
+/** Renders the reference of all settings: the tree, teams and the programs' files. */
 export const renderSettingsPage = (): string =>
     `# Settings
 
@@ -68,7 +68,7 @@
 ${renderTable(operatorSchema, formatFileKey)}
 `;
 
-/** The page of all log events. */
+/** Renders the reference of all log events. */
 export const renderEventsPage = (): string => {
     const rows = Object.values(logEvents)
         .map(({ number, level, message, action }) =>
@@ -85,7 +85,7 @@
 `;
 };
 
-/** The page of all errors. */
+/** Renders the reference of all errors. */
 export const renderErrorsPage = (): string => {
     const rows = Object.entries(errorCatalogue).map(([name, entry]) => {
         const { title, message, hint, status }: ErrorEntry = entry;
@@ -105,7 +105,7 @@
 `;
 };
 
-/** All pages by file name. */
+/** Functions that render the pages, by file name in `docs/`. */
 export const pageRenderers: Readonly<Record<string, () => string>> = {
     "SETTINGS.md": renderSettingsPage,
     "EVENTS.md": renderEventsPage,
--- a/packages/evidence/src/index.ts
+++ b/packages/evidence/src/index.ts
@@ -1,3 +1,3 @@
-/** Evidence: the demo, the proofs and the benches. */
+/** Programs that demonstrate, prove and measure the system; exports their test cell and the audit checks. */
 export * from "./cell/index.js";
 export * from "./checks/index.js";
--- a/packages/evidence/src/prove/proofs/at-most-once.ts
+++ b/packages/evidence/src/prove/proofs/at-most-once.ts
@@ -1,4 +1,4 @@
-/** Point 5: what is marked unrepeatable runs at most once. */
+/** Proof of guarantee 5. */
 import { pause } from "../../cell/index.js";
 import { countStarts, jobIdOf } from "../../checks/index.js";
 import type { Proof } from "../types.js";
@@ -7,7 +7,10 @@
 const jobCount = 60;
 const noticeCount = 30;
 
-/** Every build is submitted twice and every notice sent twice, through different gateways, while owners die. */
+/**
+ * Unrepeatable jobs and live requests run at most once. Every job is submitted three times and every live request sent
+ * twice, through different gateways, while the shard's owner and a worker are killed and the platform loses responses.
+ */
 export const atMostOnceProof: Proof = {
     point: 5,
     name: "what is unrepeatable runs at most once",
@@ -16,7 +19,7 @@
     cell: {},
     async run(cell) {
         await startService(cell, 4);
-        const work = Array.from(
+        const submissions = Array.from(
             { length: jobCount },
             (_, index) => createJob(`build-${index}`, { unrepeatable: true, payload: { runMilliseconds: 300 } }),
         );
@@ -38,17 +41,17 @@
                 return [await sendNotice(index), await sendNotice(index)];
             }),
         );
-        const submittedTwice = Promise.all([submitAll(cell, work), submitAll(cell, work)]);
+        const submittedTwice = Promise.all([submitAll(cell, submissions), submitAll(cell, submissions)]);
         await cell.controlWorker({ worker: "worker-3", action: "kill" });
         await killOwner(cell);
         const [first, second] = await submittedTwice;
         await noticesSent;
-        const again = await submitAll(cell, work);
-        const ids = new Set([...first.values(), ...second.values(), ...again.values()]);
+        const third = await submitAll(cell, submissions);
+        const ids = new Set([...first.values(), ...second.values(), ...third.values()]);
         const views = await waitForAll(cell, ids);
         const audit = cell.workerAudit();
         const startsByKey = new Map<string, number>();
-        const keysById = new Map([...first, ...second, ...again].map(([key, id]) => [id, key]));
+        const keysById = new Map([...first, ...second, ...third].map(([key, id]) => [id, key]));
         for (const [task, count] of countStarts(audit)) {
             const key = keysById.get(jobIdOf(task));
             if (key !== undefined) {
@@ -71,7 +74,7 @@
     },
 };
 
-/** Ids of live requests that an instance saw more than once. */
+/** Describes the live requests that reached instances more than once. */
 const findRepeatedNotices = (noticeRuns: readonly { readonly [field: string]: unknown; }[]): string[] => {
     const counts = new Map<string, number>();
     noticeRuns.forEach(line => counts.set(String(line.request), (counts.get(String(line.request)) ?? 0) + 1));
--- a/packages/evidence/src/prove/proofs/capacity.ts
+++ b/packages/evidence/src/prove/proofs/capacity.ts
@@ -1,4 +1,4 @@
-/** Point 1: no VM is ever given more than it has. */
+/** Proof of guarantee 1. */
 import { pause } from "../../cell/index.js";
 import { countOverCapacity } from "../../checks/index.js";
 import type { Proof } from "../types.js";
@@ -6,11 +6,14 @@
 
 const jobCount = 120;
 
-/** Every twentieth task runs long and uses twice its grant. */
+/** Every twentieth task runs ten times as long as the others and uses twice its grant. */
 const payloadOf = (index: number) =>
     index % 20 === 0 ? { runMilliseconds: 1_500, usesProcessors: 40 } : { runMilliseconds: 150 };
 
-/** More work than fits at once, through an owner's death and an outage of the platform. */
+/**
+ * The grants on a VM never exceed its capacity. More jobs are submitted than fit at once, while the shard's owner is
+ * killed, the platform is unavailable and then slow, and one worker fails every task.
+ */
 export const capacityProof: Proof = {
     point: 1,
     name: "no VM is given more than it has",
@@ -20,11 +23,11 @@
     cell: {},
     async run(cell) {
         const size = { processors: 20, memoryMebibytes: 30_000 };
-        const work = Array.from(
+        const submissions = Array.from(
             { length: jobCount },
             (_, index) => createJob(`job-${index}`, { size, payload: payloadOf(index) }),
         );
-        const submitting = submitAll(cell, work);
+        const submitting = submitAll(cell, submissions);
         await cell.controlWorker({ worker: "worker-0", action: "faults", faults: { failsAll: true } });
         await cell.controlPlatform({ loseAnswers: 3 });
         const [ids] = await Promise.all([submitting, killOwner(cell)]);
--- a/packages/evidence/src/prove/proofs/exclusive-execution.ts
+++ b/packages/evidence/src/prove/proofs/exclusive-execution.ts
@@ -1,4 +1,4 @@
-/** Point 2: a task never runs in two places at once. */
+/** Proof of guarantee 2. */
 import { pause, waitUntil } from "../../cell/index.js";
 import { findOverlaps } from "../../checks/index.js";
 import type { Proof } from "../types.js";
@@ -7,8 +7,10 @@
 const jobCount = 6;
 
 /**
- * The old owner is cut from the platform and still reaches the workers where the tasks run; the new owner is cut from
- * just these workers. The tasks run longer than the old owner may renew.
+ * A task never runs on two workers at the same time. The former owner loses the platform but still reaches the workers
+ * that run the tasks; the new owner cannot reach these workers and has to restart the tasks on others. The tasks run
+ * longer than the former owner is allowed to renew their leases. Then the new owner is suspended until a third one has
+ * taken over, and resumed.
  */
 export const exclusiveExecutionProof: Proof = {
     point: 2,
@@ -18,7 +20,7 @@
     protection: "wait for a former owner's leases",
     cell: {},
     async run(cell) {
-        const work = Array.from(
+        const submissions = Array.from(
             { length: jobCount },
             (_, index) =>
                 createJob(`task-${index}`, {
@@ -26,7 +28,7 @@
                     size: { processors: 10, memoryMebibytes: 1_000 },
                 }),
         );
-        const ids = await submitAll(cell, work);
+        const ids = await submitAll(cell, submissions);
         const listStarts = () => cell.workerAudit().filter(line => line.event === "start");
         await waitUntil("all tasks run", waitTimeout, () => listStarts().length >= jobCount);
         const busyWorkers = new Set(listStarts().map(line => String(line.worker)));
@@ -34,7 +36,7 @@
         const epoch = Math.max(
             ...(await cell.schedulerStatuses()).flatMap(status => status.shards.map(shard => Number(shard.epoch))),
         );
-        // Two of the four workers stay reachable for the new owner, so that there is room to run a task twice.
+        // The new owner still reaches two of the four workers, so there is capacity to run a task a second time.
         const disconnectedWorkers = [...busyWorkers].slice(0, 2);
         for (const worker of disconnectedWorkers) {
             await cell.controlWorker({ worker, action: "faults", faults: { cutFromEpoch: epoch + 1 } });
@@ -49,7 +51,7 @@
             waitTimeout,
             () => affectedTasks.every(task => listStarts().filter(line => line.task === task).length >= 2),
         );
-        // Frozen beyond its lease and woken again, the owner must not place as if nothing had happened.
+        // Resumed after its lease has expired, the second owner must not continue to place tasks.
         const secondOwner = await cell.ownerOf() ?? "";
         cell.relays.get(owner)?.setDisconnected(false);
         cell.schedulers.get(secondOwner)?.suspend();
--- a/packages/evidence/src/prove/proofs/index.ts
+++ b/packages/evidence/src/prove/proofs/index.ts
@@ -1,4 +1,4 @@
-/** All proofs, in the order of the brief's points. */
+/** The list of proofs. */
 import type { Proof } from "../types.js";
 import { atMostOnceProof } from "./at-most-once.js";
 import { capacityProof } from "./capacity.js";
@@ -9,7 +9,7 @@
 import { responseIntegrityProof } from "./response-integrity.js";
 import { settingsProof } from "./settings.js";
 
-/** One proof a point at the least. */
+/** All proofs, ordered by the number of the guarantee. */
 export const proofs: readonly Proof[] = [
     capacityProof,
     exclusiveExecutionProof,
--- a/packages/evidence/src/prove/proofs/leaving-worker.ts
+++ b/packages/evidence/src/prove/proofs/leaving-worker.ts
@@ -1,13 +1,16 @@
-/** Point 6: a backend server that is leaving receives no new work after a few seconds. */
+/** Proof of guarantee 6. */
 import { pause } from "../../cell/index.js";
 import type { Proof } from "../types.js";
 import { createJob, sendLiveRequest, startService, submitAll } from "./workload.js";
 
-/** What "a few seconds" is here, in milliseconds. */
+/** Time after which a leaving worker must receive no new work, in milliseconds. */
 const gracePeriod = 3_000;
 const observationPeriod = 3_000;
 
-/** A worker says that it leaves under a stream of tasks and live requests, while the owner is killed. */
+/**
+ * A leaving backend server receives no new work after the grace period. A worker starts to leave under a stream of tasks
+ * and live requests; the platform's VM list still shows it as live, and the shard's owner is killed.
+ */
 export const leavingWorkerProof: Proof = {
     point: 6,
     name: "a leaving VM gets no new work after a few seconds",
--- a/packages/evidence/src/prove/proofs/not-run.ts
+++ b/packages/evidence/src/prove/proofs/not-run.ts
@@ -1,4 +1,4 @@
-/** Point 4: when the answer is that something was not run, it was not run. */
+/** Proof of guarantee 4. */
 import { pause } from "../../cell/index.js";
 import { countStarts, jobIdOf } from "../../checks/index.js";
 import type { Proof } from "../types.js";
@@ -6,7 +6,10 @@
 
 const jobCount = 60;
 
-/** Starts whose answers are lost, then a wave of cancellations while they are on their way. */
+/**
+ * A job reported as not run was not run. Workers lose their responses to start messages, then all jobs are cancelled
+ * while starts are in flight, a worker is unreachable and the shard's owner is killed.
+ */
 export const notRunProof: Proof = {
     point: 4,
     name: "what is answered as not run was not run",
@@ -15,12 +18,12 @@
     cell: {},
     async run(cell) {
         await cell.controlAllWorkers({ action: "faults", faults: { loseStartAnswers: 8 } });
-        const work = Array.from(
+        const submissions = Array.from(
             { length: jobCount },
             (_, index) =>
                 createJob(`job-${index}`, { unrepeatable: index % 2 === 0, payload: { runMilliseconds: 1_500 } }),
         );
-        const ids = await submitAll(cell, work);
+        const ids = await submitAll(cell, submissions);
         await cell.controlWorker({ worker: "worker-2", action: "faults", faults: { isCut: true } });
         await Promise.all(
             [...ids.values()].map(id =>
--- a/packages/evidence/src/prove/proofs/planned-stop.ts
+++ b/packages/evidence/src/prove/proofs/planned-stop.ts
@@ -1,11 +1,14 @@
-/** Point 7: a planned stop cuts no request in progress. */
+/** Proof of guarantee 7. */
 import { pause } from "../../cell/index.js";
 import type { Proof } from "../types.js";
 import { createJob, sendLiveRequest, startService, submitAll, waitForAll } from "./workload.js";
 
 const requestCount = 80;
 
-/** Every gateway and every scheduler is stopped and started again in turn under slow requests and waiting callers. */
+/**
+ * A planned stop interrupts no request in progress. Each gateway and each scheduler is restarted in turn while live
+ * requests and callers that wait for jobs are in progress. Without protection, the processes are killed instead.
+ */
 export const plannedStopProof: Proof = {
     point: 7,
     name: "a planned stop cuts no request in progress",
@@ -49,7 +52,7 @@
             ...exitCodes.filter(code => isProtected && code !== 0).map(code => `a process left with ${String(code)}`),
         ];
         return {
-            breaches: breaches,
+            breaches,
             evidence: `${requestCount} live requests: ${count("whole")} whole, ${
                 count("refused")
             } refused, 0 cut; ${built} of 20 builds done`,
--- a/packages/evidence/src/prove/proofs/response-integrity.ts
+++ b/packages/evidence/src/prove/proofs/response-integrity.ts
@@ -1,10 +1,13 @@
-/** Point 3: a caller receives the whole answer to its own request. */
+/** Proof of guarantee 3. */
 import type { Proof } from "../types.js";
 import { sendLiveRequest, startService } from "./workload.js";
 
 const requestCount = 120;
 
-/** Workers that break answers off and workers that answer with another request's body, among good ones. */
+/**
+ * A caller receives the complete response to its own request, or an error. One worker truncates its responses and one
+ * responds with the ID of another request; the remaining workers are healthy, and the shard's owner is killed.
+ */
 export const responseIntegrityProof: Proof = {
     point: 3,
     name: "a caller gets the whole answer to its own request",
--- a/packages/evidence/src/prove/proofs/settings.ts
+++ b/packages/evidence/src/prove/proofs/settings.ts
@@ -1,13 +1,16 @@
-/** Point 8: accepted settings are in force everywhere within seconds and never revert. */
+/** Proof of guarantee 8. */
 import { type Cell, pause, waitUntil } from "../../cell/index.js";
 import { shortTimeoutSettings } from "../../cell/settings-files.js";
 import type { Proof } from "../types.js";
 
-/** What "within seconds" is here, in milliseconds: the users' target. */
+/** Time within which an accepted revision must be in force in all processes, in milliseconds. */
 const propagationTimeout = 6_000;
 const racingOperators = 6;
 
-/** Operators race, answers are lost, the platform is down while processes start again. */
+/**
+ * Accepted settings are in force in all processes within seconds and never revert. Several operators accept a revision at
+ * the same time, the platform loses responses, and processes are restarted while it is unavailable.
+ */
 export const settingsProof: Proof = {
     point: 8,
     name: "accepted settings are in force within seconds and never revert",
@@ -18,7 +21,7 @@
         const breaches: string[] = [];
         const seen = new Map<string, number>();
         const end = new AbortController();
-        const watching = watchRevisions(cell, seen, breaches, end.signal);
+        const monitoring = monitorRevisions(cell, seen, breaches, end.signal);
         await cell.controlPlatform({ loseAnswers: 2 });
         const races = await Promise.allSettled(
             Array.from(
@@ -34,7 +37,7 @@
         await cell.acceptSettings(`${shortTimeoutSettings}\n; third\n`, 2);
         await expectInForce(cell, 3, breaches);
         await cell.controlPlatform({ outage: true });
-        // A gateway and a scheduler are replaced while the platform is down; they can only ask their peers.
+        // The restarted processes cannot read the settings from the platform, only from their peers.
         await cell.gateways.get("gateway-0")?.kill();
         const idle = await cell.ownerOf() === "scheduler-0" ? 1 : 0;
         await cell.schedulers.get(`scheduler-${idle}`)?.kill();
@@ -47,7 +50,7 @@
         await cell.acceptSettings(`${shortTimeoutSettings}\n; fourth\n`, 3);
         await expectInForce(cell, 4, breaches);
         end.abort();
-        await watching;
+        await monitoring;
         return {
             breaches,
             evidence:
@@ -57,7 +60,8 @@
     },
 };
 
-const watchRevisions = async (
+/** Records the highest revision seen in each process until `end`, and a breach where a process reverts. */
+const monitorRevisions = async (
     cell: Cell,
     seen: Map<string, number>,
     breaches: string[],
@@ -66,7 +70,7 @@
     while (!end.aborted) {
         for (const [name, revision] of await cell.settingsRevisions()) {
             const before = seen.get(name) ?? 0;
-            // A replaced process may say 0 until it is ready; it serves nothing then.
+            // A restarted process may report 0 until it is ready; it serves no requests before.
             if (revision < before && revision > 0) {
                 breaches.push(`${name} went back from revision ${before} to ${revision}`);
             }
--- a/packages/evidence/src/prove/proofs/workload.ts
+++ b/packages/evidence/src/prove/proofs/workload.ts
@@ -1,10 +1,10 @@
-/** Work that proofs send. */
+/** Jobs and live requests that the proofs send. */
 import { type Cell, type FinalJobView, waitUntil } from "../../cell/index.js";
 
-/** How long a proof waits for what must come. */
+/** How long a proof waits for an expected event, in milliseconds. */
 export const waitTimeout = 30_000;
 
-/** A batch job of one task. */
+/** Creates the submission of a small batch job with one task; `more` overrides its fields. */
 export const createJob = (key: string, more: object = {}) => ({
     key,
     class: "batch",
@@ -12,7 +12,7 @@
     ...more,
 });
 
-/** Submits jobs through changing gateways until each is settled; ids by key, refused ones left out. */
+/** Submits jobs until each is accepted or refused; returns the IDs of the accepted ones by key. */
 export const submitAll = async (cell: Cell, jobs: readonly { key: string; }[]): Promise<Map<string, string>> => {
     const deadline = performance.now() + waitTimeout;
     const ids = new Map<string, string>();
@@ -25,21 +25,21 @@
     return ids;
 };
 
-/** Waits for the end of jobs; the views of those that ended. */
+/** Waits for jobs to end; returns the final views of those that ended in time. */
 export const waitForAll = async (cell: Cell, ids: Iterable<string>): Promise<FinalJobView[]> => {
     const deadline = performance.now() + waitTimeout;
     const views = await Promise.all([...ids].map(id => cell.caller.waitForEnd(id, deadline)));
     return views.filter(view => view !== undefined);
 };
 
-/** Kills the owner of the shard; resolves once another one places. */
+/** Kills the shard's owner; resolves once another scheduler can place tasks. */
 export const killOwner = async (cell: Cell): Promise<void> => {
     const owner = await cell.ownerOf();
     await cell.schedulers.get(owner ?? "")?.kill();
     await cell.waitUntilPlacing();
 };
 
-/** Submits a service and waits until every gateway gets answers from it. */
+/** Submits a service and waits until it responds through every gateway. */
 export const startService = async (cell: Cell, instances: number): Promise<void> => {
     await submitAll(cell, [{
         ...createJob("prompts"),
@@ -58,7 +58,10 @@
     });
 };
 
-/** One live request with a body that depends on its id; whether its answer was whole and its own. */
+/**
+ * Sends a live request whose response depends on its ID. `whole`: the response is complete and its own; `wrong`: it
+ * succeeded with other contents; `broken`: the connection failed or the response was truncated.
+ */
 export const sendLiveRequest = async (
     cell: Cell,
     id: string,
--- a/packages/evidence/src/prove/run-proof.ts
+++ b/packages/evidence/src/prove/run-proof.ts
@@ -1,4 +1,4 @@
-/** Runs proofs: each once as the product is, and once with its protection taken away. */
+/** Running a proof with and without the protection it is about. */
 import { fileURLToPath } from "node:url";
 import { Cell } from "../cell/index.js";
 import { type Proof, type ProofRow, type ProofRunResult, Verdict } from "./types.js";
@@ -37,7 +37,10 @@
         ? result.evidence
         : `${result.breaches.length} breaches, first: ${result.breaches[0]}`;
 
-/** Runs one proof; a run that throws is a failed one. */
+/**
+ * Runs a proof twice: unmodified, and with its protection removed to show that the proof would detect a breach. Never
+ * rejects.
+ */
 export const runProof = async (proof: Proof): Promise<ProofRow> => {
     const { point, name, failures } = proof;
     try {
--- a/packages/evidence/src/prove/types.ts
+++ b/packages/evidence/src/prove/types.ts
@@ -1,44 +1,47 @@
-/** What a proof is and what came of it. */
+/** Proofs and their results. */
 import type { Cell, CellOptions } from "../cell/index.js";
 
-/** What one run of a proof found. */
+/** Result of one run of a proof. */
 export interface ProofRunResult {
-    /** Breaches of the point, in words; none if it held. */
+    /** Descriptions of breaches of the guarantee; empty when it held. */
     readonly breaches: readonly string[];
-    /** What was done and seen, so that a run that did nothing is not taken for a proof. */
+    /** Counts of what was done and observed. */
     readonly evidence: string;
-    /** Whether enough happened for the run to mean something. */
+    /** Whether enough happened for an absence of breaches to be significant. */
     readonly isMeaningful: boolean;
 }
 
-/** One of the points of the brief with the failure that threatens it. */
+/** Tests one guarantee under the failures that threaten it. */
 export interface Proof {
-    /** The point, from 1 to 8, in the order of the brief. */
+    /** Number of the guarantee, from 1 to 8. */
     readonly point: number;
     readonly name: string;
     readonly failures: string;
-    /** The protection that is taken away to see the proof fail. */
+    /**
+     * The protection that the second run removes: a key of `without-protection.ts`, or text for a protection handled by
+     * {@link run}.
+     */
     readonly protection: string;
     readonly cell: Partial<CellOptions>;
-    /** Runs against a cell. `isProtected` is false in the run that is to fail. */
+    /** Runs against a freshly started cell. `isProtected` is false in the run that is expected to fail. */
     run(cell: Cell, isProtected: boolean): Promise<ProofRunResult>;
 }
 
-/** What came of a proof. */
+/** Outcome of a proof: proved only if the guarantee held and its breach was seen without the protection. */
 export enum Verdict {
     Proved = "proved",
     Failed = "failed",
     NotRun = "not run",
 }
 
-/** One row of the table. */
+/** One row of the printed result. */
 export interface ProofRow {
     readonly point: number;
     readonly name: string;
     readonly failures: string;
     readonly verdict: Verdict;
-    /** What the protected run saw. */
+    /** Observations of the protected run. */
     readonly evidence: string;
-    /** What the run without the protection saw. */
+    /** Observations of the run without the protection. */
     readonly withoutProtection: string;
 }
--- a/packages/evidence/src/prove/without-protection.ts
+++ b/packages/evidence/src/prove/without-protection.ts
@@ -1,6 +1,6 @@
 /**
- * Loaded before a program of the product to take one protection away, so that a proof is seen to fail without it.
- * The product has no switch for this: the protection is replaced from outside.
+ * Preloaded into the system's processes (`node --import`) to remove one protection, so that a proof can be shown to fail
+ * without it. The system has no switch for this; methods of its classes are replaced.
  */
 import {
     FleetIndex,
@@ -16,7 +16,7 @@
 import type { ServerResponse } from "node:http";
 import { request as send } from "undici";
 
-/** The variable that names the protection to take away. */
+/** Environment variable that names the protection to remove. */
 export const removedProtectionVariable = "PEBBLEDALE_EVIDENCE_WITHOUT";
 
 const removals: Readonly<Record<string, () => void>> = {
@@ -43,7 +43,7 @@
         JobRegistry.prototype.findByKey = () => undefined;
     },
     "heed of leaving VMs": () => {
-        const { applyWorkerList: applyWorkerList, claimAnswered, heartbeatAnswered } = ShardScheduler.prototype;
+        const { applyWorkerList, claimAnswered, heartbeatAnswered } = ShardScheduler.prototype;
         const hideLeaving = (report: WorkerReport): WorkerReport => ({ ...report, leaving: false });
         ShardScheduler.prototype.applyWorkerList = function(workers: readonly ListedWorker[]) {
             return applyWorkerList.call(this, workers.map(worker => ({ ...worker, state: VmState.Live })));
@@ -60,7 +60,7 @@
     },
 };
 
-/** Passes on whatever comes, whole or not, whosever it is. */
+/** Forwards a response without checking that it is complete and belongs to the request. */
 async function sendWithoutChecks(request: LiveRequest, address: string, reply: ServerResponse): Promise<SendOutcome> {
     const answer = await send(`http://${address}${request.path}`, {
         method: request.method as "POST",
@@ -74,7 +74,7 @@
         }
     }
     catch {
-        // What came so far is taken for the whole.
+        // Forwards the truncated response.
     }
     reply.writeHead(answer.statusCode).end(Buffer.concat(chunks));
     return { kind: "answered", status: answer.statusCode };
--- a/packages/evidence/test/journal/journal-fuzz.test.ts
+++ b/packages/evidence/test/journal/journal-fuzz.test.ts
@@ -69,7 +69,9 @@
         },
     });
 
-/** Owners take the journal from each other while they write; returns what each was committed is kept, and what is read. */
+/**
+ * Owners take the journal from each other while they write; returns what each was committed is kept, and what is read.
+ */
 const runOwners = async (seed: number): Promise<{ committed: string[]; read: string[]; }> => {
     const random = new SeededRandom(seed);
     const store = new ReorderingStore(random);
--- a/packages/stand-ins/src/audit/index.ts
+++ b/packages/stand-ins/src/audit/index.ts
@@ -1,4 +1,6 @@
-/** Audit files, in which the stand-ins record what happened, so that checks need not rely on what the system reports. */
+/**
+ * Audit files, in which the stand-ins record what happened, so that checks need not rely on what the system reports.
+ */
 import { appendFileSync, existsSync, readFileSync } from "node:fs";
 
 /** One line of an audit file. `at` is the time since the Unix epoch in fractional milliseconds. */
--- a/packages/stand-ins/src/platform/memory-store.ts
+++ b/packages/stand-ins/src/platform/memory-store.ts
@@ -17,7 +17,9 @@
     readonly notify: () => void;
 }
 
-/** Number of changes kept for watches. A watch with an older cursor gets no list of changes and has to read the keys. */
+/**
+ * Number of changes kept for watches. A watch with an older cursor gets no list of changes and has to read the keys.
+ */
 const maxRetainedChanges = 10_000;
 
 /**
@@ -44,7 +46,10 @@
             .sort((left, right) => left.key < right.key ? -1 : 1);
     }
 
-    /** Writes a key if it has the expected version (0: does not exist). The key is attached to the lease of this write only. */
+    /**
+     * Writes a key if it has the expected version (0: does not exist). The key is attached to the lease of this write
+     * only.
+     */
     swap(key: string, expected: number, value: string, lease?: PlatformLeaseId): SwapOutcome {
         const current = this.#entries.get(key);
         if ((current?.version ?? 0) !== expected) {
--- a/packages/stand-ins/src/relay/index.ts
+++ b/packages/stand-ins/src/relay/index.ts
@@ -1,7 +1,10 @@
 /** TCP relay for simulating network partitions. */
 import { type AddressInfo, connect, createServer, type Server, type Socket } from "node:net";
 
-/** Forwards connections from a loopback port to a target, so that a test can disconnect one process from an external system. */
+/**
+ * Forwards connections from a loopback port to a target, so that a test can disconnect one process from an external
+ * system.
+ */
 export class TcpRelay {
     readonly #sockets = new Set<Socket>();
     readonly #server: Server;
--- a/packages/stand-ins/src/workers/fleet-stand-in.ts
+++ b/packages/stand-ins/src/workers/fleet-stand-in.ts
@@ -39,7 +39,10 @@
     capacity: { processorThousandths: 64_000, memoryMebibytes: 262_144, accelerators: 0, slots: 8, connections: 64 },
 };
 
-/** Runs one {@link WorkerStandIn} per worker. `GET /workers` lists them as the platform does, `POST /control` injects faults. */
+/**
+ * Runs one {@link WorkerStandIn} per worker. `GET /workers` lists them as the platform does, `POST /control` injects
+ * faults.
+ */
 export class FleetStandIn {
     readonly workers: readonly WorkerStandIn[];
     readonly #server: FastifyInstance = fastify({ logger: false, forceCloseConnections: true });
--- a/packages/stand-ins/src/workers/task-table.ts
+++ b/packages/stand-ins/src/workers/task-table.ts
@@ -116,7 +116,9 @@
         }
     }
 
-    /** Starts a task or refuses it. Idempotent: a repeated start returns the running task, or `known` when it has ended. */
+    /**
+     * Starts a task or refuses it. Idempotent: a repeated start returns the running task, or `known` when it has ended.
+     */
     start(message: StartMessage, now: number): TaskExecution | WorkerRefusal | "known" {
         const key = attemptKey(message.task, message.attempt);
         const known = this.running.get(key);
