--- a/packages/evidence/src/bench/decisions.ts
+++ b/packages/evidence/src/bench/decisions.ts
@@ -1,4 +1,4 @@
-/** How many placements are decided a second, and how long one takes. */
+/** Throughput and latency of placement decisions. */
 import {
     type Epoch,
     type JobSubmission,
@@ -19,13 +19,13 @@
 
 const fleetSizes = [30, 1_000, 10_000];
 const { capacity } = bayanihanMix.shape;
-/** Share of the processors that is taken while decisions are measured. */
+/** Share of the fleet's processors that is granted while placers are measured. */
 const fillShare = 0.8;
 const sampleCount = 4_096;
 const placerSeconds = 1;
 const peakStartsPerSecond = 3_800;
 const batchCount = 60;
-/** The plain scan is too slow to fill the largest fleet in reasonable time; it starts from a smaller fill there. */
+/** The share for {@link BestFitScan} on large fleets, which it is too slow to fill further. */
 const scanFillShare = 0.1;
 
 const generateSizes = (random: Random): Resources[] =>
@@ -35,7 +35,7 @@
     )
         .filter(size => size.processorThousandths <= capacity.processorThousandths);
 
-/** Placements a second at a steady fill: each round gives one task's room back and places another. */
+/** Placements per second at a steady fill: each round releases one task and places another. */
 const measurePlacer = (placer: Placer, count: number): number => {
     const random = new SeededRandom(11);
     const sizes = generateSizes(random);
@@ -82,7 +82,8 @@
 }
 
 /**
- * The whole decision in the real scheduler: queue, quota, filter, score, grant, recorded reason. Times in microseconds.
+ * Measures complete scheduling cycles of {@link ShardScheduler}, from the queue to the recorded reason. Percentiles are in
+ * microseconds per started task.
  */
 const measureFullDecision = (count: number): FullDecisionResult => {
     const clock = new SystemClock();
@@ -127,7 +128,7 @@
     const histogram = build();
     let decided = 0;
     let totalDuration = 0;
-    // A second at the peak: batches of what arrives between two passes, small ones and bursts.
+    // Jobs arrive between two scheduling cycles in batches of skewed size: many small ones, some bursts.
     const maxArrivals = Math.min(peakStartsPerSecond / 4, count * 2);
     for (let batch = 0; batch < batchCount; batch++) {
         const arrivals = Math.max(1, Math.floor(random.next() ** 3 * maxArrivals));
@@ -164,7 +165,7 @@
     };
 };
 
-/** Ends all running tasks but those of the last pass, so that the fleet keeps a fill. */
+/** Ends all running tasks after every fourth batch, so that the fleet does not fill up. */
 const endRunningTasks = (scheduler: ShardScheduler, batch: number): void => {
     if (batch % 4 !== 3) {
         return;
@@ -189,7 +190,7 @@
     }
 };
 
-/** Measures decisions at three sizes of fleet, with baselines beside them. */
+/** Measures placers and complete decisions for three fleet sizes. */
 export const benchDecisions = (): Figure[] => {
     const figures: Figure[] = [];
     const costs = new Map<number, number>();
@@ -209,7 +210,7 @@
                 ),
             );
         }
-        // The first run warms the code up; the second is counted.
+        // The first run warms up the JIT compiler.
         measureFullDecision(count);
         const fullDecision = measureFullDecision(count);
         costs.set(count, 1 / fullDecision.perSecond);
--- a/packages/evidence/src/bench/figures.ts
+++ b/packages/evidence/src/bench/figures.ts
@@ -1,20 +1,20 @@
-/** Rows of figures with what they must reach. */
+/** Measured figures and their targets. */
 
-/** One figure. */
+/** A measured figure. */
 export interface Figure {
     readonly measure: string;
     readonly value: number;
     readonly unit: string;
-    /** What it must reach, in words; undefined where nothing is asked. */
+    /** The target, as in `>= 95`; absent for figures without one. */
     readonly target?: string;
-    /** Whether it reaches that. */
+    /** Whether the target is reached; absent without a target. */
     readonly reached?: boolean;
 }
 
-/** Makes a figure with no target. */
+/** Creates a figure without a target. */
 export const figure = (measure: string, value: number, unit: string): Figure => ({ measure, value, unit });
 
-/** Makes a figure that must be at least `least`. */
+/** Creates a figure whose target is a minimum. */
 export const atLeast = (measure: string, value: number, unit: string, min: number): Figure => ({
     measure,
     value,
@@ -23,7 +23,7 @@
     reached: value >= min,
 });
 
-/** Makes a figure that must be at most `most`. */
+/** Creates a figure whose target is a maximum. */
 export const atMost = (measure: string, value: number, unit: string, max: number): Figure => ({
     measure,
     value,
@@ -35,7 +35,7 @@
 const formatValue = (value: number): string =>
     Number.isInteger(value) ? String(value) : value.toPrecision(4).replace(/\.?0+$/, "");
 
-/** Prints figures as a table of Markdown. */
+/** Formats figures as a Markdown table under a heading. */
 export const formatFigures = (title: string, figures: readonly Figure[]): string => {
     const rows = figures.map(({ measure, value, unit, target, reached }) => {
         const mark = reached === undefined ? "" : reached ? "yes" : "NO";
--- a/packages/evidence/src/bench/index.ts
+++ b/packages/evidence/src/bench/index.ts
@@ -1,4 +1,4 @@
-/** The decisions under load and faults, measured. */
+/** Benchmarks of placement, packing, live requests and fault situations. */
 export * from "./decisions.js";
 export * from "./figures.js";
 export * from "./live.js";
--- a/packages/evidence/src/bench/live.ts
+++ b/packages/evidence/src/bench/live.ts
@@ -1,4 +1,4 @@
-/** Waiting of live prompts under load, with the real slot broker and ledger in virtual time. */
+/** Latency of live requests under load, simulated in virtual time with the real slot broker and slot ledger. */
 import {
     type ProcessId,
     processId,
@@ -22,7 +22,7 @@
 const slotGrant = 10_000;
 const waitLimit = 200;
 const loads = [0.7, 1, 1.5, 3];
-/** A caller that was refused comes back so often at the most. */
+/** Maximum number of retries of one request. */
 const maxRetries = 5;
 
 interface SimulationResult {
@@ -34,14 +34,17 @@
 
 interface SimulationOptions {
     readonly load: number;
-    /** Whether refused callers come back when they are told to. */
+    /** Whether refused callers retry after the time in the refusal. */
     readonly retries: boolean;
     readonly waitLimit: number;
 }
 
-/** One run; times in milliseconds from a caller's first send to its answer. */
+/**
+ * Simulates 20 s at a load, as a multiple of capacity. Latencies are in milliseconds, each from the last retry to the
+ * answer.
+ */
 const simulate = async (
-    { load, retries: retries, waitLimit: waitLimit }: SimulationOptions,
+    { load, retries, waitLimit }: SimulationOptions,
 ): Promise<SimulationResult> => {
     const clock = new VirtualClock();
     const random = new SeededRandom(Math.round(load * 100));
@@ -94,7 +97,7 @@
         const { task } = outcome.slot;
         inUse.set(task, (inUse.get(task) ?? 0) + 1);
         if (inUse.get(task)! > slotsPerInstance) {
-            throw new Error("an instance was given more than its slots");
+            throw new Error("instance got more requests than it has slots");
         }
         await clock.sleep(serviceTime);
         inUse.set(task, inUse.get(task)! - 1);
@@ -122,7 +125,7 @@
     };
 };
 
-/** Measures the wait of live prompts, and what is answered when refused callers come back. */
+/** Measures latency and refusals at several loads, and throughput when refused callers retry. */
 export const benchLive = async (): Promise<Figure[]> => {
     const figures: Figure[] = [];
     const p99 = new Map<number, number>();
--- a/packages/evidence/src/bench/packing.ts
+++ b/packages/evidence/src/bench/packing.ts
@@ -1,4 +1,4 @@
-/** Packing: how much is placed when the first patient task has to wait, and over a night, against bounds. */
+/** Packing benchmark: how much of the fleet is used before the first task has to wait, and under sustained overload. */
 import {
     addResources,
     dimensions,
@@ -28,6 +28,7 @@
 const nightHours = 4;
 const minute = 60_000;
 
+/** Task sizes of the mix's batch jobs that fit on one worker. */
 const generateSingleTaskSizes = (mix: WorkloadMix, seed: number): Resources[] => {
     const random = new SeededRandom(seed);
     return Array.from({ length: 2_000 }, (_, index) => generateJob(mix, random, index).submission)
@@ -36,7 +37,7 @@
         .filter(size => fitsInto(size, mix.shape.capacity));
 };
 
-/** Processors placed before the first task that does not fit. */
+/** Processors placed before the first task that does not fit, in thousandths. */
 const processorsPlacedBeforeWait = (placer: Placer, sizes: readonly Resources[]): number => {
     let processors = 0;
     for (const size of sizes) {
@@ -48,7 +49,10 @@
     return processors;
 };
 
-/** Processors of the longest run of arrivals whose sum fits the whole fleet: no packer places more before one waits. */
+/**
+ * Upper bound of {@link processorsPlacedBeforeWait} for any placer: processors of the longest prefix of tasks whose sum fits
+ * into the capacity of the whole fleet.
+ */
 const processorBoundBeforeWait = (mix: WorkloadMix, sizes: readonly Resources[]): number => {
     const total = multiplyResources(mix.shape.capacity, mix.shape.count);
     let sum = noResources;
@@ -81,7 +85,10 @@
     });
 };
 
-/** A night with more work than fits: use of the dimension that is scarcest, against all of it. */
+/**
+ * Simulates four hours with more work than fits, and returns the mean share of the scarcest resource that is granted. The
+ * first half hour is not counted.
+ */
 const measureNight = (mix: WorkloadMix, preference: string): number => {
     const runDurations = new Map<string, number>();
     const cell = new VirtualCell({
@@ -103,7 +110,7 @@
             runDurations.set(outcome.job, generated.runDuration);
         }
     };
-    // The clerks left more in the queue than the night can do, so only packing decides what is done.
+    // The queue never runs empty, so the share depends on packing alone.
     cell.clock.every(minute, () => {
         while (cell.scheduler.queue.length < 400) {
             submit(generateJob(mix, random, index++));
@@ -129,12 +136,12 @@
     cell.clock.runUntil(nightHours * hour);
     cell.finish();
     if (cell.statistics.overCapacityStarts + cell.statistics.concurrentStarts > 0) {
-        throw new Error("a night broke a promise");
+        throw new Error("simulation started a task twice at once or exceeded the capacity of a worker");
     }
     return mean(usedShares);
 };
 
-/** Measures packing on both mixes. */
+/** Measures packing for the workload mixes, with first fit, random fit and spreading as baselines. */
 export const benchPacking = (): Figure[] => [
     ...measureFirstWait(retrouveMix),
     ...measureFirstWait(bayanihanMix),
--- a/packages/evidence/src/bench/placers.ts
+++ b/packages/evidence/src/bench/placers.ts
@@ -1,16 +1,16 @@
-/** Simple placements to measure against; each scans typed arrays of free room. */
+/** The scheduler's placement index and simple baselines behind one interface. */
 import { dimensionCount, dimensions, FleetIndex, Preference, type Random, type Resources } from "@pebbledale/core";
 
-/** A placement that the bench drives. */
+/** Places tasks on workers, which are numbered from 0. */
 export interface Placer {
     readonly name: string;
-    /** Places one task; -1 when none fits. */
+    /** Reserves capacity for one task; returns the worker, or -1 when it fits on none. */
     place(size: Resources): number;
-    /** Gives the room back. */
+    /** Releases the capacity of one task. */
     release(worker: number, size: Resources): void;
 }
 
-/** Free room of workers in one typed array. */
+/** Free capacity of all workers in one typed array, indexed by worker and resource dimension. */
 export class FreeCapacityArray {
     readonly free: Float64Array;
 
@@ -21,7 +21,7 @@
         }
     }
 
-    /** Adds `sign` times a size to a worker's room. */
+    /** Adds a size to a worker's free capacity; `sign` is 1, or -1 to subtract. */
     addToFree(worker: number, size: Resources, sign: number): void {
         const base = worker * dimensionCount;
         for (let dimension = 0; dimension < dimensionCount; dimension++) {
@@ -29,7 +29,6 @@
         }
     }
 
-    /** Whether a size fits a worker. */
     fits(worker: number, size: Resources): boolean {
         const base = worker * dimensionCount;
         return this.free[base] >= size.processorThousandths
@@ -40,7 +39,7 @@
     }
 }
 
-/** A placement by a scan of free room. */
+/** Base of the placers that scan the free capacities linearly. */
 abstract class ScanPlacer implements Placer {
     abstract readonly name: string;
     protected readonly capacities: FreeCapacityArray;
@@ -49,7 +48,6 @@
         this.capacities = new FreeCapacityArray(count, capacity);
     }
 
-    /** See {@link Placer.place}. */
     place(size: Resources): number {
         const worker = this.findWorker(size);
         if (worker >= 0) {
@@ -58,20 +56,18 @@
         return worker;
     }
 
-    /** See {@link Placer.release}. */
     release(worker: number, size: Resources): void {
         this.capacities.addToFree(worker, size, 1);
     }
 
-    /** The worker that is taken; -1 when none fits. */
+    /** Selects a worker; -1 when the task fits on none. */
     protected abstract findWorker(size: Resources): number;
 }
 
-/** The first worker that fits. */
+/** Selects the first worker on which the task fits. */
 export class FirstFit extends ScanPlacer {
     readonly name = "first fit";
 
-    /** See {@link ScanPlacer.findWorker}. */
     protected findWorker(size: Resources): number {
         for (let worker = 0; worker < this.capacities.count; worker++) {
             if (this.capacities.fits(worker, size)) {
@@ -82,7 +78,7 @@
     }
 }
 
-/** A random worker that fits, after a random start. */
+/** Selects the first worker on which the task fits, from a random position on. */
 export class RandomFit extends ScanPlacer {
     readonly name = "random fit";
 
@@ -90,7 +86,6 @@
         super(count, capacity);
     }
 
-    /** See {@link ScanPlacer.findWorker}. */
     protected findWorker(size: Resources): number {
         const { count } = this.capacities;
         const start = Math.floor(this.random.next() * count);
@@ -104,11 +99,10 @@
     }
 }
 
-/** The worker that is left with the least processors: a plain scan of all. */
+/** Selects the worker with the fewest free processors on which the task fits. */
 export class BestFitScan extends ScanPlacer {
     readonly name = "best-fit scan";
 
-    /** See {@link ScanPlacer.findWorker}. */
     protected findWorker(size: Resources): number {
         let best = -1;
         let bestFree = Infinity;
@@ -123,7 +117,7 @@
     }
 }
 
-/** The product's own index, packing. */
+/** Uses the scheduler's {@link FleetIndex} with the preference to pack. */
 export class IndexPlacer implements Placer {
     readonly name = "index, pack";
     readonly #index = new FleetIndex();
@@ -134,7 +128,6 @@
         }
     }
 
-    /** See {@link Placer.place}. */
     place(size: Resources): number {
         const { worker } = this.#index.find({ size, preference: Preference.Pack, headroom: 0 });
         if (worker >= 0) {
@@ -143,7 +136,6 @@
         return worker;
     }
 
-    /** See {@link Placer.release}. */
     release(worker: number, size: Resources): void {
         this.#index.release(worker, size);
     }
--- a/packages/evidence/src/bench/situations.ts
+++ b/packages/evidence/src/bench/situations.ts
@@ -1,4 +1,4 @@
-/** Seeded runs of what goes wrong, each with its figure; lost, run twice and over capacity must be 0 in all. */
+/** Benchmarks of fault situations, simulated in virtual time with fixed seeds. */
 import { type JobId, SeededRandom } from "@pebbledale/core";
 import { atLeast, atMost, type Figure, figure } from "./figures.js";
 import { VirtualCell } from "./virtual/index.js";
@@ -7,7 +7,7 @@
 const second = 1_000;
 const minute = 60 * second;
 
-/** A cell under a steady stream of a mix, with what callers were told. */
+/** A simulated cell under a workload mix, with the jobs whose acceptance was committed. */
 class Situation {
     readonly cell: VirtualCell;
     readonly accepted: JobId[] = [];
@@ -29,11 +29,11 @@
             settings: [...mix.settings, "result.retention = 30d", ...settings],
             runDurationOf: job => this.#runDurations.get(job) ?? second,
             failsEverywhere: job => this.failingJobs.has(job),
-            usageFactorOf: usageFactorOf,
+            usageFactorOf,
         });
     }
 
-    /** Submits one job of the mix, or one that the caller describes. */
+    /** Submits the given job, or the next one of the mix; undefined when it is refused or the shard has no owner. */
     submit(job?: object, runDuration = second): JobId | undefined {
         const generated = generateJob(this.mix, this.#random, this.#index++);
         const outcome = this.cell.submit(job ?? generated.submission, id => this.accepted.push(id));
@@ -44,12 +44,12 @@
         return outcome.job;
     }
 
-    /** Submits jobs of the mix at a rate until a time. */
+    /** Submits jobs of the mix at a constant rate until a time in milliseconds. */
     submitAtRate(perSecond: number, until: number): void {
         this.cell.clock.every(second / perSecond, () => this.submit(), () => this.cell.clock.monotonic() > until);
     }
 
-    /** Runs to a time, then until all is answered or `limit` has passed as well. */
+    /** Runs until a time, and then until all jobs have ended, for at most `limit` milliseconds. */
     run(until: number, limit = 60 * minute): void {
         this.cell.clock.runUntil(until);
         while (this.unfinishedJobs().length > 0 && this.cell.clock.monotonic() < until + limit) {
@@ -58,7 +58,7 @@
         this.cell.finish();
     }
 
-    /** Jobs without a final answer. */
+    /** Accepted jobs that are not in a final state. */
     unfinishedJobs(): JobId[] {
         return this.accepted.filter(job => {
             const state = this.cell.scheduler.view(job)?.state;
@@ -66,19 +66,18 @@
         });
     }
 
-    /** Jobs by their final state. */
     countInState(state: string): number {
         return this.accepted.filter(job => this.cell.scheduler.view(job)?.state === state).length;
     }
 
-    /** Rows that every situation has. */
+    /** Figures for the guarantees that hold in every situation; their target is 0. */
     invariantFigures(name: string): Figure[] {
-        const { statistics: notes } = this.cell;
-        const unrepeatableTwice = [...notes.startsByTask].filter(([task, count]) => {
+        const { statistics } = this.cell;
+        const unrepeatableTwice = [...statistics.startsByTask].filter(([task, count]) => {
             const job = this.cell.scheduler.registry.jobs.get(task.slice(0, task.lastIndexOf("/")) as JobId);
             return count > 1 && job?.submission.unrepeatable === true;
         }).length;
-        const violations = notes.concurrentStarts + notes.overCapacityStarts + unrepeatableTwice;
+        const violations = statistics.concurrentStarts + statistics.overCapacityStarts + unrepeatableTwice;
         return [
             atMost(`${name}: lost without an answer`, this.unfinishedJobs().length, "jobs", 0),
             atMost(`${name}: run in two places, repeated against the mark, or over capacity`, violations, "times", 0),
@@ -86,7 +85,7 @@
     }
 }
 
-/** What tasks use, and use above their grants, as means over a stream of a mix. */
+/** Processor use, and use beyond grants, in percent of the granted processors over three minutes. */
 const measureUsage = (situation: Situation): { usedOfGranted: number; overGrant: number; } => {
     let granted = 0;
     let used = 0;
@@ -121,6 +120,7 @@
     ];
 };
 
+/** One task in ten demands eight times its grant, with throttling and without it as a baseline. */
 const hog = (): Figure[] => {
     const isHog = (job: JobId) => job.endsWith("0");
     const createSituation = () => new Situation(bayanihanMix, 12, [], job => isHog(job) ? 8 : 0.9);
@@ -162,9 +162,9 @@
     }
     situation.submitAtRate(10, 5 * minute);
     situation.run(5 * minute);
-    const { statistics: notes } = situation.cell;
+    const { statistics } = situation.cell;
     return [
-        figure("3 of 30 workers fail all: failed attempts of all", notes.failed / notes.starts * 100, "%"),
+        figure("3 of 30 workers fail all: failed attempts of all", statistics.failed / statistics.starts * 100, "%"),
         atLeast(
             "3 of 30 workers fail all: repeatable jobs that succeed",
             repeatableSuccessShare(situation) * 100,
@@ -356,7 +356,7 @@
     platformSlow,
 };
 
-/** Runs all situations, or those that are named. */
+/** Runs the situations with the given names, or all when there are none. */
 export const benchSituations = (names: readonly string[] = []): Figure[] =>
     Object.entries(situations).filter(([name]) => names.length === 0 || names.includes(name)).flatMap(([, run]) =>
         run()
--- a/packages/evidence/src/bench/virtual/virtual-cell.ts
+++ b/packages/evidence/src/bench/virtual/virtual-cell.ts
@@ -1,4 +1,4 @@
-/** One shard's real decisions with fake workers and a fake journal in virtual time. */
+/** Simulation of one shard. */
 import {
     type Attempt,
     type Effect,
@@ -27,23 +27,23 @@
 import { VirtualClock } from "./virtual-clock.js";
 import { VirtualWorker, WorkerStatistics } from "./virtual-worker.js";
 
-/** What a run consists of. */
+/** Fleet, settings and task behaviour of a simulation. */
 export interface VirtualCellOptions {
     readonly shape: FleetShape;
     readonly seed: number;
     /** Lines of the organisation's section of the settings tree. */
     readonly settings?: readonly string[];
-    /** How long a task really runs; its caller may have said otherwise. */
+    /** Actual run time of a job's tasks, which may differ from the declared one. */
     readonly runDurationOf: (job: JobId) => Milliseconds;
-    /** Processors that a job's tasks would use over those it declared; 1 if absent. */
+    /** Demand for processors of a job's tasks relative to their grants; 1 if absent. */
     readonly usageFactorOf?: (job: JobId) => number;
-    /** Whether a task fails wherever it runs. */
+    /** Whether a job's tasks fail on every worker. */
     readonly failsEverywhere?: (job: JobId) => boolean;
 }
 
 interface PendingTransition {
     readonly transition: Transition;
-    /** Called once its records are kept. */
+    /** Called once its records are committed. */
     readonly onCommitted?: () => void;
 }
 
@@ -52,14 +52,14 @@
 const heartbeatInterval: Milliseconds = 1_000;
 const tickInterval: Milliseconds = 100;
 const workerListInterval: Milliseconds = 2_000;
-/** How long nobody owns the shard after an owner's death: the platform's lease and the reading of the journal. */
+/** Time without an owner after the former one was killed: expiry of its lease and replay of the journal. */
 const ownerTakeoverDelay: Milliseconds = 3_500;
 
-/** The settings that a run uses. */
+/** Parses lines of a settings tree's organisation section; throws when they are invalid. */
 export const parseShardSettings = (lines: readonly string[]): ShardSettings =>
     shardSettingsOf(parseSettingsTree(["[organisation]", ...lines].join("\n"))._unsafeUnwrap(), {});
 
-/** The workers of a shape, as the platform lists them. */
+/** Creates the platform's VM list for a fleet. */
 export const createListedWorkers = (shape: FleetShape): ListedWorker[] =>
     Array.from({ length: shape.count }, (_, index) => ({
         worker: workerId(`worker-${index}`),
@@ -71,14 +71,17 @@
         capacity: shape.capacity,
     }));
 
-/** See the module's comment. */
+/**
+ * The real {@link ShardScheduler} of one shard in virtual time, with simulated workers, network, platform and journal.
+ * Deterministic for a seed.
+ */
 export class VirtualCell {
     readonly clock = new VirtualClock();
     readonly statistics = new WorkerStatistics();
     readonly workers: Map<string, VirtualWorker>;
     readonly random: SeededRandom;
     readonly settings: ShardSettings;
-    /** Segments that a real journal would have written: one a group commit. */
+    /** Number of journal segments written: one per group commit. */
     segmentCount = 0;
     scheduler!: ShardScheduler;
     #journal: ShardRecord[] = [];
@@ -108,8 +111,8 @@
     }
 
     /**
-     * Submits a job; fields that are left out have defaults. Undefined while the shard has no owner.
-     * `kept` is called once the acceptance is kept: only then has the caller been told.
+     * Submits a job; omitted fields have defaults. Returns undefined while the shard has no owner. `onCommitted` is called
+     * once the acceptance is committed: only then does a caller learn of it.
      */
     submit(job: object, onCommitted: (job: JobId) => void): SubmitOutcome | undefined {
         if (!this.#isOwned) {
@@ -126,7 +129,6 @@
         return outcome;
     }
 
-    /** Cancels a job. */
     cancel(job: JobId): void {
         const step = this.scheduler.cancel(job);
         if (step !== undefined) {
@@ -134,38 +136,38 @@
         }
     }
 
-    /** Ends the owner without warning; another takes over from what was kept. */
+    /** Kills the owner. Another one takes over later from the committed records; uncommitted ones are lost. */
     killOwner(): void {
         this.#isOwned = false;
         this.#pending = [];
         this.clock.after(ownerTakeoverDelay, () => this.#takeOwnership());
     }
 
-    /** Takes the platform away or gives it back, or makes it slow. */
+    /** Sets whether the platform is unavailable, and the duration of its writes. */
     setPlatformState(isDown: boolean, delay: Milliseconds = journalDelay): void {
         this.#isPlatformDown = isDown;
         this.#platformDelay = delay;
         this.#writeSegment();
     }
 
-    /** Takes a VM away for good. */
+    /** Kills a worker and removes it from the VM list. */
     removeWorker(name: string): void {
         this.workers.get(name)?.kill();
         this.workers.delete(name);
         this.#publishWorkerList();
     }
 
-    /** Tells the owner what the platform lists. */
+    /** Passes the current VM list to the owner without waiting for the next interval. */
     publishWorkerList(): void {
         this.#publishWorkerList();
     }
 
-    /** Ends the run's endless events. */
+    /** Stops the recurring events. */
     finish(): void {
         this.#isFinished = true;
     }
 
-    /** Places what fits, in a moment. */
+    /** Requests a scheduling cycle at the current time, after the events already due. */
     requestSchedule(): void {
         if (this.#isCycleScheduled || !this.#isOwned) {
             return;
@@ -254,16 +256,17 @@
         this.requestSchedule();
     }
 
-    #applyTransition(step: Transition, kept?: () => void): void {
+    /** Executes effects once the transition's records are committed; at once when it has none. */
+    #applyTransition(step: Transition, onCommitted?: () => void): void {
         if (step.records.length === 0) {
             step.effects.forEach(effect => this.#execute(effect));
             return;
         }
-        this.#pending.push({ transition: step, onCommitted: kept });
+        this.#pending.push({ transition: step, onCommitted });
         this.#writeSegment();
     }
 
-    /** Group commit: one write at a time, with all that waits. */
+    /** Group commit: one write at a time, with all pending transitions. */
     #writeSegment(): void {
         if (this.#isWriting || this.#isPlatformDown || this.#pending.length === 0) {
             return;
@@ -280,10 +283,10 @@
             }
             if (epoch === this.#epoch && this.#isOwned) {
                 this.segmentCount++;
-                for (const { transition: step, onCommitted: kept } of group) {
+                for (const { transition: step, onCommitted } of group) {
                     this.#journal.push(...step.records);
                     this.scheduler.onCommitted(step);
-                    kept?.();
+                    onCommitted?.();
                     step.effects.forEach(effect => this.#execute(effect));
                 }
                 this.requestSchedule();
@@ -326,7 +329,7 @@
             return;
         }
         if (worker === undefined || !worker.isUp || !worker.isReachable) {
-            // No answer: the attempt stays in doubt until its worker answers or its leases have lapsed.
+            // No response: the outcome stays unknown until the worker responds or the task's lease has expired.
             return;
         }
         if (worker.isLeaving) {
--- a/packages/evidence/src/bench/virtual/virtual-clock.ts
+++ b/packages/evidence/src/bench/virtual/virtual-clock.ts
@@ -1,4 +1,4 @@
-/** Time that jumps from event to event. */
+/** Clock and event queue of a simulation. */
 import type { Clock, Milliseconds } from "@pebbledale/core";
 import TinyQueue from "tinyqueue";
 
@@ -8,7 +8,7 @@
     readonly run: () => void;
 }
 
-/** See the module's comment. */
+/** A clock that advances from event to event. Events of the same time run in the order in which they were added. */
 export class VirtualClock implements Clock {
     readonly #events = new TinyQueue<ScheduledEvent>(
         [],
@@ -18,27 +18,24 @@
     #now = 0;
     #nextSequence = 0;
 
-    /** See {@link Clock.monotonic}. */
     monotonic(): Milliseconds {
         return this.#now;
     }
 
-    /** See {@link Clock.now}. */
     now(): Date {
         return new Date(this.#startTime + this.#now);
     }
 
-    /** See {@link Clock.sleep}. */
     sleep(duration: Milliseconds): Promise<void> {
         return new Promise(resolve => this.after(duration, resolve));
     }
 
-    /** Runs something after a time. */
+    /** Adds an event after a duration; a negative one counts as 0. */
     after(duration: Milliseconds, run: () => void): void {
         this.#events.push({ at: this.#now + Math.max(0, duration), sequence: this.#nextSequence++, run });
     }
 
-    /** Runs something again and again until `isDone`. */
+    /** Adds a recurring event, first after one interval, until `isDone` returns true. */
     every(interval: Milliseconds, run: () => void, isDone: () => boolean): void {
         this.after(interval, () => {
             if (!isDone()) {
@@ -48,7 +45,7 @@
         });
     }
 
-    /** Runs all events up to a time. */
+    /** Runs all events up to a time and advances the clock to it. */
     runUntil(end: Milliseconds): void {
         while (this.#events.length > 0 && this.#events.peek()!.at <= end) {
             const event = this.#events.pop()!;
@@ -58,7 +55,7 @@
         this.#now = Math.max(this.#now, end);
     }
 
-    /** Like {@link runUntil}, and lets promises settle between events. */
+    /** Like {@link runUntil}, but lets promises settle after the events of each time. */
     async runUntilSettled(end: Milliseconds): Promise<void> {
         while (this.#events.length > 0 && this.#events.peek()!.at <= end) {
             const { at } = this.#events.peek()!;
--- a/packages/evidence/src/bench/virtual/virtual-worker.ts
+++ b/packages/evidence/src/bench/virtual/virtual-worker.ts
@@ -1,4 +1,4 @@
-/** A fake worker in virtual time: runs what it is told to and notes what must never happen. */
+/** Simulated workers and their statistics. */
 import {
     type Attempt,
     type EndedTask,
@@ -17,15 +17,18 @@
     readonly attempt: Attempt;
     readonly grant: Resources;
     readonly startedAt: number;
-    /** Processors that it would use if it were let, in thousandths. */
+    /** Processors it would use without a limit, in thousandths. */
     readonly demandedProcessors: number;
-    /** Set by a throttle message. */
+    /** Set by a throttle message, in thousandths. */
     processorLimit: number;
 }
 
 const usedProcessors = (task: VirtualTask): number => Math.min(task.demandedProcessors, task.processorLimit);
 
-/** What the fakes noted of all workers of a run. */
+/**
+ * Counts over all workers of a simulation. `overCapacityStarts` and `concurrentStarts`, of tasks that already run, count
+ * violations of the scheduler's guarantees.
+ */
 export class WorkerStatistics {
     readonly runningCounts = new Map<TaskId, number>();
     readonly startsByTask = new Map<TaskId, number>();
@@ -36,7 +39,7 @@
     failed = 0;
 }
 
-/** See the module's comment. */
+/** A simulated worker. It runs the tasks that are started on it, checks no leases, and records violations. */
 export class VirtualWorker {
     readonly running = new Map<TaskId, VirtualTask>();
     ended: EndedTask[] = [];
@@ -44,19 +47,18 @@
     isReachable = true;
     isLeaving = false;
     failsAll = false;
-    /** A baseline: nothing holds a task to its grant. */
+    /** Baseline without enforcement of grants: throttle messages have no effect. */
     ignoresThrottle = false;
     #lastReportNumber = 0;
     #incarnation = 1;
 
     constructor(readonly listed: ListedWorker, private readonly statistics: WorkerStatistics) {}
 
-    /** How the platform lists it. */
+    /** The worker's entry in the platform's VM list. */
     toListedWorker(): ListedWorker {
         return this.isLeaving ? { ...this.listed, state: VmState.Leaving } : this.listed;
     }
 
-    /** What it says of itself. */
     report(): WorkerReport {
         return {
             worker: this.listed.worker,
@@ -72,7 +74,9 @@
         };
     }
 
-    /** Processors that are granted here and those that are used, in thousandths. */
+    /**
+     * Sums over the running tasks, in thousandths of a processor; `overGrant` is what tasks use beyond their grants.
+     */
     processorUsage(): { readonly granted: number; readonly used: number; readonly overGrant: number; } {
         const tasks = [...this.running.values()];
         const sum = (amountOf: (task: VirtualTask) => number) =>
@@ -84,7 +88,7 @@
         };
     }
 
-    /** Holds a task to an amount of processors. */
+    /** Limits a task's processor use, unless throttling is ignored. */
     throttle(task: TaskId, processorThousandths: number): void {
         const running = this.running.get(task);
         if (running !== undefined && !this.ignoresThrottle) {
@@ -92,28 +96,28 @@
         }
     }
 
-    /** Starts a task. `usesFactor`: processors that it would use over those declared. */
+    /** Starts a task. `usageFactor` is its demand for processors relative to its grant. */
     start(message: StartMessage, now: number, usageFactor: number): void {
         const { task, attempt, grant } = message;
-        const { statistics: notes } = this;
+        const { statistics } = this;
         const demandedProcessors = grant.processorThousandths * usageFactor;
         this.running.set(task, {
             task,
             attempt,
             grant,
             startedAt: now,
-            demandedProcessors: demandedProcessors,
+            demandedProcessors,
             processorLimit: Infinity,
         });
-        notes.starts++;
-        notes.startsByTask.set(task, (notes.startsByTask.get(task) ?? 0) + 1);
-        const runningCount = (notes.runningCounts.get(task) ?? 0) + 1;
-        notes.runningCounts.set(task, runningCount);
-        notes.concurrentStarts += runningCount > 1 ? 1 : 0;
-        notes.overCapacityStarts += this.#isOverCapacity() ? 1 : 0;
+        statistics.starts++;
+        statistics.startsByTask.set(task, (statistics.startsByTask.get(task) ?? 0) + 1);
+        const runningCount = (statistics.runningCounts.get(task) ?? 0) + 1;
+        statistics.runningCounts.set(task, runningCount);
+        statistics.concurrentStarts += runningCount > 1 ? 1 : 0;
+        statistics.overCapacityStarts += this.#isOverCapacity() ? 1 : 0;
     }
 
-    /** Ends a task; false when it no longer runs. */
+    /** Ends a task and keeps its end for the next reports; false when this attempt does not run here. */
     end(task: TaskId, attempt: Attempt, kind: EndKind, now: number): boolean {
         const running = this.running.get(task);
         if (running?.attempt !== attempt) {
@@ -126,7 +130,7 @@
         return true;
     }
 
-    /** Ends with all its tasks, without a word. */
+    /** Stops the worker and drops its tasks without reporting their end. */
     kill(): void {
         this.isUp = false;
         [...this.running.keys()].forEach(task => this.#removeTask(task));
@@ -136,12 +140,12 @@
 
     #removeTask(task: TaskId): void {
         this.running.delete(task);
-        const places = (this.statistics.runningCounts.get(task) ?? 1) - 1;
-        if (places === 0) {
+        const runningCount = (this.statistics.runningCounts.get(task) ?? 1) - 1;
+        if (runningCount === 0) {
             this.statistics.runningCounts.delete(task);
         }
         else {
-            this.statistics.runningCounts.set(task, places);
+            this.statistics.runningCounts.set(task, runningCount);
         }
     }
 
--- a/packages/evidence/src/bench/workload-mixes.ts
+++ b/packages/evidence/src/bench/workload-mixes.ts
@@ -1,10 +1,9 @@
-/** The users' mixes of work, drawn from a seed. */
+/** Synthetic workloads modelled on the two organisations. */
 import type { Random } from "@pebbledale/core";
 import { bayanihanShape, type FleetShape, retrouveShape } from "@pebbledale/stand-ins";
 
-/** A job with what its caller does not know. */
+/** A generated job with its actual run time, which its submission does not contain. */
 export interface GeneratedJob {
-    /** As submitted. */
     readonly submission: {
         readonly key: string;
         readonly class: string;
@@ -14,11 +13,11 @@
         readonly expectedRunMilliseconds: number;
         readonly size: { readonly processors: number; readonly memoryMebibytes: number; readonly slots: number; };
     };
-    /** How long each task really runs. */
+    /** Actual run time of each task, in milliseconds. */
     readonly runDuration: number;
 }
 
-/** A kind of work within a mix. */
+/** One kind of job in a mix. Pairs are inclusive ranges of which values are drawn uniformly; shares add up to 1. */
 interface JobKind {
     readonly name: string;
     readonly share: number;
@@ -32,7 +31,7 @@
     readonly runDuration: readonly [number, number];
 }
 
-/** One user's workers, settings and work. */
+/** Fleet, settings and kinds of jobs of one workload. */
 export interface WorkloadMix {
     readonly name: string;
     readonly shape: FleetShape;
@@ -40,14 +39,14 @@
     readonly kinds: readonly JobKind[];
 }
 
-/** One job in this many can never run. */
+/** Every n-th job demands more processors than any worker has. */
 const infeasibleInterval = 200;
-/** Declared run times are off by up to this factor either way. */
+/** Declared run times differ from actual ones by up to this factor in either direction. */
 const maxDeclarationFactor = 4;
 const second = 1_000;
 const gibibyte = 1_024;
 
-/** Script assembly and campaign builds. */
+/** Workload of Bayanihan: short scripts and unrepeatable builds. */
 export const bayanihanMix: WorkloadMix = {
     name: "bayanihan",
     shape: bayanihanShape,
@@ -80,7 +79,7 @@
     ],
 };
 
-/** Photo matches and reindexing in gangs. */
+/** Workload of Retrouve: unrepeatable photo matches, and reindexing in gangs. */
 export const retrouveMix: WorkloadMix = {
     name: "retrouve",
     shape: retrouveShape,
@@ -113,7 +112,7 @@
     ],
 };
 
-/** Photo matches over whole collections: few on a worker, so that processors and memory run out before slots. */
+/** Variant of {@link retrouveMix} with tasks so large that processors and memory are exhausted before slots. */
 export const largeMatchMix: WorkloadMix = {
     ...retrouveMix,
     name: "retrouve, large matches",
@@ -129,7 +128,7 @@
 const randomInteger = (random: Random, [min, max]: readonly [number, number]): number =>
     min + Math.floor(random.next() * (max - min + 1));
 
-/** Draws the next job of a mix. */
+/** Generates a job of a mix. Deterministic for the state of `random` and `index`. */
 export const generateJob = (mix: WorkloadMix, random: Random, index: number): GeneratedJob => {
     let kind = mix.kinds[mix.kinds.length - 1];
     let point = random.next();
@@ -144,7 +143,7 @@
     const declaredDuration = Math.max(1, Math.round(runDuration * maxDeclarationFactor ** (random.next() * 2 - 1)));
     const isInfeasible = (index + 1) % infeasibleInterval === 0;
     return {
-        runDuration: runDuration,
+        runDuration,
         submission: {
             key: `${kind.name}-${index}`,
             class: kind.class,
