--- a/packages/evidence/src/cli/bench.ts
+++ b/packages/evidence/src/cli/bench.ts
@@ -19,9 +19,9 @@
         benchSituations(process.argv.slice(2).filter(word => !Object.hasOwn(parts, word) && !word.startsWith("-"))),
 };
 
-const wanted = process.argv.slice(2).filter(word => Object.hasOwn(parts, word));
+const selected = process.argv.slice(2).filter(word => Object.hasOwn(parts, word));
 const figures: Record<string, readonly Figure[]> = {};
-for (const name of wanted.length > 0 ? wanted : Object.keys(parts)) {
+for (const name of selected.length > 0 ? selected : Object.keys(parts)) {
     figures[name] = await parts[name]();
     process.stdout.write(`${formatFigures(name, figures[name])}\n`);
 }
--- a/packages/evidence/test/docs/pages.test.ts
+++ b/packages/evidence/test/docs/pages.test.ts
@@ -8,14 +8,14 @@
 const pageOf = (name: string): string =>
     readFileSync(fileURLToPath(new URL(`../../../../../docs/${name}`, import.meta.url)), "utf8");
 
-describe("pages made from catalogues", () => {
+describe("generated reference pages", () => {
     for (const [name, render] of Object.entries(pageRenderers)) {
-        it(`${name} is what the catalogue says; npm run docs writes it`, () => {
+        it(`${name} is up to date with its catalogue; npm run docs writes it`, () => {
             expect(pageOf(name)).toEqual(render());
         });
     }
 
-    it("no event is missing from the page, and no number stands twice", () => {
+    it("EVENTS.md contains every event, and event numbers are unique", () => {
         const page = pageOf("EVENTS.md");
         const numbers = Object.values(logEvents).map(event => event.number);
         expect(numbers.filter(number => !page.includes(`| ${number} |`))).toEqual([]);
--- a/packages/evidence/test/journal/flaky-store.ts
+++ b/packages/evidence/test/journal/flaky-store.ts
@@ -1,4 +1,4 @@
-/** The stand-in's memory store behind the product's interface, failing as a test says. */
+/** Platform store for journal and settings tests. */
 import {
     type KeyValue,
     type KeyVersion,
@@ -10,15 +10,15 @@
 } from "@pebbledale/core";
 import { MemoryStore } from "@pebbledale/stand-ins";
 
-/** What happens to a write: it takes effect and is answered, takes effect unanswered, or is lost. */
+/** What happens to a write: it takes effect and is answered, takes effect without an answer, or has no effect. */
 export type WriteOutcome = "answered" | "answer lost" | "call lost";
 
-/** See the module's comment. */
+/** {@link MemoryStore} behind the {@link PlatformStore} interface, with failing writes and a hook before each write. */
 export class FlakyStore implements PlatformStore {
     readonly memory = new MemoryStore();
-    /** Fates of the next writes; later ones are answered. */
+    /** Outcomes of the next writes; later ones are answered. */
     readonly outcomes: WriteOutcome[] = [];
-    /** How often a prefix was read. */
+    /** Number of calls of {@link list}. */
     listCalls = 0;
     /** Called before each write takes effect. */
     beforeSwap: ((key: string) => void | Promise<void>) | undefined;
--- a/packages/evidence/test/journal/journal-fuzz.test.ts
+++ b/packages/evidence/test/journal/journal-fuzz.test.ts
@@ -14,7 +14,7 @@
 const seeds = 60;
 const owners = 4;
 const recordsPerOwner = 25;
-/** Share of the calls that are lost before or after they take effect. */
+/** Probability that a call is lost before it takes effect, and again that its answer is lost. */
 const lossShare = 0.15;
 const maxDelayTurns = 6;
 
@@ -22,13 +22,12 @@
 
 const turnClock: Clock = { monotonic: () => 0, now: () => new Date(0), sleep: turn };
 
-/** A store whose calls take effect late, in any order, or are lost. */
+/** A store whose writes are delayed, reordered and lost at random. */
 class ReorderingStore extends FlakyStore {
     constructor(private readonly random: SeededRandom) {
         super();
     }
 
-    /** See the class's comment. */
     override async compareAndSwap(...call: Parameters<FlakyStore["compareAndSwap"]>): Promise<SwapOutcome> {
         await this.#delay();
         if (this.random.next() < lossShare) {
@@ -70,7 +69,8 @@
     });
 
 /**
- * Owners take the journal from each other while they write; returns what each was committed is kept, and what is read.
+ * Owners claim the journal one after another while earlier ones still write; returns the committed and the read
+ * records.
  */
 const runOwners = async (seed: number): Promise<{ committed: string[]; read: string[]; }> => {
     const random = new SeededRandom(seed);
@@ -95,7 +95,7 @@
     return { committed, read: [...(contents.snapshot as string[] | undefined ?? []), ...contents.records as string[]] };
 };
 
-/** A claim whose call was lost is tried again, as candidates do. */
+/** Opens the journal, again when a call was lost, as candidates do. */
 const openWithRetries = async (
     store: FlakyStore,
     random: SeededRandom,
@@ -113,8 +113,8 @@
     }
 };
 
-describe("a journal whose calls are delayed, lost and overtaken, under owners that take it from each other", () => {
-    it("holds all that was committed to be kept, once and in order", async () => {
+describe("a journal under competing owners whose writes are delayed, reordered and lost", () => {
+    it("contains every committed record, once and in order", async () => {
         for (let seed = 1; seed <= seeds; seed++) {
             const { committed, read } = await runOwners(seed);
             expect(new Set(read).size).toEqual(read.length);
--- a/packages/evidence/test/journal/journal.test.ts
+++ b/packages/evidence/test/journal/journal.test.ts
@@ -12,7 +12,7 @@
 import { describe, it } from "node:test";
 import { FlakyStore } from "./flaky-store.js";
 
-/** A clock whose waits end at once: the journal's pace does not matter here. */
+/** A clock whose waits end at once. */
 const instantClock: Clock = {
     monotonic: () => 0,
     now: () => new Date(0),
@@ -43,7 +43,7 @@
     },
 });
 
-/** A state that is the list of its records, as a snapshot source. */
+/** Makes the list of appended records the journal's snapshot source. */
 const trackState = (journal: Journal, before: readonly unknown[] = []) => {
     const state = [...before];
     journal.setSnapshotSource(() => state);
@@ -56,14 +56,14 @@
     };
 };
 
-/** `sizes`: those of the owner, as a reader has to know the ring. */
+/** Reads the snapshot and the records after it. `sizes` must have the writer's `ringSize`. */
 const readAllRecords = async (store: FlakyStore, sizes: { ringSize?: number; } = {}): Promise<unknown[]> => {
     const { contents } = await openAs(store, "reader", sizes);
     return [...(contents.snapshot as unknown[] | undefined ?? []), ...contents.records];
 };
 
 describe("journal", () => {
-    it("gives the next owner all that was kept, in order", async () => {
+    it("returns all committed records to the next owner, in order", async () => {
         const store = new FlakyStore();
         const { journal } = await openAs(store, "first");
         await Promise.all([journal.append(["a"]), journal.append(["b", "c"])]);
@@ -72,7 +72,7 @@
         expect<number>(contents.epoch).toEqual(2);
     });
 
-    it("fences the old owner once a new one has claimed, however late its write comes", async () => {
+    it("fences the former owner once a new one has claimed, however late its write arrives", async () => {
         const store = new FlakyStore();
         const { journal } = await openAs(store, "old");
         await journal.append(["kept"]);
@@ -81,7 +81,7 @@
         expect(await readAllRecords(store)).toEqual(["kept"]);
     });
 
-    it("settles a write whose answer was lost: it is kept once", async () => {
+    it("commits a write once when its answer was lost", async () => {
         const store = new FlakyStore();
         const { journal } = await openAs(store, "owner");
         store.outcomes.push("answer lost", "call lost", "answered");
@@ -91,7 +91,7 @@
         expect(await readAllRecords(store)).toEqual(["a", "b"]);
     });
 
-    it("does not take another owner's segment for its own when the answer was lost", async () => {
+    it("does not mistake another owner's segment for its own when the answer was lost", async () => {
         const store = new FlakyStore();
         const { journal } = await openAs(store, "old");
         store.outcomes.push("call lost");
@@ -103,7 +103,7 @@
         expect(await readAllRecords(store)).toEqual([]);
     });
 
-    it("rewrites the ring many times over and loses nothing, also when a late writer holds an old number", async () => {
+    it("loses nothing when the ring is overwritten many times and a former owner writes late", async () => {
         const store = new FlakyStore();
         const first = await openAs(store, "old");
         const old = trackState(first.journal);
@@ -117,7 +117,7 @@
         expect(await readAllRecords(store)).toEqual(["first", ...Array.from({ length: 100 }, (_, index) => index)]);
     });
 
-    it("splits what is larger than one value, groups and snapshots alike", async () => {
+    it("splits groups and snapshots that are larger than one value", async () => {
         const store = new FlakyStore();
         const { journal } = await openAs(store, "owner", { maxValueBytes: 200, ringSize: 64 });
         const owner = trackState(journal);
@@ -128,7 +128,7 @@
         expect(Math.max(...sizes)).toBeLessThan(800);
     });
 
-    it("holds in a snapshot exactly what its segments held, with records waiting at that moment", async () => {
+    it("writes snapshots that contain exactly the committed records while others are pending", async () => {
         const store = new FlakyStore();
         const { journal } = await openAs(store, "owner", { snapshotEvery: 2 });
         const owner = trackState(journal);
@@ -138,7 +138,7 @@
         expect(await readAllRecords(store)).toEqual(owner.state);
     });
 
-    it("writes snapshots no more often than their bytes are worth", async () => {
+    it("writes few snapshots when they are large compared to the segments", async () => {
         const store = new FlakyStore();
         const { journal } = await openAs(store, "owner", { ringSize: 256 });
         const owner = trackState(journal);
@@ -146,17 +146,17 @@
         for (let index = 0; index < count; index++) {
             await owner.append(`record ${index}`.padEnd(50, "x"));
         }
-        // Without the rule: a snapshot, of up to three parts, after every fourth of 400 segments.
+        // By the count of segments alone, a snapshot of up to three parts would follow every fourth of the 400 segments.
         expect(journal.writes - count).toBeLessThan(20);
         expect(await readAllRecords(store, { ringSize: 256 })).toEqual(owner.state);
     });
 
-    it("keeps the former snapshot until a segment names the new one", async () => {
+    it("keeps the former snapshot until a segment refers to the new one", async () => {
         const store = new FlakyStore();
         const { journal } = await openAs(store, "owner", { snapshotEvery: 3 });
         const owner = trackState(journal);
         const pointersSeen: (SnapshotPointer | undefined)[] = [];
-        // Whatever moment the owner dies at, the newest segment must name a snapshot that is whole.
+        // The owner may die at any write, so the newest segment must always refer to a complete snapshot.
         store.beforeSwap = () => {
             const segments = store.memory.list("shards/shard-0/journal/").map(entry =>
                 JSON.parse(entry.value) as { sequence: number; snapshot?: SnapshotPointer; }
@@ -175,7 +175,7 @@
         expect(new Set(pointersSeen.map(pointer => pointer?.name)).size).toBeGreaterThan(3);
     });
 
-    it("is claimed from an owner that goes on writing, without reading all of it again", async () => {
+    it("is claimed from an owner that keeps writing without being read again from the start", async () => {
         const store = new FlakyStore();
         const { journal } = await openAs(store, "first");
         await journal.append(["a"]);
@@ -192,7 +192,7 @@
         await expect(journal.append(["later"])).toBeRejected();
     });
 
-    it("is read whole though an owner writes on while it is listed in pages", async () => {
+    it("is read completely while an owner writes between two pages of the listing", async () => {
         const store = new FlakyStore();
         const { journal } = await openAs(store, "first", { snapshotEvery: 100 });
         for (const record of ["a", "b", "c", "d", "e"]) {
@@ -213,37 +213,37 @@
         expect(contents.records).toEqual(["a", "b", "c", "d", "e", "f", "g"]);
     });
 
-    it("has several segments on their way, and tells of each only when all before it are kept", async () => {
+    it("sends several segments at once and resolves each append only when all earlier segments are committed", async () => {
         const store = new FlakyStore();
         const { journal } = await openAs(store, "owner", { maxInFlight: 4, snapshotEvery: 100 });
         const held = holdFirstWrite(store);
-        const told: string[] = [];
-        const first = journal.append(["a"]).then(() => told.push("a"));
+        const committed: string[] = [];
+        const first = journal.append(["a"]).then(() => committed.push("a"));
         await runEventLoop();
-        const second = journal.append(["b"]).then(() => told.push("b"));
+        const second = journal.append(["b"]).then(() => committed.push("b"));
         await runEventLoop();
-        expect({ told, written: countSegments(store) }).toEqual({ told: [], written: 2 });
+        expect({ committed, written: countSegments(store) }).toEqual({ committed: [], written: 2 });
         held.release();
         await Promise.all([first, second]);
-        expect(told).toEqual(["a", "b"]);
+        expect(committed).toEqual(["a", "b"]);
         expect(await readAllRecords(store)).toEqual(["a", "b"]);
     });
 
-    it("keeps records while a snapshot is on its way, however long that takes", async () => {
+    it("commits records while a slow snapshot is in flight", async () => {
         const store = new FlakyStore();
         const { journal } = await openAs(store, "owner", { maxInFlight: 4, ringSize: 32 });
         const owner = trackState(journal);
         let release: () => void = () => undefined;
         const held = new Promise<void>(resolve => release = resolve);
         store.beforeSwap = key => key.includes("/snapshots/") ? held : undefined;
-        const told: number[] = [];
+        const committed: number[] = [];
         const appends = Array.from({ length: 10 }, async (_, index) => {
             await runEventLoop(index * 20);
             await owner.append(index);
-            told.push(index);
+            committed.push(index);
         });
         await runEventLoop(400);
-        expect(told.length).toEqual(10);
+        expect(committed.length).toEqual(10);
         expect(store.memory.list("shards/shard-0/snapshots/")).toEqual([]);
         release();
         await Promise.all(appends);
@@ -252,7 +252,7 @@
         expect(await readAllRecords(store)).toEqual(owner.state);
     });
 
-    it("waits for a snapshot before the keys of its ring run out", async () => {
+    it("waits for the snapshot before its ring is full", async () => {
         const store = new FlakyStore();
         const { journal } = await openAs(store, "owner", { maxInFlight: 4 });
         const owner = trackState(journal);
@@ -269,7 +269,7 @@
         expect(await readAllRecords(store)).toEqual(owner.state);
     });
 
-    it("is read by calls side by side, so that a slow store answers once for all of a large ring and once for a snapshot", async () => {
+    it("is read in two rounds of parallel calls, one for the ring and one for the snapshot", async () => {
         const store = new FlakyStore();
         const sizes = { ringSize: 1_024, snapshotEvery: 4, maxValueBytes: 200 };
         const { journal } = await openAs(store, "first", sizes);
@@ -279,7 +279,7 @@
         }
         let rounds = 0;
         let waiting: (() => void)[] = [];
-        // Answers all calls that are on their way once nothing else happens.
+        // All calls in flight are answered together, once nothing else is left to run.
         const answered = () => new Promise<void>(resolve => waiting.push(resolve));
         const list = store.list.bind(store);
         const get = store.get.bind(store);
@@ -303,7 +303,7 @@
         expect(rounds).toEqual(2);
     });
 
-    it("does not count what follows a segment that never arrived, and overwrites it", async () => {
+    it("ignores and overwrites segments that follow a missing one", async () => {
         const store = new FlakyStore();
         const { journal } = await openAs(store, "old", { maxInFlight: 4, snapshotEvery: 100 });
         await journal.append(["kept"]);
@@ -322,7 +322,7 @@
         expect(await readAllRecords(store)).toEqual(["kept", "of the new owner", "and more"]);
     });
 
-    it("does not take an earlier owner's segments beyond its claim for a later owner's", async () => {
+    it("ignores segments of an earlier owner that arrive beyond the claim of a later one", async () => {
         const store = new FlakyStore();
         const { journal } = await openAs(store, "old", { maxInFlight: 4, snapshotEvery: 100 });
         const held = holdFirstWrite(store);
@@ -337,14 +337,14 @@
     });
 });
 
-/** Lets what is ready run. */
+/** Runs turns of the event loop. */
 const runEventLoop = async (count = 20): Promise<void> => {
     for (let turn = 0; turn < count; turn++) {
         await new Promise(resolve => setImmediate(resolve));
     }
 };
 
-/** Holds the next write back, from before it takes effect, until it is released. */
+/** Blocks the next write before it takes effect, until it is released. */
 const holdFirstWrite = (store: FlakyStore): { release: () => void; } => {
     let release = () => {};
     const released = new Promise<void>(resolve => release = resolve);
--- a/packages/evidence/test/operator/command-line.test.ts
+++ b/packages/evidence/test/operator/command-line.test.ts
@@ -50,7 +50,7 @@
         expect(help.out.includes("settings accept")).toEqual(true);
     });
 
-    it("names the place of each finding in its own file and leaves with 2", async () => {
+    it("prints the location of each finding in its settings file and exits with 2", async () => {
         const wrong = file("wrong.ini", "[platform]\naddress = nowhere\nspeed = 3\n");
         const answer = await run("operator", ["status", "--config", wrong]);
         expect(answer.code).toEqual(2);
@@ -61,7 +61,7 @@
         ]);
     });
 
-    it("accepts a tree, explains a value, and shows a race to its loser", async () => {
+    it("accepts a tree, explains a value, and shows the loser of a race what has changed", async () => {
         const first = file("first.ini", "[organisation]\nlease.duration = 20s\n");
         const second = file(
             "second.ini",
@@ -97,7 +97,7 @@
         });
     });
 
-    it("refuses a tree with findings and an unknown revision, and changes nothing", async () => {
+    it("rejects a tree with findings and an unknown revision", async () => {
         const wrong = file("tree.ini", "[organisation]\nlease.duration = -1s\n[village x]\n");
         const answer = await runOperator("settings", "accept", wrong, "--base", "2");
         expect(answer.code).toEqual(1);
@@ -107,13 +107,13 @@
         expect(unknown.err.startsWith("No such revision")).toEqual(true);
     });
 
-    it("says so when no scheduler answers", async () => {
+    it("reports when no scheduler answers", async () => {
         const answer = await runOperator("status");
         expect(answer.code).toEqual(1);
         expect(answer.out.includes("no answer")).toEqual(true);
     });
 
-    it("says so when the platform does not answer", async () => {
+    it("reports when the platform does not answer", async () => {
         platform.control({ outage: true });
         const answer = await runOperator("settings", "get");
         platform.control({ outage: false });
@@ -121,7 +121,7 @@
         expect(answer.err.startsWith("The platform does not answer")).toEqual(true);
     });
 
-    it("refuses a second gateway at the same address, with the reason", async () => {
+    it("rejects a second gateway at the same address with the reason", async () => {
         const { address } = platform;
         const settings = [
             "[process]",
@@ -143,7 +143,7 @@
     });
 
     for (const program of ["gateway", "scheduler"]) {
-        it(`${program} --check collects all findings and leaves with 2`, async () => {
+        it(`${program} --check prints all findings and exits with 2`, async () => {
             const answer = await run(program, [
                 "--check",
                 file("program.ini", "[process]\nname = a b\n[platform]\ntimeout = 5\n"),
--- a/packages/evidence/test/settings/accept.test.ts
+++ b/packages/evidence/test/settings/accept.test.ts
@@ -18,7 +18,7 @@
     });
 
 describe("accepting settings", () => {
-    it("lets one of two racing operators win and shows the loser the winner", async () => {
+    it("accepts one of two concurrent revisions and returns it to the loser", async () => {
         const store = new FlakyStore();
         await accept(store, 0, "first");
         const outcomes = await Promise.all([accept(store, 1, "ana"), accept(store, 1, "ben")]);
@@ -27,14 +27,14 @@
         expect(loser?.kind === "superseded" ? loser.current?.revision : undefined).toEqual(settingsRevision(2));
     });
 
-    it("settles a lost answer by reading: accepted once", async () => {
+    it("reads the outcome back when the answer was lost, and accepts once", async () => {
         const store = new FlakyStore();
         store.outcomes.push("answer lost");
         expect((await accept(store, 0, "ana")).kind).toEqual("accepted");
         expect((await readSettings(store))?.revision).toEqual(settingsRevision(1));
     });
 
-    it("knows its own revision also when another was accepted on top before the answer was settled", async () => {
+    it("recognises its own revision after a lost answer, also once another was accepted on top", async () => {
         const store = new FlakyStore();
         await accept(store, 0, "first");
         store.outcomes.push("answered", "answer lost");
@@ -60,7 +60,7 @@
         expect(history.map(entry => Number(entry.revision))).toEqual([5, 4, 3, 2, 1]);
     });
 
-    it("refuses a tree that the platform could not hold, with its size", async () => {
+    it("refuses a tree that is too large for the platform", async () => {
         const outcome = await accept(new FlakyStore(), 0, "ana", "x".repeat(600_000));
         expect(outcome.kind).toEqual("too-large");
     });
--- a/packages/stand-ins/test/memory-store.test.ts
+++ b/packages/stand-ins/test/memory-store.test.ts
@@ -1,14 +1,13 @@
 /*
- * A key went with each lease that it had ever been written under. When a cell was handed over, the next owner wrote its key over the former
- * owner's, the former one ended its lease, and the key of the next one was gone: other VMs claimed, were fenced, ended their leases, and so
- * on, 45 owners in 8 s.
+ * Guards against deleting a key with the lease of an earlier write: a former owner that revokes its lease would delete the key that the next
+ * owner has written since.
  */
 import { expect } from "earl";
 import { describe, it } from "node:test";
 import { MemoryStore } from "../src/index.js";
 
-describe("a key that was written under one lease and then under another", () => {
-    it("goes with the last one only", () => {
+describe("a key written under two leases in turn", () => {
+    it("is deleted with the latest lease only", () => {
         const store = new MemoryStore();
         const former = store.grantLease(1_000, 0);
         const next = store.grantLease(1_000, 0);
