--- a/packages/evidence/src/bench/decisions.ts
+++ b/packages/evidence/src/bench/decisions.ts
@@ -142,10 +142,10 @@
             );
         }
         const started = performance.now();
-        const step = scheduler.schedule(true);
+        const transition = scheduler.schedule(true);
         const duration = performance.now() - started;
-        scheduler.onCommitted(step);
-        const starts = step.effects.filter(effect => effect.kind === "start");
+        scheduler.onCommitted(transition);
+        const starts = transition.effects.filter(effect => effect.kind === "start");
         decided += starts.length;
         totalDuration += duration;
         if (starts.length > 0) {
--- a/packages/evidence/src/bench/live.ts
+++ b/packages/evidence/src/bench/live.ts
@@ -76,7 +76,7 @@
         });
     });
     brokers.forEach(broker => void broker.run());
-    const waits = build();
+    const latencies = build();
     let answered = 0;
     let refused = 0;
     let sent = 0;
@@ -104,7 +104,7 @@
         broker.release(outcome.slot, serviceTime, false);
         if (isCounted) {
             answered++;
-            waits.recordValue(Math.max(1, Math.round(clock.monotonic() - sentAt)));
+            latencies.recordValue(Math.max(1, Math.round(clock.monotonic() - sentAt)));
         }
     };
     const arrivalRate = load * instanceCount * slotsPerInstance / meanServiceTime;
@@ -118,8 +118,8 @@
     await clock.runUntilSettled(duration);
     end.abort();
     return {
-        p50: waits.getValueAtPercentile(50),
-        p99: waits.getValueAtPercentile(99),
+        p50: latencies.getValueAtPercentile(50),
+        p99: latencies.getValueAtPercentile(99),
         answeredPerSecond: answered / (duration - warmUp) * 1_000,
         refusedShare: refused / Math.max(1, sent),
     };
--- a/packages/evidence/src/bench/placers.ts
+++ b/packages/evidence/src/bench/placers.ts
@@ -89,8 +89,8 @@
     protected findWorker(size: Resources): number {
         const { count } = this.capacities;
         const start = Math.floor(this.random.next() * count);
-        for (let step = 0; step < count; step++) {
-            const worker = (start + step) % count;
+        for (let offset = 0; offset < count; offset++) {
+            const worker = (start + offset) % count;
             if (this.capacities.fits(worker, size)) {
                 return worker;
             }
--- a/packages/evidence/src/bench/virtual/virtual-cell.ts
+++ b/packages/evidence/src/bench/virtual/virtual-cell.ts
@@ -119,8 +119,8 @@
             return undefined;
         }
         const submission = jobSubmissionSchema.parse(job);
-        const { transition: step, outcome } = this.scheduler.submit({ submission, digest: "" });
-        this.#applyTransition(step, () => {
+        const { transition, outcome } = this.scheduler.submit({ submission, digest: "" });
+        this.#applyTransition(transition, () => {
             if (outcome.kind === "accepted") {
                 onCommitted(outcome.job);
             }
@@ -130,9 +130,9 @@
     }
 
     cancel(job: JobId): void {
-        const step = this.scheduler.cancel(job);
-        if (step !== undefined) {
-            this.#applyTransition(step);
+        const transition = this.scheduler.cancel(job);
+        if (transition !== undefined) {
+            this.#applyTransition(transition);
         }
     }
 
@@ -257,12 +257,12 @@
     }
 
     /** Executes effects once the transition's records are committed; at once when it has none. */
-    #applyTransition(step: Transition, onCommitted?: () => void): void {
-        if (step.records.length === 0) {
-            step.effects.forEach(effect => this.#execute(effect));
+    #applyTransition(transition: Transition, onCommitted?: () => void): void {
+        if (transition.records.length === 0) {
+            transition.effects.forEach(effect => this.#execute(effect));
             return;
         }
-        this.#pending.push({ transition: step, onCommitted });
+        this.#pending.push({ transition, onCommitted });
         this.#writeSegment();
     }
 
@@ -283,11 +283,11 @@
             }
             if (epoch === this.#epoch && this.#isOwned) {
                 this.segmentCount++;
-                for (const { transition: step, onCommitted } of group) {
-                    this.#journal.push(...step.records);
-                    this.scheduler.onCommitted(step);
+                for (const { transition, onCommitted } of group) {
+                    this.#journal.push(...transition.records);
+                    this.scheduler.onCommitted(transition);
                     onCommitted?.();
-                    step.effects.forEach(effect => this.#execute(effect));
+                    transition.effects.forEach(effect => this.#execute(effect));
                 }
                 this.requestSchedule();
             }
--- a/packages/evidence/src/capacity/decision-slopes.ts
+++ b/packages/evidence/src/capacity/decision-slopes.ts
@@ -85,21 +85,21 @@
                 this.commit(this.scheduler.submit({ submission, digest: "d".repeat(64) }).transition);
             }
         });
-        let step: Transition | undefined;
+        let transition: Transition | undefined;
         const start = processorTimePerItem(tasks, () => {
             do {
-                step = this.scheduler.schedule(true);
-                this.commit(step);
-                this.#acceptStarts(step);
+                transition = this.scheduler.schedule(true);
+                this.commit(transition);
+                this.#acceptStarts(transition);
             }
-            while (step.records.length > 0);
+            while (transition.records.length > 0);
         });
         return { submit, start };
     }
 
-    commit(step: Transition): void {
-        this.records.push(...step.records);
-        this.scheduler.onCommitted(step);
+    commit(transition: Transition): void {
+        this.records.push(...transition.records);
+        this.scheduler.onCommitted(transition);
     }
 
     createReport(worker: WorkerReport["worker"], running: WorkerReport["running"]): WorkerReport {
@@ -141,8 +141,8 @@
         return { out: out / this.workers, back: back / this.workers };
     }
 
-    #acceptStarts(step: Transition): void {
-        for (const effect of step.effects) {
+    #acceptStarts(transition: Transition): void {
+        for (const effect of transition.effects) {
             if (effect.kind === "start") {
                 const { task, attempt }: { task: TaskId; attempt: Attempt; } = effect;
                 this.scheduler.startMessage(task, attempt, false);
--- a/packages/evidence/src/capacity/process-slopes.ts
+++ b/packages/evidence/src/capacity/process-slopes.ts
@@ -34,13 +34,13 @@
 export const measureProcessSlopes = async (): Promise<Slope[]> => {
     const slopes: Slope[] = [];
     const add = (role: string, what: string, value: number, unit: string) => slopes.push({ role, what, value, unit });
-    const tree = "[organisation]\nworker.heartbeat = 1s\nlive.wait_limit = 5s\n";
+    const settingsTree = "[organisation]\nworker.heartbeat = 1s\nlive.wait_limit = 5s\n";
     const cell = await Cell.start({
         gateways: 1,
         schedulers: 2,
         workers: 30,
-        user: "bayanihan",
-        tree,
+        organisation: "bayanihan",
+        settingsTree,
         ownerLease: "3s",
     });
     try {
--- a/packages/evidence/src/cell/cell.ts
+++ b/packages/evidence/src/cell/cell.ts
@@ -30,9 +30,9 @@
     readonly gateways: number;
     readonly schedulers: number;
     readonly workers: number;
-    readonly user: "bayanihan" | "retrouve";
+    readonly organisation: "bayanihan" | "retrouve";
     readonly shards?: number;
-    readonly tree?: string;
+    readonly settingsTree?: string;
     /** Duration of the lease on a shard, as in the settings file; short by default. */
     readonly ownerLease?: string;
     /** A module that the gateways and schedulers import first, to remove a protection. */
@@ -102,13 +102,13 @@
         const fleet = new ManagedProcess(
             "workers",
             standInScript,
-            ["workers", options.user, String(options.workers), join(auditFolder, "workers.jsonl")],
+            ["workers", options.organisation, String(options.workers), join(auditFolder, "workers.jsonl")],
             log,
         );
         const [platformAddress, fleetAddress] = await Promise.all([platform.firstLine(), fleet.firstLine()]);
         const topology: CellTopology = {
-            region: options.user === "bayanihan" ? "luzon" : "quebec",
-            site: options.user === "bayanihan" ? "pasig" : "retrouve",
+            region: options.organisation === "bayanihan" ? "luzon" : "quebec",
+            site: options.organisation === "bayanihan" ? "pasig" : "retrouve",
             platform: platformAddress,
             schedulers: await freeAddresses(options.schedulers),
             shards: options.shards ?? 1,
@@ -120,11 +120,11 @@
 
     /** Addresses of the running gateways that were ready at the last probe; of all running ones when none was. */
     callerAddresses(): string[] {
-        const running = this.#gatewayAddresses.filter((_, index) =>
+        const runningAddresses = this.#gatewayAddresses.filter((_, index) =>
             this.gateways.get(`gateway-${index}`)?.hasExited === false
         );
-        const ready = running.filter(address => this.#readyGateways.has(address));
-        return ready.length > 0 ? ready : running;
+        const readyAddresses = runningAddresses.filter(address => this.#readyGateways.has(address));
+        return readyAddresses.length > 0 ? readyAddresses : runningAddresses;
     }
 
     /** Administration addresses of all gateways. */
@@ -317,7 +317,7 @@
     }
 
     async #startPrograms(): Promise<void> {
-        await this.acceptSettings(this.options.tree ?? shortTimeoutSettings, 0);
+        await this.acceptSettings(this.options.settingsTree ?? shortTimeoutSettings, 0);
         await this.#publishWorkerList();
         this.#workerListTimer = setInterval(() => {
             if (!this.#isWorkerListFrozen) {
--- a/packages/evidence/src/demo/index.ts
+++ b/packages/evidence/src/demo/index.ts
@@ -40,7 +40,7 @@
 /** Runs the demo and checks the workers' audit. The cell's files are kept when a check fails. */
 export const runDemo = async (printStep: (line: string) => void): Promise<DemoResult> => {
     printStep("starting stand-ins, three gateways and three schedulers");
-    const cell = await Cell.start({ gateways: 3, schedulers: 3, workers: 30, user: "bayanihan" });
+    const cell = await Cell.start({ gateways: 3, schedulers: 3, workers: 30, organisation: "bayanihan" });
     const result: DemoResult = {
         sent: 0,
         answeredWhole: 0,
@@ -83,7 +83,7 @@
 
 const runWorkload = async (cell: Cell, result: DemoResult, printStep: (line: string) => void): Promise<void> => {
     const deadline = performance.now() + workloadTimeout;
-    const waits = build();
+    const waitingTimes = build();
     await cell.caller.submitUntilSettled(serviceJob, deadline);
     await waitUntil("the service answers at every gateway", workloadTimeout, async () => {
         const answers = await Promise.all(
@@ -94,7 +94,7 @@
         return answers.every(answer => answer?.status === 200);
     });
     printStep("sending live requests, builds, matches, a gang, and a job that fits nowhere");
-    const live = sendLiveRequests(cell, result, waits);
+    const live = sendLiveRequests(cell, result, waitingTimes);
     const jobs = sendJobs(cell, result, deadline);
     await pause(600);
     const owner = await cell.ownerOf();
@@ -102,8 +102,8 @@
     await cell.schedulers.get(owner ?? "")?.kill();
     result.packing = await measurePacking(cell);
     await Promise.all([live, jobs]);
-    result.waitingP50 = waits.getValueAtPercentile(50);
-    result.waitingP99 = waits.getValueAtPercentile(99);
+    result.waitingP50 = waitingTimes.getValueAtPercentile(50);
+    result.waitingP99 = waitingTimes.getValueAtPercentile(99);
 };
 
 /** The highest packing of any shard, once tasks can be placed again. */
@@ -113,7 +113,11 @@
     return Math.max(0, ...shards.map(shard => shard.packing));
 };
 
-const sendLiveRequests = async (cell: Cell, result: DemoResult, waits: ReturnType<typeof build>): Promise<void> => {
+const sendLiveRequests = async (
+    cell: Cell,
+    result: DemoResult,
+    waitingTimes: ReturnType<typeof build>,
+): Promise<void> => {
     const sendOne = async (id: string): Promise<void> => {
         result.sent++;
         const started = performance.now();
@@ -125,7 +129,7 @@
         }).catch(() => undefined);
         if (answer?.status === 200 && answer.text === `${id}:body of ${id}${id.repeat(2000).slice(0, 2000)}`) {
             result.answeredWhole++;
-            waits.recordValue(Math.max(1, Math.round(performance.now() - started - 20)));
+            waitingTimes.recordValue(Math.max(1, Math.round(performance.now() - started - 20)));
         }
         else if (answer !== undefined && answer.status >= 400 && answer.text.includes("\"error\"")) {
             result.refusedWithReason++;
--- a/packages/evidence/src/prove/proofs/capacity.ts
+++ b/packages/evidence/src/prove/proofs/capacity.ts
@@ -39,11 +39,14 @@
         await cell.controlWorker({ worker: "worker-0", action: "faults", faults: { failsAll: false } });
         const views = await waitForAll(cell, ids.values());
         const audit = cell.workerAudit();
-        const over = countOverCapacity(audit);
+        const overCapacityStarts = countOverCapacity(audit);
         const starts = audit.filter(line => line.event === "start").length;
         const throttled = new Set(audit.filter(line => line.event === "throttle").map(line => line.task)).size;
         return {
-            breaches: Array.from({ length: over }, () => "a start left a worker with more granted than it has"),
+            breaches: Array.from(
+                { length: overCapacityStarts },
+                () => "a start left a worker with more granted than it has",
+            ),
             evidence:
                 `${starts} starts, ${views.length} of ${jobCount} jobs ended, ${throttled} held to their grant, 0 over capacity`,
             isMeaningful: starts >= jobCount && views.length === jobCount,
--- a/packages/evidence/src/prove/proofs/leaving-worker.ts
+++ b/packages/evidence/src/prove/proofs/leaving-worker.ts
@@ -20,7 +20,7 @@
     async run(cell) {
         await startService(cell, 4);
         const end = new AbortController();
-        const stream = (async () => {
+        const load = (async () => {
             for (let index = 0; !end.signal.aborted; index++) {
                 void sendLiveRequest(cell, `request-${index}`, 10);
                 if (index % 5 === 0) {
@@ -37,20 +37,20 @@
         await cell.schedulers.get(owner ?? "")?.kill();
         await pause(gracePeriod + observationPeriod);
         end.abort();
-        await stream;
-        const late = cell.workerAudit().filter(line =>
+        await load;
+        const lateEvents = cell.workerAudit().filter(line =>
             line.worker === "worker-1" && line.at > leftAt + gracePeriod
             && ["start", "live", "refuse"].includes(line.event)
         );
-        const elsewhere = cell.workerAudit().filter(line =>
+        const eventsOnOthers = cell.workerAudit().filter(line =>
             line.worker !== "worker-1" && line.at > leftAt + gracePeriod
         );
         return {
-            breaches: late.map(line =>
+            breaches: lateEvents.map(line =>
                 `${line.event} ${String(line.task)} ${Math.round(line.at - leftAt)} ms after it began to leave`
             ),
-            evidence: `0 new on the leaving VM after ${gracePeriod} ms, ${elsewhere.length} events on the others`,
-            isMeaningful: elsewhere.length > 50,
+            evidence: `0 new on the leaving VM after ${gracePeriod} ms, ${eventsOnOthers.length} events on the others`,
+            isMeaningful: eventsOnOthers.length > 50,
         };
     },
 };
--- a/packages/evidence/src/prove/proofs/not-run.ts
+++ b/packages/evidence/src/prove/proofs/not-run.ts
@@ -37,9 +37,9 @@
         const views = await waitForAll(cell, ids.values());
         const started = new Set([...countStarts(cell.workerAudit()).keys()].map(jobIdOf));
         const notRun = views.filter(view => view.ran === "not-run");
-        const wrong = notRun.filter(view => started.has(view.job));
+        const startedAnyway = notRun.filter(view => started.has(view.job));
         return {
-            breaches: wrong.map(view => `${view.job} was answered as not run and ran`),
+            breaches: startedAnyway.map(view => `${view.job} was answered as not run and ran`),
             evidence:
                 `${views.length} of ${jobCount} ended, ${started.size} started, ${notRun.length} answered as not run`,
             isMeaningful: views.length === jobCount && started.size > 10 && notRun.length > 0,
--- a/packages/evidence/src/prove/proofs/settings.ts
+++ b/packages/evidence/src/prove/proofs/settings.ts
@@ -19,9 +19,9 @@
     cell: { gateways: 2, schedulers: 2 },
     async run(cell) {
         const breaches: string[] = [];
-        const seen = new Map<string, number>();
+        const highestRevisions = new Map<string, number>();
         const end = new AbortController();
-        const monitoring = monitorRevisions(cell, seen, breaches, end.signal);
+        const monitoring = monitorRevisions(cell, highestRevisions, breaches, end.signal);
         await cell.controlPlatform({ loseAnswers: 2 });
         const races = await Promise.allSettled(
             Array.from(
@@ -39,12 +39,12 @@
         await cell.controlPlatform({ outage: true });
         // The restarted processes cannot read the settings from the platform, only from their peers.
         await cell.gateways.get("gateway-0")?.kill();
-        const idle = await cell.ownerOf() === "scheduler-0" ? 1 : 0;
-        await cell.schedulers.get(`scheduler-${idle}`)?.kill();
-        seen.delete("gateway-0");
-        seen.delete(`scheduler-${idle}`);
+        const otherIndex = await cell.ownerOf() === "scheduler-0" ? 1 : 0;
+        await cell.schedulers.get(`scheduler-${otherIndex}`)?.kill();
+        highestRevisions.delete("gateway-0");
+        highestRevisions.delete(`scheduler-${otherIndex}`);
         cell.startGateway(0);
-        await cell.startScheduler(idle);
+        await cell.startScheduler(otherIndex);
         await expectInForce(cell, 3, breaches);
         await cell.controlPlatform({ outage: false });
         await cell.acceptSettings(`${shortTimeoutSettings}\n; fourth\n`, 3);
@@ -55,7 +55,7 @@
             breaches,
             evidence:
                 `1 of ${racingOperators} racing operators won; 3 revisions in force in all 4 processes within ${propagationTimeout} ms`,
-            isMeaningful: seen.size === 4,
+            isMeaningful: highestRevisions.size === 4,
         };
     },
 };
@@ -63,18 +63,18 @@
 /** Records the highest revision seen in each process until `end`, and a breach where a process reverts. */
 const monitorRevisions = async (
     cell: Cell,
-    seen: Map<string, number>,
+    highestRevisions: Map<string, number>,
     breaches: string[],
     end: AbortSignal,
 ): Promise<void> => {
     while (!end.aborted) {
         for (const [name, revision] of await cell.settingsRevisions()) {
-            const before = seen.get(name) ?? 0;
+            const highest = highestRevisions.get(name) ?? 0;
             // A restarted process may report 0 until it is ready; it serves no requests before.
-            if (revision < before && revision > 0) {
-                breaches.push(`${name} went back from revision ${before} to ${revision}`);
+            if (revision < highest && revision > 0) {
+                breaches.push(`${name} went back from revision ${highest} to ${revision}`);
             }
-            seen.set(name, Math.max(before, revision));
+            highestRevisions.set(name, Math.max(highest, revision));
         }
         await pause(50);
     }
--- a/packages/evidence/src/prove/run-proof.ts
+++ b/packages/evidence/src/prove/run-proof.ts
@@ -15,7 +15,7 @@
             gateways: 2,
             schedulers: 2,
             workers: 4,
-            user: "bayanihan",
+            organisation: "bayanihan",
             ...proof.cell,
             preload: isProtected ? undefined : preload,
         });
--- a/packages/evidence/test/journal/journal.test.ts
+++ b/packages/evidence/test/journal/journal.test.ts
@@ -175,7 +175,7 @@
         expect(new Set(pointersSeen.map(pointer => pointer?.name)).size).toBeGreaterThan(3);
     });
 
-    it("is claimed from an owner that keeps writing without being read again from the start", async () => {
+    it("can be claimed while its owner keeps writing, without being read again from the start", async () => {
         const store = new FlakyStore();
         const { journal } = await openAs(store, "first");
         await journal.append(["a"]);
