--- a/packages/stand-ins/src/platform/platform-stand-in.ts
+++ b/packages/stand-ins/src/platform/platform-stand-in.ts
@@ -30,7 +30,7 @@
 
 const leaseExpiryInterval = 50;
 const writeCalls = new Set(["swap", "remove", "lease-grant", "lease-renew", "lease-revoke"]);
-/** Keys whose writes are audited; the others change too often. */
+/** Prefixes of the keys whose writes are audited; other keys change too often. */
 const auditedPrefixes = ["settings/", "owners/"];
 
 interface CallBody {
--- a/packages/stand-ins/src/workers/worker-stand-in.ts
+++ b/packages/stand-ins/src/workers/worker-stand-in.ts
@@ -20,7 +20,7 @@
 export interface WorkerFaults {
     /** Connections are closed without a response; tasks keep running. */
     isCut: boolean;
-    /** Messages of owners up to this epoch get no response and have no effect. */
+    /** Messages of owners up to this epoch are dropped without a response. */
     cutUpToEpoch: number;
     /** The same for owners from this epoch on; 0 disables it. */
     cutFromEpoch: number;
