--- a/packages/evidence/src/bench/virtual/virtual-clock.ts
+++ b/packages/evidence/src/bench/virtual/virtual-clock.ts
@@ -1,41 +1,41 @@
-/** Time that jumps from event to event. */
+/** Clock and event queue of a simulation. */
 import type { Clock, Milliseconds } from "@pebbledale/core";
 import TinyQueue from "tinyqueue";
 
-interface Event {
+interface ScheduledEvent {
     readonly at: Milliseconds;
-    readonly order: number;
+    readonly sequence: number;
     readonly run: () => void;
 }
 
-/** See the module's comment. */
+/** A clock that advances from event to event. Events of the same time run in the order in which they were added. */
 export class VirtualClock implements Clock {
-    readonly #events = new TinyQueue<Event>([], (left, right) => left.at - right.at || left.order - right.order);
-    readonly #start = Date.parse("2026-01-01T00:00:00Z");
+    readonly #events = new TinyQueue<ScheduledEvent>(
+        [],
+        (left, right) => left.at - right.at || left.sequence - right.sequence,
+    );
+    readonly #startTime = Date.parse("2026-01-01T00:00:00Z");
     #now = 0;
-    #order = 0;
+    #nextSequence = 0;
 
-    /** See {@link Clock.monotonic}. */
     monotonic(): Milliseconds {
         return this.#now;
     }
 
-    /** See {@link Clock.now}. */
     now(): Date {
-        return new Date(this.#start + this.#now);
+        return new Date(this.#startTime + this.#now);
     }
 
-    /** See {@link Clock.sleep}. */
     sleep(duration: Milliseconds): Promise<void> {
         return new Promise(resolve => this.after(duration, resolve));
     }
 
-    /** Runs something after a time. */
+    /** Adds an event after a duration; a negative one counts as 0. */
     after(duration: Milliseconds, run: () => void): void {
-        this.#events.push({ at: this.#now + Math.max(0, duration), order: this.#order++, run });
+        this.#events.push({ at: this.#now + Math.max(0, duration), sequence: this.#nextSequence++, run });
     }
 
-    /** Runs something again and again until `isDone`. */
+    /** Adds a recurring event, first after one interval, until `isDone` returns true. */
     every(interval: Milliseconds, run: () => void, isDone: () => boolean): void {
         this.after(interval, () => {
             if (!isDone()) {
@@ -45,7 +45,7 @@
         });
     }
 
-    /** Runs all events up to a time. */
+    /** Runs all events up to a time and advances the clock to it. */
     runUntil(end: Milliseconds): void {
         while (this.#events.length > 0 && this.#events.peek()!.at <= end) {
             const event = this.#events.pop()!;
@@ -55,7 +55,7 @@
         this.#now = Math.max(this.#now, end);
     }
 
-    /** Like {@link runUntil}, and lets promises settle between events. */
+    /** Like {@link runUntil}, but lets promises settle after the events of each time. */
     async runUntilSettled(end: Milliseconds): Promise<void> {
         while (this.#events.length > 0 && this.#events.peek()!.at <= end) {
             const { at } = this.#events.peek()!;
--- a/packages/evidence/src/bench/virtual/virtual-worker.ts
+++ b/packages/evidence/src/bench/virtual/virtual-worker.ts
@@ -1,4 +1,4 @@
-/** A fake worker in virtual time: runs what it is told to and notes what must never happen. */
+/** Simulated workers and their statistics. */
 import {
     type Attempt,
     type EndedTask,
@@ -12,132 +12,144 @@
     type WorkerReport,
 } from "@pebbledale/core";
 
-interface Running {
+interface VirtualTask {
     readonly task: TaskId;
     readonly attempt: Attempt;
     readonly grant: Resources;
     readonly startedAt: number;
-    /** Processors that it would use if it were let, in thousandths. */
-    readonly wants: number;
-    /** Set by a throttle message. */
-    throttledTo: number;
+    /** Processors it would use without a limit, in thousandths. */
+    readonly demandedProcessors: number;
+    /** Set by a throttle message, in thousandths. */
+    processorLimit: number;
 }
 
-const usedBy = (task: Running): number => Math.min(task.wants, task.throttledTo);
+const usedProcessors = (task: VirtualTask): number => Math.min(task.demandedProcessors, task.processorLimit);
 
-/** What the fakes noted of all workers of a run. */
-export class WorkerNotes {
-    readonly runningTasks = new Map<TaskId, number>();
-    readonly startsOfTask = new Map<TaskId, number>();
-    overCapacity = 0;
-    runTwice = 0;
+/**
+ * Counts over all workers of a simulation. `overCapacityStarts` and `concurrentStarts`, of tasks that already run, count
+ * violations of the scheduler's guarantees.
+ */
+export class WorkerStatistics {
+    readonly runningCounts = new Map<TaskId, number>();
+    readonly startsByTask = new Map<TaskId, number>();
+    overCapacityStarts = 0;
+    concurrentStarts = 0;
     starts = 0;
     succeeded = 0;
     failed = 0;
 }
 
-/** See the module's comment. */
+/** A simulated worker. It runs the tasks that are started on it, checks no leases, and records violations. */
 export class VirtualWorker {
-    readonly running = new Map<TaskId, Running>();
+    readonly running = new Map<TaskId, VirtualTask>();
     ended: EndedTask[] = [];
     isUp = true;
     isReachable = true;
     isLeaving = false;
     failsAll = false;
-    /** A baseline: nothing holds a task to its grant. */
+    /** Baseline without enforcement of grants: throttle messages have no effect. */
     ignoresThrottle = false;
-    #number = 0;
+    #lastReportNumber = 0;
     #incarnation = 1;
 
-    constructor(readonly listed: ListedWorker, private readonly notes: WorkerNotes) {}
+    constructor(readonly listed: ListedWorker, private readonly statistics: WorkerStatistics) {}
 
-    /** How the platform lists it. */
-    list(): ListedWorker {
+    /** The worker's entry in the platform's VM list. */
+    toListedWorker(): ListedWorker {
         return this.isLeaving ? { ...this.listed, state: VmState.Leaving } : this.listed;
     }
 
-    /** What it says of itself. */
     report(): WorkerReport {
         return {
             worker: this.listed.worker,
             incarnation: incarnation(`${this.listed.worker}-${this.#incarnation}`),
-            number: ++this.#number,
+            number: ++this.#lastReportNumber,
             leaving: this.isLeaving,
             running: [...this.running.values()].map(running => ({
                 task: running.task,
                 attempt: running.attempt,
-                usage: { ...running.grant, processorThousandths: usedBy(running) },
+                usage: { ...running.grant, processorThousandths: usedProcessors(running) },
             })),
             ended: this.ended,
         };
     }
 
-    /** Processors that are granted here and those that are used, in thousandths. */
-    use(): { readonly granted: number; readonly used: number; readonly overGrant: number; } {
+    /**
+     * Sums over the running tasks, in thousandths of a processor; `overGrant` is what tasks use beyond their grants.
+     */
+    processorUsage(): { readonly granted: number; readonly used: number; readonly overGrant: number; } {
         const tasks = [...this.running.values()];
-        const sum = (amountOf: (task: Running) => number) => tasks.reduce((total, task) => total + amountOf(task), 0);
+        const sum = (amountOf: (task: VirtualTask) => number) =>
+            tasks.reduce((total, task) => total + amountOf(task), 0);
         return {
             granted: sum(task => task.grant.processorThousandths),
-            used: sum(usedBy),
-            overGrant: sum(task => Math.max(0, usedBy(task) - task.grant.processorThousandths)),
+            used: sum(usedProcessors),
+            overGrant: sum(task => Math.max(0, usedProcessors(task) - task.grant.processorThousandths)),
         };
     }
 
-    /** Holds a task to an amount of processors. */
+    /** Limits a task's processor use, unless throttling is ignored. */
     throttle(task: TaskId, processorThousandths: number): void {
         const running = this.running.get(task);
         if (running !== undefined && !this.ignoresThrottle) {
-            running.throttledTo = processorThousandths;
+            running.processorLimit = processorThousandths;
         }
     }
 
-    /** Starts a task. `usesFactor`: processors that it would use over those declared. */
-    start(message: StartMessage, now: number, usesFactor: number): void {
+    /** Starts a task. `usageFactor` is its demand for processors relative to its grant. */
+    start(message: StartMessage, now: number, usageFactor: number): void {
         const { task, attempt, grant } = message;
-        const { notes } = this;
-        const wants = grant.processorThousandths * usesFactor;
-        this.running.set(task, { task, attempt, grant, startedAt: now, wants, throttledTo: Infinity });
-        notes.starts++;
-        notes.startsOfTask.set(task, (notes.startsOfTask.get(task) ?? 0) + 1);
-        const places = (notes.runningTasks.get(task) ?? 0) + 1;
-        notes.runningTasks.set(task, places);
-        notes.runTwice += places > 1 ? 1 : 0;
-        notes.overCapacity += this.#isOver() ? 1 : 0;
+        const { statistics } = this;
+        const demandedProcessors = grant.processorThousandths * usageFactor;
+        this.running.set(task, {
+            task,
+            attempt,
+            grant,
+            startedAt: now,
+            demandedProcessors,
+            processorLimit: Infinity,
+        });
+        statistics.starts++;
+        statistics.startsByTask.set(task, (statistics.startsByTask.get(task) ?? 0) + 1);
+        const runningCount = (statistics.runningCounts.get(task) ?? 0) + 1;
+        statistics.runningCounts.set(task, runningCount);
+        statistics.concurrentStarts += runningCount > 1 ? 1 : 0;
+        statistics.overCapacityStarts += this.#isOverCapacity() ? 1 : 0;
     }
 
-    /** Ends a task; false when it no longer runs. */
+    /** Ends a task and keeps its end for the next reports; false when this attempt does not run here. */
     end(task: TaskId, attempt: Attempt, kind: EndKind, now: number): boolean {
         const running = this.running.get(task);
         if (running?.attempt !== attempt) {
             return false;
         }
-        this.#forget(task);
-        this.notes.succeeded += kind === EndKind.Succeeded ? 1 : 0;
-        this.notes.failed += kind === EndKind.Failed ? 1 : 0;
+        this.#removeTask(task);
+        this.statistics.succeeded += kind === EndKind.Succeeded ? 1 : 0;
+        this.statistics.failed += kind === EndKind.Failed ? 1 : 0;
         this.ended = [...this.ended, { task, attempt, kind, output: "", ranFor: now - running.startedAt }];
         return true;
     }
 
-    /** Ends with all its tasks, without a word. */
+    /** Stops the worker and drops its tasks without reporting their end. */
     kill(): void {
         this.isUp = false;
-        [...this.running.keys()].forEach(task => this.#forget(task));
+        [...this.running.keys()].forEach(task => this.#removeTask(task));
         this.ended = [];
         this.#incarnation++;
     }
 
-    #forget(task: TaskId): void {
+    #removeTask(task: TaskId): void {
         this.running.delete(task);
-        const places = (this.notes.runningTasks.get(task) ?? 1) - 1;
-        if (places === 0) {
-            this.notes.runningTasks.delete(task);
+        const runningCount = (this.statistics.runningCounts.get(task) ?? 1) - 1;
+        if (runningCount === 0) {
+            this.statistics.runningCounts.delete(task);
         }
         else {
-            this.notes.runningTasks.set(task, places);
+            this.statistics.runningCounts.set(task, runningCount);
         }
     }
 
-    #isOver(): boolean {
+    #isOverCapacity(): boolean {
         const { capacity } = this.listed;
         let processors = 0;
         let memory = 0;
--- a/packages/evidence/src/cell/caller.ts
+++ b/packages/evidence/src/cell/caller.ts
@@ -1,14 +1,14 @@
-/** A caller of a cell: sends to gateways in turn, as the platform's balancer does. */
+/** HTTP client of a test cell. */
 import { Agent, request } from "undici";
 
-/** An answer of a gateway. */
-export interface CallerAnswer {
+/** A gateway's response. */
+export interface CallerResponse {
     readonly status: number;
     readonly headers: Readonly<Record<string, string | string[] | undefined>>;
     readonly text: string;
 }
 
-/** One call. */
+/** A request to a gateway. */
 export interface CallerRequest {
     readonly method: "GET" | "POST" | "PUT" | "DELETE";
     readonly path: string;
@@ -16,20 +16,24 @@
     readonly headers?: Readonly<Record<string, string>>;
 }
 
-const connections = 64;
-const answerTimeout = 60_000;
+const maxConnections = 64;
+const responseTimeout = 60_000;
 
-/** See the module's comment. */
+/** Sends requests to the gateways round-robin, as the platform's load balancer does. */
 export class Caller {
-    readonly #agent = new Agent({ connections, headersTimeout: answerTimeout, bodyTimeout: answerTimeout });
-    #turn = 0;
+    readonly #agent = new Agent({
+        connections: maxConnections,
+        headersTimeout: responseTimeout,
+        bodyTimeout: responseTimeout,
+    });
+    #nextGateway = 0;
 
     constructor(private readonly gateways: () => readonly string[]) {}
 
-    /** Sends one call to the next gateway. Rejects when the connection fails or the answer breaks off. */
-    async send(call: CallerRequest): Promise<CallerAnswer> {
+    /** Sends a request to the next gateway. Rejects when the connection fails or the response is truncated. */
+    async send(call: CallerRequest): Promise<CallerResponse> {
         const addresses = this.gateways();
-        const address = addresses[this.#turn++ % addresses.length];
+        const address = addresses[this.#nextGateway++ % addresses.length];
         const answer = await request(`http://${address}${call.path}`, {
             method: call.method,
             headers: call.headers,
@@ -39,7 +43,7 @@
         return { status: answer.statusCode, headers: answer.headers, text: await answer.body.text() };
     }
 
-    /** Submits a job; the parsed answer. */
+    /** Submits a job; resolves to the status and the parsed body. */
     async submit(job: object): Promise<{ status: number; body: Record<string, unknown>; }> {
         const answer = await this.send({
             method: "POST",
@@ -50,7 +54,10 @@
         return { status: answer.status, body: JSON.parse(answer.text) as Record<string, unknown> };
     }
 
-    /** Submits a job again and again until it is accepted or refused for good; its key makes that safe. */
+    /**
+     * Submits a job, retrying on 429, 503 and connection errors until it is accepted or refused or `deadline` has passed. The
+     * job's key prevents duplicates.
+     */
     async submitUntilSettled(
         job: { key: string; },
         deadline: number,
@@ -65,32 +72,31 @@
         }
     }
 
-    /** Waits for a job's end; the final view, or undefined when `deadline` came first. */
-    async waitForEnd(job: string, deadline: number): Promise<FinalView | undefined> {
+    /** Waits for a job to end; resolves to its final view, or to undefined when `deadline` has passed. */
+    async waitForEnd(job: string, deadline: number): Promise<FinalJobView | undefined> {
         while (performance.now() < deadline) {
             try {
                 const answer = await this.send({ method: "GET", path: `/jobs/${job}/wait?milliseconds=2000` });
-                const view = JSON.parse(answer.text) as FinalView;
+                const view = JSON.parse(answer.text) as FinalJobView;
                 if (answer.status === 200 && !["queued", "running", "cancelling"].includes(view.state)) {
                     return view;
                 }
             }
             catch {
-                // A gateway that is gone; the next one is asked.
+                // The gateway is unavailable; the next request goes to another one.
             }
             await pause(50);
         }
         return undefined;
     }
 
-    /** Ends all connections. */
     close(): Promise<void> {
         return this.#agent.destroy();
     }
 }
 
-/** The final view of a job, as a caller reads it. */
-export interface FinalView {
+/** Final view of a job in the caller API. */
+export interface FinalJobView {
     readonly job: string;
     readonly state: string;
     readonly ran: string;
@@ -98,19 +104,21 @@
     readonly outcomes: readonly { readonly output: string; readonly succeeded: boolean; }[];
 }
 
-/** Waits for a time, in milliseconds. */
+/** Waits for a duration in milliseconds. */
 export const pause = (duration: number): Promise<void> => new Promise(resolve => setTimeout(resolve, duration));
 
-/** Waits until a condition holds; rejects after `limit` milliseconds with what was waited for. */
-export const until = async (
-    what: string,
-    limit: number,
+/**
+ * Polls a condition until it holds; rejects after `timeout` milliseconds with an error that contains the description.
+ */
+export const waitUntil = async (
+    description: string,
+    timeout: number,
     condition: () => Promise<boolean> | boolean,
 ): Promise<void> => {
-    const end = performance.now() + limit;
+    const deadline = performance.now() + timeout;
     while (!await condition()) {
-        if (performance.now() > end) {
-            throw new Error(`waited ${limit} ms in vain: ${what}`);
+        if (performance.now() > deadline) {
+            throw new Error(`waited ${timeout} ms in vain: ${description}`);
         }
         await pause(20);
     }
--- a/packages/evidence/src/cell/child.ts
+++ b/packages/evidence/src/cell/managed-process.ts
@@ -1,18 +1,18 @@
-/** A process that the evidence started and ends again. */
+/** Child processes. */
 import { type ChildProcess, spawn } from "node:child_process";
 import { openSync, writeSync } from "node:fs";
 
-/** How long a process may take to leave after SIGTERM before it is killed, in milliseconds. */
-const leaveWithin = 30_000;
+/** Time from SIGTERM to SIGKILL, in milliseconds. */
+const exitTimeout = 30_000;
 
-/** See the module's comment. */
-export class Child {
+/** A child process that runs a Node.js script, with its output in a log file. */
+export class ManagedProcess {
     readonly #process: ChildProcess;
-    readonly #ended: Promise<number | undefined>;
+    readonly #exited: Promise<number | undefined>;
     readonly #firstLine: Promise<string>;
-    #isEnded = false;
+    #hasExited = false;
 
-    /** `preload`: a module that is loaded before the script. */
+    /** `preload` is a module that Node.js imports before the script. */
     constructor(
         readonly name: string,
         script: string,
@@ -21,11 +21,13 @@
         preload?: string,
     ) {
         const log = openSync(logFile, "a");
-        const before = preload === undefined ? [] : ["--import", preload];
-        this.#process = spawn(process.execPath, [...before, script, ...parameters], { stdio: ["pipe", "pipe", log] });
-        this.#ended = new Promise(resolve =>
+        const nodeArguments = preload === undefined ? [] : ["--import", preload];
+        this.#process = spawn(process.execPath, [...nodeArguments, script, ...parameters], {
+            stdio: ["pipe", "pipe", log],
+        });
+        this.#exited = new Promise(resolve =>
             this.#process.once("exit", code => {
-                this.#isEnded = true;
+                this.#hasExited = true;
                 resolve(code ?? undefined);
             })
         );
@@ -41,38 +43,37 @@
         });
     }
 
-    /** The first line that the process printed. */
+    /** Resolves to the first line on standard output; stays pending if the process exits before. */
     firstLine(): Promise<string> {
         return this.#firstLine;
     }
 
-    /** Ends the process without warning. */
+    /** Kills the process with SIGKILL; resolves once it has exited. */
     async kill(): Promise<void> {
         this.#process.kill("SIGKILL");
-        await this.#ended;
+        await this.#exited;
     }
 
-    /** Asks the process to leave; resolves to its exit code. */
+    /** Stops the process with SIGTERM; resolves to its exit code, or undefined when a signal ended it. */
     async stop(): Promise<number | undefined> {
         this.#process.kill("SIGTERM");
-        const timer = setTimeout(() => this.#process.kill("SIGKILL"), leaveWithin);
-        const code = await this.#ended;
+        const timer = setTimeout(() => this.#process.kill("SIGKILL"), exitTimeout);
+        const code = await this.#exited;
         clearTimeout(timer);
         return code;
     }
 
-    /** Makes the process stand still. */
-    freeze(): void {
+    /** Suspends the process with SIGSTOP. */
+    suspend(): void {
         this.#process.kill("SIGSTOP");
     }
 
-    /** Lets the process go on. */
-    thaw(): void {
+    /** Resumes the process after {@link suspend}. */
+    resume(): void {
         this.#process.kill("SIGCONT");
     }
 
-    /** Whether the process has ended. */
-    get isEnded(): boolean {
-        return this.#isEnded;
+    get hasExited(): boolean {
+        return this.#hasExited;
     }
 }
--- a/packages/evidence/src/checks/index.ts
+++ b/packages/evidence/src/checks/index.ts
@@ -1,58 +1,61 @@
-/** Checks that read the stand-ins' audit and never the system's own word. */
+/** Checks on the stand-ins' audit files. They are independent of what the system itself reports. */
 import type { AuditLine } from "@pebbledale/stand-ins";
 
-/** Two runs of one task that overlapped in time. */
+/** Two runs of one task that overlapped in time, and the workers they ran on. */
 export interface Overlap {
     readonly task: string;
     readonly workers: readonly string[];
 }
 
-interface Run {
+interface TaskRun {
     readonly task: string;
     readonly worker: string;
-    readonly from: number;
-    to: number;
+    readonly startedAt: number;
+    endedAt: number;
 }
 
-const runsOf = (audit: readonly AuditLine[]): Run[] => {
-    const open = new Map<string, Run>();
-    const runs: Run[] = [];
+const listRuns = (audit: readonly AuditLine[]): TaskRun[] => {
+    const runsByAttempt = new Map<string, TaskRun>();
+    const runs: TaskRun[] = [];
     for (const line of audit) {
         const key = `${line.worker}|${line.task}|${line.attempt}`;
         if (line.event === "start") {
-            const run = { task: String(line.task), worker: String(line.worker), from: line.at, to: Infinity };
-            open.set(key, run);
+            const run = { task: String(line.task), worker: String(line.worker), startedAt: line.at, endedAt: Infinity };
+            runsByAttempt.set(key, run);
             runs.push(run);
         }
         else if (line.event === "end") {
-            const run = open.get(key);
+            const run = runsByAttempt.get(key);
             if (run !== undefined) {
-                run.to = line.at;
+                run.endedAt = line.at;
             }
         }
     }
     return runs;
 };
 
-/** Tasks that ran in two places at once. */
+/**
+ * Finds runs that started before an earlier run of the same task had ended. A run without an end overlaps all later
+ * ones.
+ */
 export const findOverlaps = (audit: readonly AuditLine[]): Overlap[] => {
-    const byTask = new Map<string, Run[]>();
-    for (const run of runsOf(audit)) {
-        byTask.set(run.task, [...(byTask.get(run.task) ?? []), run]);
+    const runsByTask = new Map<string, TaskRun[]>();
+    for (const run of listRuns(audit)) {
+        runsByTask.set(run.task, [...(runsByTask.get(run.task) ?? []), run]);
     }
     const overlaps: Overlap[] = [];
-    for (const [task, runs] of byTask) {
-        const inOrder = [...runs].sort((left, right) => left.from - right.from);
-        for (let index = 1; index < inOrder.length; index++) {
-            if (inOrder[index].from < inOrder[index - 1].to) {
-                overlaps.push({ task, workers: [inOrder[index - 1].worker, inOrder[index].worker] });
+    for (const [task, runs] of runsByTask) {
+        const sortedRuns = [...runs].sort((left, right) => left.startedAt - right.startedAt);
+        for (let index = 1; index < sortedRuns.length; index++) {
+            if (sortedRuns[index].startedAt < sortedRuns[index - 1].endedAt) {
+                overlaps.push({ task, workers: [sortedRuns[index - 1].worker, sortedRuns[index].worker] });
             }
         }
     }
     return overlaps;
 };
 
-/** Number of starts by task. */
+/** Counts starts by task ID, over all attempts. */
 export const countStarts = (audit: readonly AuditLine[]): Map<string, number> => {
     const counts = new Map<string, number>();
     for (const line of audit.filter(entry => entry.event === "start")) {
@@ -61,9 +64,9 @@
     return counts;
 };
 
-/** Starts after which a worker's grants were more than it has. */
+/** Counts starts after which the sum of a worker's grants exceeded its capacity. */
 export const countOverCapacity = (audit: readonly AuditLine[]): number =>
     audit.filter(line => line.event === "start" && line.isOver === true).length;
 
-/** The job of a task's id. */
-export const jobOf = (task: string): string => task.slice(0, task.lastIndexOf("/"));
+/** The job ID within a task ID, `JOB/INDEX`. */
+export const jobIdOf = (task: string): string => task.slice(0, task.lastIndexOf("/"));
--- a/packages/evidence/src/demo/index.ts
+++ b/packages/evidence/src/demo/index.ts
@@ -1,9 +1,12 @@
-/** The demonstration: a cell under mixed work, one scheduler killed in the middle, and a table of what came of it. */
+/** The demo: a cell under a mixed workload whose shard owner is killed. */
 import { build } from "hdr-histogram-js";
-import { Cell, pause, until } from "../cell/index.js";
-import { countOverCapacity, countStarts, findOverlaps, jobOf } from "../checks/index.js";
+import { Cell, pause, waitUntil } from "../cell/index.js";
+import { countOverCapacity, countStarts, findOverlaps, jobIdOf } from "../checks/index.js";
 
-/** What the demonstration counted. */
+/**
+ * Counts over live requests and jobs. `waitingP50` and `waitingP99` are live requests' response times in milliseconds
+ * beyond their run time; `packing` is a share from 0 to 1.
+ */
 export interface DemoResult {
     sent: number;
     answeredWhole: number;
@@ -18,11 +21,11 @@
     exitCodes: (number | undefined)[];
 }
 
-const deadlineAfter = 40_000;
-const builds = 120;
-const matches = 60;
+const workloadTimeout = 40_000;
+const buildCount = 120;
+const matchCount = 60;
 const liveRounds = 40;
-const livePerRound = 10;
+const requestsPerRound = 10;
 const mebibyte = 1;
 const smallSize = { processors: 4, memoryMebibytes: 4_096 * mebibyte };
 
@@ -34,10 +37,10 @@
     size: { processors: 8, memoryMebibytes: 8_192, slots: 4, connections: 8 },
 };
 
-/** Runs the demonstration; `say` is told each step. */
-export const runDemo = async (say: (line: string) => void): Promise<DemoResult> => {
-    say("starting stand-ins, three gateways and three schedulers");
-    const cell = await Cell.start({ gateways: 3, schedulers: 3, workers: 30, user: "bayanihan" });
+/** Runs the demo and checks the workers' audit. The cell's files are kept when a check fails. */
+export const runDemo = async (printStep: (line: string) => void): Promise<DemoResult> => {
+    printStep("starting stand-ins, three gateways and three schedulers");
+    const cell = await Cell.start({ gateways: 3, schedulers: 3, workers: 30, organisation: "bayanihan" });
     const result: DemoResult = {
         sent: 0,
         answeredWhole: 0,
@@ -52,7 +55,7 @@
         exitCodes: [],
     };
     try {
-        await drive(cell, result, say);
+        await runWorkload(cell, result, printStep);
     }
     finally {
         result.exitCodes = await cell.stop();
@@ -60,26 +63,29 @@
     const audit = cell.workerAudit();
     result.runTwice = findOverlaps(audit).length;
     result.overCapacity = countOverCapacity(audit);
-    if (isPassed(result)) {
+    if (hasPassed(result)) {
         cell.removeFiles();
     }
     else {
-        say(`files are kept in ${cell.folder} and ${cell.auditFolder}`);
+        printStep(`files are kept in ${cell.folder} and ${cell.auditFolder}`);
     }
     return result;
 };
 
-/** Whether everything held. */
-export const isPassed = (result: DemoResult): boolean =>
+/**
+ * Whether every request was answered completely or refused with a reason, no task ran twice at once, no worker exceeded its
+ * capacity, and all processes exited with 0.
+ */
+export const hasPassed = (result: DemoResult): boolean =>
     result.runTwice === 0 && result.lost === 0 && result.failed === 0 && result.overCapacity === 0
     && result.answeredWhole + result.refusedWithReason === result.sent
     && result.exitCodes.every(code => code === 0);
 
-const drive = async (cell: Cell, result: DemoResult, say: (line: string) => void): Promise<void> => {
-    const deadline = performance.now() + deadlineAfter;
-    const waits = build();
+const runWorkload = async (cell: Cell, result: DemoResult, printStep: (line: string) => void): Promise<void> => {
+    const deadline = performance.now() + workloadTimeout;
+    const waitingTimes = build();
     await cell.caller.submitUntilSettled(serviceJob, deadline);
-    await until("the service answers at every gateway", deadlineAfter, async () => {
+    await waitUntil("the service answers at every gateway", workloadTimeout, async () => {
         const answers = await Promise.all(
             cell.callerAddresses().map(() =>
                 cell.caller.send({ method: "GET", path: "/services/prompts/" }).catch(() => undefined)
@@ -87,26 +93,31 @@
         );
         return answers.every(answer => answer?.status === 200);
     });
-    say("sending live requests, builds, matches, a gang, and a job that fits nowhere");
-    const live = sendLive(cell, result, waits);
+    printStep("sending live requests, builds, matches, a gang, and a job that fits nowhere");
+    const live = sendLiveRequests(cell, result, waitingTimes);
     const jobs = sendJobs(cell, result, deadline);
     await pause(600);
     const owner = await cell.ownerOf();
-    say(`killing ${owner}, which owns the shard`);
+    printStep(`killing ${owner}, which owns the shard`);
     await cell.schedulers.get(owner ?? "")?.kill();
-    result.packing = await peakPacking(cell);
+    result.packing = await measurePacking(cell);
     await Promise.all([live, jobs]);
-    result.waitingP50 = waits.getValueAtPercentile(50);
-    result.waitingP99 = waits.getValueAtPercentile(99);
+    result.waitingP50 = waitingTimes.getValueAtPercentile(50);
+    result.waitingP99 = waitingTimes.getValueAtPercentile(99);
 };
 
-const peakPacking = async (cell: Cell): Promise<number> => {
-    await cell.untilPlacing();
-    const shards = (await cell.statuses()).flatMap(status => status.shards);
+/** The highest packing of any shard, once tasks can be placed again. */
+const measurePacking = async (cell: Cell): Promise<number> => {
+    await cell.waitUntilPlacing();
+    const shards = (await cell.schedulerStatuses()).flatMap(status => status.shards);
     return Math.max(0, ...shards.map(shard => shard.packing));
 };
 
-const sendLive = async (cell: Cell, result: DemoResult, waits: ReturnType<typeof build>): Promise<void> => {
+const sendLiveRequests = async (
+    cell: Cell,
+    result: DemoResult,
+    waitingTimes: ReturnType<typeof build>,
+): Promise<void> => {
     const sendOne = async (id: string): Promise<void> => {
         result.sent++;
         const started = performance.now();
@@ -118,7 +129,7 @@
         }).catch(() => undefined);
         if (answer?.status === 200 && answer.text === `${id}:body of ${id}${id.repeat(2000).slice(0, 2000)}`) {
             result.answeredWhole++;
-            waits.recordValue(Math.max(1, Math.round(performance.now() - started - 20)));
+            waitingTimes.recordValue(Math.max(1, Math.round(performance.now() - started - 20)));
         }
         else if (answer !== undefined && answer.status >= 400 && answer.text.includes("\"error\"")) {
             result.refusedWithReason++;
@@ -129,7 +140,7 @@
     };
     const running: Promise<void>[] = [];
     for (let round = 0; round < liveRounds; round++) {
-        for (let index = 0; index < livePerRound; index++) {
+        for (let index = 0; index < requestsPerRound; index++) {
             running.push(sendOne(`request-${round}-${index}`));
         }
         await pause(100);
@@ -142,7 +153,7 @@
     const job = (key: string, more: object) => ({ key, class: "batch", size: smallSize, ...more });
     const submissions = [
         ...Array.from(
-            { length: builds },
+            { length: buildCount },
             (_, index) =>
                 job(`build-${index}`, {
                     unrepeatable: true,
@@ -150,7 +161,7 @@
                 }),
         ),
         ...Array.from(
-            { length: matches },
+            { length: matchCount },
             (_, index) =>
                 job(`match-${index}`, {
                     priority: "patient",
@@ -178,7 +189,7 @@
             result.lost++;
         }
     }));
-    const ran = new Set([...countStarts(cell.workerAudit()).keys()].map(jobOf));
+    const ran = new Set([...countStarts(cell.workerAudit()).keys()].map(jobIdOf));
     const neverRan = [...succeeded].filter(id => !ran.has(id)).length;
     result.answeredWhole -= neverRan;
     result.lost += neverRan;
--- a/packages/evidence/src/prove/proofs/capacity.ts
+++ b/packages/evidence/src/prove/proofs/capacity.ts
@@ -1,16 +1,19 @@
-/** Point 1: no VM is ever given more than it has. */
+/** Proof of guarantee 1. */
 import { pause } from "../../cell/index.js";
 import { countOverCapacity } from "../../checks/index.js";
 import type { Proof } from "../types.js";
-import { killOwner, submitAll, taskJob, waitAll } from "./work.js";
+import { createJob, killOwner, submitAll, waitForAll } from "./workload.js";
 
-const jobs = 120;
+const jobCount = 120;
 
-/** Every twentieth task runs long and uses twice its grant. */
+/** Every twentieth task runs ten times as long as the others and uses twice its grant. */
 const payloadOf = (index: number) =>
     index % 20 === 0 ? { runMilliseconds: 1_500, usesProcessors: 40 } : { runMilliseconds: 150 };
 
-/** More work than fits at once, through an owner's death and an outage of the platform. */
+/**
+ * The grants on a VM never exceed its capacity. More jobs are submitted than fit at once, while the shard's owner is
+ * killed, the platform is unavailable and then slow, and one worker fails every task.
+ */
 export const capacityProof: Proof = {
     point: 1,
     name: "no VM is given more than it has",
@@ -20,11 +23,11 @@
     cell: {},
     async run(cell) {
         const size = { processors: 20, memoryMebibytes: 30_000 };
-        const work = Array.from(
-            { length: jobs },
-            (_, index) => taskJob(`job-${index}`, { size, payload: payloadOf(index) }),
+        const submissions = Array.from(
+            { length: jobCount },
+            (_, index) => createJob(`job-${index}`, { size, payload: payloadOf(index) }),
         );
-        const submitting = submitAll(cell, work);
+        const submitting = submitAll(cell, submissions);
         await cell.controlWorker({ worker: "worker-0", action: "faults", faults: { failsAll: true } });
         await cell.controlPlatform({ loseAnswers: 3 });
         const [ids] = await Promise.all([submitting, killOwner(cell)]);
@@ -34,16 +37,19 @@
         await pause(1_500);
         await cell.controlPlatform({ delay: 0 });
         await cell.controlWorker({ worker: "worker-0", action: "faults", faults: { failsAll: false } });
-        const views = await waitAll(cell, ids.values());
+        const views = await waitForAll(cell, ids.values());
         const audit = cell.workerAudit();
-        const over = countOverCapacity(audit);
+        const overCapacityStarts = countOverCapacity(audit);
         const starts = audit.filter(line => line.event === "start").length;
         const throttled = new Set(audit.filter(line => line.event === "throttle").map(line => line.task)).size;
         return {
-            breaches: Array.from({ length: over }, () => "a start left a worker with more granted than it has"),
+            breaches: Array.from(
+                { length: overCapacityStarts },
+                () => "a start left a worker with more granted than it has",
+            ),
             evidence:
-                `${starts} starts, ${views.length} of ${jobs} jobs ended, ${throttled} held to their grant, 0 over capacity`,
-            isMeaningful: starts >= jobs && views.length === jobs,
+                `${starts} starts, ${views.length} of ${jobCount} jobs ended, ${throttled} held to their grant, 0 over capacity`,
+            isMeaningful: starts >= jobCount && views.length === jobCount,
         };
     },
 };
--- a/packages/evidence/src/prove/proofs/not-run.ts
+++ b/packages/evidence/src/prove/proofs/not-run.ts
@@ -1,12 +1,15 @@
-/** Point 4: when the answer is that something was not run, it was not run. */
+/** Proof of guarantee 4. */
 import { pause } from "../../cell/index.js";
-import { countStarts, jobOf } from "../../checks/index.js";
+import { countStarts, jobIdOf } from "../../checks/index.js";
 import type { Proof } from "../types.js";
-import { submitAll, taskJob, waitAll } from "./work.js";
+import { createJob, submitAll, waitForAll } from "./workload.js";
 
-const jobs = 60;
+const jobCount = 60;
 
-/** Starts whose answers are lost, then a wave of cancellations while they are on their way. */
+/**
+ * A job reported as not run was not run. Workers lose their responses to start messages, then all jobs are cancelled
+ * while starts are in flight, a worker is unreachable and the shard's owner is killed.
+ */
 export const notRunProof: Proof = {
     point: 4,
     name: "what is answered as not run was not run",
@@ -15,12 +18,12 @@
     cell: {},
     async run(cell) {
         await cell.controlAllWorkers({ action: "faults", faults: { loseStartAnswers: 8 } });
-        const work = Array.from(
-            { length: jobs },
+        const submissions = Array.from(
+            { length: jobCount },
             (_, index) =>
-                taskJob(`job-${index}`, { unrepeatable: index % 2 === 0, payload: { runMilliseconds: 1_500 } }),
+                createJob(`job-${index}`, { unrepeatable: index % 2 === 0, payload: { runMilliseconds: 1_500 } }),
         );
-        const ids = await submitAll(cell, work);
+        const ids = await submitAll(cell, submissions);
         await cell.controlWorker({ worker: "worker-2", action: "faults", faults: { isCut: true } });
         await Promise.all(
             [...ids.values()].map(id =>
@@ -31,14 +34,15 @@
         await cell.schedulers.get(owner ?? "")?.kill();
         await pause(2_000);
         await cell.controlWorker({ worker: "worker-2", action: "faults", faults: { isCut: false } });
-        const views = await waitAll(cell, ids.values());
-        const started = new Set([...countStarts(cell.workerAudit()).keys()].map(jobOf));
+        const views = await waitForAll(cell, ids.values());
+        const started = new Set([...countStarts(cell.workerAudit()).keys()].map(jobIdOf));
         const notRun = views.filter(view => view.ran === "not-run");
-        const wrong = notRun.filter(view => started.has(view.job));
+        const startedAnyway = notRun.filter(view => started.has(view.job));
         return {
-            breaches: wrong.map(view => `${view.job} was answered as not run and ran`),
-            evidence: `${views.length} of ${jobs} ended, ${started.size} started, ${notRun.length} answered as not run`,
-            isMeaningful: views.length === jobs && started.size > 10 && notRun.length > 0,
+            breaches: startedAnyway.map(view => `${view.job} was answered as not run and ran`),
+            evidence:
+                `${views.length} of ${jobCount} ended, ${started.size} started, ${notRun.length} answered as not run`,
+            isMeaningful: views.length === jobCount && started.size > 10 && notRun.length > 0,
         };
     },
 };
--- a/packages/evidence/src/prove/proofs/settings.ts
+++ b/packages/evidence/src/prove/proofs/settings.ts
@@ -1,13 +1,16 @@
-/** Point 8: accepted settings are in force everywhere within seconds and never revert. */
-import { type Cell, pause, until } from "../../cell/index.js";
-import { shortTree } from "../../cell/settings.js";
+/** Proof of guarantee 8. */
+import { type Cell, pause, waitUntil } from "../../cell/index.js";
+import { shortTimeoutSettings } from "../../cell/settings-files.js";
 import type { Proof } from "../types.js";
 
-/** What "within seconds" is here, in milliseconds: the users' target. */
-const withinSeconds = 6_000;
+/** Time within which an accepted revision must be in force in all processes, in milliseconds. */
+const propagationTimeout = 6_000;
 const racingOperators = 6;
 
-/** Operators race, answers are lost, the platform is down while processes start again. */
+/**
+ * Accepted settings are in force in all processes within seconds and never revert. Several operators accept a revision at
+ * the same time, the platform loses responses, and processes are restarted while it is unavailable.
+ */
 export const settingsProof: Proof = {
     point: 8,
     name: "accepted settings are in force within seconds and never revert",
@@ -16,71 +19,72 @@
     cell: { gateways: 2, schedulers: 2 },
     async run(cell) {
         const breaches: string[] = [];
-        const seen = new Map<string, number>();
+        const highestRevisions = new Map<string, number>();
         const end = new AbortController();
-        const watching = watchRevisions(cell, seen, breaches, end.signal);
+        const monitoring = monitorRevisions(cell, highestRevisions, breaches, end.signal);
         await cell.controlPlatform({ loseAnswers: 2 });
         const races = await Promise.allSettled(
             Array.from(
                 { length: racingOperators },
-                (_, index) => cell.accept(`${shortTree}\n; operator ${index}\n`, 1),
+                (_, index) => cell.acceptSettings(`${shortTimeoutSettings}\n; operator ${index}\n`, 1),
             ),
         );
         const accepted = races.filter(race => race.status === "fulfilled").length;
         if (accepted !== 1) {
             breaches.push(`${accepted} operators were told that revision 2 is theirs`);
         }
-        await inForce(cell, 2, breaches);
-        await cell.accept(`${shortTree}\n; third\n`, 2);
-        await inForce(cell, 3, breaches);
+        await expectInForce(cell, 2, breaches);
+        await cell.acceptSettings(`${shortTimeoutSettings}\n; third\n`, 2);
+        await expectInForce(cell, 3, breaches);
         await cell.controlPlatform({ outage: true });
-        // A gateway and a scheduler are replaced while the platform is down; they can only ask their peers.
+        // The restarted processes cannot read the settings from the platform, only from their peers.
         await cell.gateways.get("gateway-0")?.kill();
-        const idle = await cell.ownerOf() === "scheduler-0" ? 1 : 0;
-        await cell.schedulers.get(`scheduler-${idle}`)?.kill();
-        seen.delete("gateway-0");
-        seen.delete(`scheduler-${idle}`);
+        const otherIndex = await cell.ownerOf() === "scheduler-0" ? 1 : 0;
+        await cell.schedulers.get(`scheduler-${otherIndex}`)?.kill();
+        highestRevisions.delete("gateway-0");
+        highestRevisions.delete(`scheduler-${otherIndex}`);
         cell.startGateway(0);
-        await cell.startScheduler(idle);
-        await inForce(cell, 3, breaches);
+        await cell.startScheduler(otherIndex);
+        await expectInForce(cell, 3, breaches);
         await cell.controlPlatform({ outage: false });
-        await cell.accept(`${shortTree}\n; fourth\n`, 3);
-        await inForce(cell, 4, breaches);
+        await cell.acceptSettings(`${shortTimeoutSettings}\n; fourth\n`, 3);
+        await expectInForce(cell, 4, breaches);
         end.abort();
-        await watching;
+        await monitoring;
         return {
             breaches,
             evidence:
-                `1 of ${racingOperators} racing operators won; 3 revisions in force in all 4 processes within ${withinSeconds} ms`,
-            isMeaningful: seen.size === 4,
+                `1 of ${racingOperators} racing operators won; 3 revisions in force in all 4 processes within ${propagationTimeout} ms`,
+            isMeaningful: highestRevisions.size === 4,
         };
     },
 };
 
-const watchRevisions = async (
+/** Records the highest revision seen in each process until `end`, and a breach where a process reverts. */
+const monitorRevisions = async (
     cell: Cell,
-    seen: Map<string, number>,
+    highestRevisions: Map<string, number>,
     breaches: string[],
     end: AbortSignal,
 ): Promise<void> => {
     while (!end.aborted) {
-        for (const [name, revision] of await cell.revisions()) {
-            const before = seen.get(name) ?? 0;
-            // A replaced process may say 0 until it is ready; it serves nothing then.
-            if (revision < before && revision > 0) {
-                breaches.push(`${name} went back from revision ${before} to ${revision}`);
+        for (const [name, revision] of await cell.settingsRevisions()) {
+            const highest = highestRevisions.get(name) ?? 0;
+            // A restarted process may report 0 until it is ready; it serves no requests before.
+            if (revision < highest && revision > 0) {
+                breaches.push(`${name} went back from revision ${highest} to ${revision}`);
             }
-            seen.set(name, Math.max(before, revision));
+            highestRevisions.set(name, Math.max(highest, revision));
         }
         await pause(50);
     }
 };
 
-const inForce = async (cell: Cell, revision: number, breaches: string[]): Promise<void> => {
-    const all = async () => {
-        const revisions = await cell.revisions();
+const expectInForce = async (cell: Cell, revision: number, breaches: string[]): Promise<void> => {
+    const isInForceEverywhere = async () => {
+        const revisions = await cell.settingsRevisions();
         return revisions.size === 4 && [...revisions.values()].every(other => other >= revision);
     };
-    await until(`revision ${revision} is in force everywhere`, withinSeconds, all)
+    await waitUntil(`revision ${revision} is in force everywhere`, propagationTimeout, isInForceEverywhere)
         .catch((cause: Error) => breaches.push(cause.message));
 };
--- a/packages/evidence/src/prove/without-protection.ts
+++ b/packages/evidence/src/prove/without-protection.ts
@@ -1,6 +1,6 @@
 /**
- * Loaded before a program of the product to take one protection away, so that a proof is seen to fail without it.
- * The product has no switch for this: the protection is replaced from outside.
+ * Preloaded into the system's processes (`node --import`) to remove one protection, so that a proof can be shown to fail
+ * without it. The system has no switch for this; methods of its classes are replaced.
  */
 import {
     FleetIndex,
@@ -16,8 +16,8 @@
 import type { ServerResponse } from "node:http";
 import { request as send } from "undici";
 
-/** The variable that names the protection to take away. */
-export const withoutVariable = "PEBBLEDALE_EVIDENCE_WITHOUT";
+/** Environment variable that names the protection to remove. */
+export const removedProtectionVariable = "PEBBLEDALE_EVIDENCE_WITHOUT";
 
 const removals: Readonly<Record<string, () => void>> = {
     "counting of grants": () => {
@@ -28,7 +28,7 @@
         LeasePolicy.prototype.formerTerms = () => ({ horizon: 0, leaseDuration: 0, leaseMargin: 0 });
     },
     "check of an answer": () => {
-        Forwarder.prototype.send = sendUnchecked;
+        Forwarder.prototype.send = sendWithoutChecks;
     },
     "doubt about a start without an answer": () => {
         const start = HttpWorkerClient.prototype.start;
@@ -43,16 +43,16 @@
         JobRegistry.prototype.findByKey = () => undefined;
     },
     "heed of leaving VMs": () => {
-        const { applyWorkerList: listWorkers, claimAnswered, heartbeatAnswered } = ShardScheduler.prototype;
-        const stayed = (report: WorkerReport): WorkerReport => ({ ...report, leaving: false });
+        const { applyWorkerList, claimAnswered, heartbeatAnswered } = ShardScheduler.prototype;
+        const hideLeaving = (report: WorkerReport): WorkerReport => ({ ...report, leaving: false });
         ShardScheduler.prototype.applyWorkerList = function(workers: readonly ListedWorker[]) {
-            return listWorkers.call(this, workers.map(worker => ({ ...worker, state: VmState.Live })));
+            return applyWorkerList.call(this, workers.map(worker => ({ ...worker, state: VmState.Live })));
         };
         ShardScheduler.prototype.claimAnswered = function(worker, report, sentAt) {
-            return claimAnswered.call(this, worker, stayed(report), sentAt);
+            return claimAnswered.call(this, worker, hideLeaving(report), sentAt);
         };
         ShardScheduler.prototype.heartbeatAnswered = function(worker, report, sentAt) {
-            return heartbeatAnswered.call(this, worker, stayed(report), sentAt);
+            return heartbeatAnswered.call(this, worker, hideLeaving(report), sentAt);
         };
     },
     "learning from peers": () => {
@@ -60,8 +60,8 @@
     },
 };
 
-/** Passes on whatever comes, whole or not, whosever it is. */
-async function sendUnchecked(request: LiveRequest, address: string, reply: ServerResponse): Promise<SendOutcome> {
+/** Forwards a response without checking that it is complete and belongs to the request. */
+async function sendWithoutChecks(request: LiveRequest, address: string, reply: ServerResponse): Promise<SendOutcome> {
     const answer = await send(`http://${address}${request.path}`, {
         method: request.method as "POST",
         headers: { "pebbledale-request-id": request.id },
@@ -74,10 +74,10 @@
         }
     }
     catch {
-        // What came so far is taken for the whole.
+        // Forwards the truncated response.
     }
     reply.writeHead(answer.statusCode).end(Buffer.concat(chunks));
     return { kind: "answered", status: answer.statusCode };
 }
 
-removals[process.env[withoutVariable] ?? ""]?.();
+removals[process.env[removedProtectionVariable] ?? ""]?.();
--- a/packages/evidence/test/journal/flaky-store.ts
+++ b/packages/evidence/test/journal/flaky-store.ts
@@ -1,4 +1,4 @@
-/** The stand-in's memory store behind the product's interface, failing as a test says. */
+/** Platform store for journal and settings tests. */
 import {
     type KeyValue,
     type KeyVersion,
@@ -10,16 +10,16 @@
 } from "@pebbledale/core";
 import { MemoryStore } from "@pebbledale/stand-ins";
 
-/** What happens to a write: it takes effect and is answered, takes effect unanswered, or is lost. */
-export type Fate = "answered" | "answer lost" | "call lost";
+/** What happens to a write: it takes effect and is answered, takes effect without an answer, or has no effect. */
+export type WriteOutcome = "answered" | "answer lost" | "call lost";
 
-/** See the module's comment. */
+/** {@link MemoryStore} behind the {@link PlatformStore} interface, with failing writes and a hook before each write. */
 export class FlakyStore implements PlatformStore {
     readonly memory = new MemoryStore();
-    /** Fates of the next writes; later ones are answered. */
-    readonly fates: Fate[] = [];
-    /** How often a prefix was read. */
-    listings = 0;
+    /** Outcomes of the next writes; later ones are answered. */
+    readonly outcomes: WriteOutcome[] = [];
+    /** Number of calls of {@link list}. */
+    listCalls = 0;
     /** Called before each write takes effect. */
     beforeSwap: ((key: string) => void | Promise<void>) | undefined;
 
@@ -28,7 +28,7 @@
     }
 
     async list(prefix: string): Promise<readonly KeyValue[]> {
-        this.listings++;
+        this.listCalls++;
         return this.memory.list(prefix);
     }
 
@@ -38,13 +38,13 @@
         value: string,
         lease?: PlatformLeaseId,
     ): Promise<SwapOutcome> {
-        const fate = this.fates.shift() ?? "answered";
+        const writeOutcome = this.outcomes.shift() ?? "answered";
         await this.beforeSwap?.(key);
-        if (fate === "call lost") {
+        if (writeOutcome === "call lost") {
             throw new PlatformUnavailableError("lost before it took effect");
         }
         const outcome = this.memory.swap(key, expected, value, lease);
-        if (fate === "answer lost") {
+        if (writeOutcome === "answer lost") {
             throw new PlatformUnavailableError("lost after it took effect");
         }
         return outcome;
--- a/packages/stand-ins/src/platform/index.ts
+++ b/packages/stand-ins/src/platform/index.ts
@@ -1,3 +1,6 @@
-/** Stand-in of the platform: key-value service and list of VMs, with outages, slowness and lost answers. */
-export * from "./server.js";
-export * from "./store.js";
+/**
+ * Stand-in for the platform: an in-memory key-value service and VM list with injectable outages, delays and lost
+ * responses.
+ */
+export * from "./memory-store.js";
+export * from "./platform-stand-in.js";
--- a/packages/stand-ins/src/platform/server.ts
+++ b/packages/stand-ins/src/platform/platform-stand-in.ts
@@ -1,26 +1,26 @@
-/** Serves the stand-in of the platform over HTTP, with a path to make it fail. */
+/** The platform's HTTP interface, with control endpoints for tests. */
 import type { ListedWorker, Milliseconds, PlatformLeaseId } from "@pebbledale/core";
 import fastify, { type FastifyInstance } from "fastify";
 import type { AddressInfo } from "node:net";
 import type { AuditLog } from "../audit/index.js";
-import { MemoryStore } from "./store.js";
+import { MemoryStore } from "./memory-store.js";
 
-/** How the stand-in is to fail. */
+/** Faults that the stand-in injects into calls of the key-value service. */
 export interface PlatformFaults {
-    /** No call is answered and none takes effect. */
+    /** Connections are closed without a response, and calls have no effect. */
     outage: boolean;
-    /** Each answer comes this much later. */
+    /** Added to the response time of each call, in milliseconds. */
     delay: Milliseconds;
-    /** This many writes take effect and get no answer. */
+    /** Number of upcoming writes that take effect without a response. */
     loseAnswers: number;
 }
 
-/** The body of a control call; what is left out stays as it is. */
+/** The body of `POST /control`; omitted fields keep their values. */
 export interface PlatformControl extends Partial<PlatformFaults> {
     readonly workers?: readonly ListedWorker[];
 }
 
-/** Calls of the platform so far. */
+/** Calls since the start, as returned by `GET /counts`. */
 export interface PlatformCounts {
     readonly reads: number;
     readonly writes: number;
@@ -28,9 +28,9 @@
     readonly bytesWritten: number;
 }
 
-const expiryInterval = 50;
-const writes = new Set(["swap", "remove", "lease-grant", "lease-renew", "lease-revoke"]);
-/** Only these keys are written to the audit: the others change too often to be of use there. */
+const leaseExpiryInterval = 50;
+const writeCalls = new Set(["swap", "remove", "lease-grant", "lease-renew", "lease-revoke"]);
+/** Prefixes of the keys whose writes are audited; other keys change too often. */
 const auditedPrefixes = ["settings/", "owners/"];
 
 interface CallBody {
@@ -43,13 +43,16 @@
     readonly cursor: string;
 }
 
-/** Serves the platform's key-value service and VM list over HTTP from memory, with faults on demand. */
+/**
+ * Serves the platform's key-value service and VM list from memory on loopback. `POST /control` sets faults and the VM
+ * list, `GET /counts` returns call counts.
+ */
 export class PlatformStandIn {
     readonly store = new MemoryStore();
     readonly faults: PlatformFaults = { outage: false, delay: 0, loseAnswers: 0 };
     readonly counts = { reads: 0, writes: 0, watches: 0, bytesWritten: 0 };
     readonly #server: FastifyInstance = fastify({ logger: false, forceCloseConnections: true, bodyLimit: 4_000_000 });
-    readonly #expiring: NodeJS.Timeout;
+    readonly #expiryTimer: NodeJS.Timeout;
     #workers: readonly ListedWorker[] = [];
 
     constructor(private readonly audit?: AuditLog) {
@@ -59,11 +62,11 @@
                 request.raw.socket.destroy();
                 return reply.hijack();
             }
-            const gone = new AbortController();
-            reply.raw.once("close", () => gone.abort());
-            const answer = await this.#carryOut(call, request.body as CallBody, gone.signal);
+            const disconnected = new AbortController();
+            reply.raw.once("close", () => disconnected.abort());
+            const answer = await this.#execute(call, request.body as CallBody, disconnected.signal);
             await this.#wait(this.faults.delay);
-            const isLost = writes.has(call) && this.faults.loseAnswers > 0;
+            const isLost = writeCalls.has(call) && this.faults.loseAnswers > 0;
             if (isLost || this.faults.outage) {
                 this.faults.loseAnswers -= isLost ? 1 : 0;
                 request.raw.socket.destroy();
@@ -77,34 +80,32 @@
             return {};
         });
         this.#server.get("/counts", async () => this.counts);
-        this.#expiring = setInterval(() => this.store.expire(performance.now()), expiryInterval);
+        this.#expiryTimer = setInterval(() => this.store.expire(performance.now()), leaseExpiryInterval);
     }
 
-    /** Changes what fails and which VMs are listed. */
+    /** Sets faults and the list of VMs. */
     control({ workers, ...faults }: PlatformControl): void {
         Object.assign(this.faults, faults);
         this.#workers = workers ?? this.#workers;
         this.audit?.add("platform-control", { ...faults, workers: workers?.length });
     }
 
-    /** Listens; resolves to the address. */
+    /** Starts listening on loopback, by default on a free port; resolves to the address. */
     async listen(port = 0): Promise<string> {
         await this.#server.listen({ host: "127.0.0.1", port });
         return this.address;
     }
 
-    /** Where it listens. */
     get address(): string {
         return `127.0.0.1:${(this.#server.server.address() as AddressInfo).port}`;
     }
 
-    /** Ends the stand-in. */
     async close(): Promise<void> {
-        clearInterval(this.#expiring);
+        clearInterval(this.#expiryTimer);
         await this.#server.close();
     }
 
-    async #carryOut(call: string, body: CallBody, gone: AbortSignal): Promise<unknown> {
+    async #execute(call: string, body: CallBody, disconnected: AbortSignal): Promise<unknown> {
         const now = performance.now();
         const { store } = this;
         store.expire(now);
@@ -129,13 +130,13 @@
                 store.revokeLease(body.lease);
                 return {};
             case "watch":
-                return this.#watch(body, gone);
+                return this.#watch(body, disconnected);
             default:
-                throw new Error(`no such call: ${call}`);
+                throw new Error(`unknown platform call: ${call}`);
         }
     }
 
-    async #watch(body: CallBody, gone: AbortSignal): Promise<unknown> {
+    async #watch(body: CallBody, disconnected: AbortSignal): Promise<unknown> {
         const known = this.store.changesAfter(body.prefix, body.cursor);
         if (known !== undefined) {
             return known;
@@ -148,7 +149,7 @@
             };
             const timer = setTimeout(finish, body.duration);
             const stopWatching = this.store.onChange(body.prefix, finish);
-            gone.addEventListener("abort", finish, { once: true });
+            disconnected.addEventListener("abort", finish, { once: true });
         });
         return this.store.changesAfter(body.prefix, body.cursor) ?? { cursor: this.store.cursor(), changed: [] };
     }
@@ -157,7 +158,7 @@
         if (call === "watch") {
             this.counts.watches++;
         }
-        else if (writes.has(call)) {
+        else if (writeCalls.has(call)) {
             this.counts.writes++;
             this.counts.bytesWritten += body.value?.length ?? 0;
         }
--- a/packages/stand-ins/src/workers/worker.ts
+++ b/packages/stand-ins/src/workers/worker-stand-in.ts
@@ -1,4 +1,4 @@
-/** One worker: the protocol over HTTP, and instances that serve live requests at ports of their own. */
+/** Stand-in for one worker. */
 import {
     type ClaimMessage,
     type HeartbeatMessage,
@@ -14,34 +14,34 @@
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from "node:http";
 import type { AddressInfo } from "node:net";
 import type { AuditLog } from "../audit/index.js";
-import { type LiveTask, TaskTable, usageOf } from "./task-table.js";
+import { reportedUsage, type TaskExecution, TaskTable } from "./task-table.js";
 
-/** What fails at a worker. */
+/** Faults that a worker injects. */
 export interface WorkerFaults {
-    /** Connections are dropped; tasks go on. */
+    /** Connections are closed without a response; tasks keep running. */
     isCut: boolean;
-    /** Messages of owners up to this epoch are dropped. */
+    /** Messages of owners up to this epoch are dropped without a response. */
     cutUpToEpoch: number;
-    /** Messages of owners from this epoch on are dropped; 0 drops none. */
+    /** The same for owners from this epoch on; 0 disables it. */
     cutFromEpoch: number;
-    /** The next starts are carried out and their answers are lost. */
+    /** Number of upcoming start messages that take effect without a response. */
     loseStartAnswers: number;
-    /** Every task fails as soon as it starts. */
+    /** Every task that is not a service fails as soon as it starts. */
     failsAll: boolean;
-    /** Answers to live requests break off in the middle. */
+    /** Responses to live requests are truncated. */
     cutsAnswers: boolean;
-    /** Answers to live requests carry the id and body of another request. */
+    /** Responses to live requests carry the ID of another request. */
     crossesAnswers: boolean;
 }
 
-/** Who a worker is. */
-export interface WorkerOptions extends Omit<ListedWorker, "address" | "state"> {
+/** Identity, location and capacity of a worker. */
+export interface WorkerStandInOptions extends Omit<ListedWorker, "address" | "state"> {
     readonly audit?: AuditLog;
 }
 
 const statusOk = 200;
-const statusRefused = 409;
-const statusBusy = 503;
+const statusConflict = 409;
+const statusServiceUnavailable = 503;
 const expiryInterval = 5;
 
 const readBody = async (request: IncomingMessage): Promise<Buffer> => {
@@ -52,7 +52,10 @@
     return Buffer.concat(chunks);
 };
 
-/** See the module's comment. */
+/**
+ * Serves the worker protocol over HTTP on loopback. Tasks are simulated; each instance of a service listens on a port of
+ * its own for live requests.
+ */
 export class WorkerStandIn {
     readonly faults: WorkerFaults = {
         isCut: false,
@@ -64,45 +67,45 @@
         crossesAnswers: false,
     };
     #table: TaskTable;
-    readonly #services = new Map<LiveTask, { server: Server; inFlight: number; }>();
-    readonly #waiting = new Set<() => void>();
+    readonly #services = new Map<TaskExecution, { server: Server; inFlight: number; }>();
+    readonly #waitingHeartbeats = new Set<() => void>();
     #server: Server | undefined;
     #port = 0;
     #incarnation = 1;
-    #expiring: NodeJS.Timeout | undefined;
+    #expiryTimer: NodeJS.Timeout | undefined;
 
-    constructor(readonly options: WorkerOptions) {
-        this.#table = this.#makeTable();
+    constructor(readonly options: WorkerStandInOptions) {
+        this.#table = this.#createTable();
     }
 
-    /** Listens, at the same port after a restart. */
+    /** Starts listening; after a restart, on the same port. */
     async listen(): Promise<void> {
-        this.#server = createServer((request, response) => void this.#serve(request, response));
+        this.#server = createServer((request, response) => void this.#handleMessage(request, response));
         this.#server.keepAliveTimeout = 60_000;
         await new Promise<void>(resolve => this.#server!.listen(this.#port, "127.0.0.1", resolve));
         this.#port = (this.#server.address() as AddressInfo).port;
-        this.#expiring = setInterval(() => this.#table.expire(performance.now()), expiryInterval);
+        this.#expiryTimer = setInterval(() => this.#table.expire(performance.now()), expiryInterval);
     }
 
-    /** How the platform lists this worker. */
-    listed(): ListedWorker {
+    /** The worker's entry in the platform's VM list. */
+    toListedWorker(): ListedWorker {
         const { worker, rack, dataHall, region, capacity } = this.options;
         const state = this.#table.isLeaving ? VmState.Leaving : VmState.Live;
         return { worker, rack, dataHall, region, capacity, address: `127.0.0.1:${this.#port}`, state };
     }
 
-    /** Says that the worker is leaving: it refuses new starts. */
+    /** Marks the worker as leaving: it reports so and refuses to start tasks. */
     leave(): void {
         this.#table.isLeaving = true;
         this.options.audit?.add("leaving", { worker: this.options.worker });
-        this.#wake();
+        this.#notifyHeartbeats();
     }
 
-    /** Ends the worker and all its tasks without a word. */
+    /** Stops the worker and all its tasks at once, without reporting their end. */
     kill(): void {
-        clearInterval(this.#expiring);
+        clearInterval(this.#expiryTimer);
         this.options.audit?.add("killed", { worker: this.options.worker });
-        this.#table.drop();
+        this.#table.killAll();
         this.#services.forEach(({ server }) => {
             server.closeAllConnections();
             server.close();
@@ -110,17 +113,16 @@
         this.#services.clear();
         this.#server?.closeAllConnections();
         this.#server?.close();
-        this.#wake();
+        this.#notifyHeartbeats();
     }
 
-    /** Starts again after {@link kill}, with nothing running. */
+    /** Starts the worker again after {@link kill}, as a new incarnation without tasks. */
     async restart(): Promise<void> {
         this.#incarnation++;
-        this.#table = this.#makeTable();
+        this.#table = this.#createTable();
         await this.listen();
     }
 
-    /** Applies faults. */
     setFaults(faults: Partial<WorkerFaults>): void {
         Object.assign(this.faults, faults);
         if (this.faults.isCut) {
@@ -128,39 +130,39 @@
         }
     }
 
-    #makeTable(): TaskTable {
+    #createTable(): TaskTable {
         return new TaskTable({
             worker: this.options.worker,
             capacity: this.options.capacity,
             audit: this.options.audit,
             failsAll: () => this.faults.failsAll,
-            stopServing: task => this.#stopServing(task),
-            changed: () => this.#wake(),
+            closeService: task => this.#closeService(task),
+            onChange: () => this.#notifyHeartbeats(),
         });
     }
 
-    #wake(): void {
-        this.#waiting.forEach(wake => wake());
+    #notifyHeartbeats(): void {
+        this.#waitingHeartbeats.forEach(wake => wake());
     }
 
-    async #serve(request: IncomingMessage, response: ServerResponse): Promise<void> {
+    async #handleMessage(request: IncomingMessage, response: ServerResponse): Promise<void> {
         try {
             const message = JSON.parse((await readBody(request)).toString()) as ClaimMessage;
-            if (this.#isCutFrom(message.epoch)) {
+            if (this.#isDisconnectedFrom(message.epoch)) {
                 request.socket.destroy();
                 return;
             }
-            const answer = this.#table.accepts(message.epoch)
-                ? await this.#carryOut(request.url ?? "", message, response)
+            const answer = this.#table.acceptEpoch(message.epoch)
+                ? await this.#execute(request.url ?? "", message, response)
                 : WorkerRefusal.OldEpoch;
             const isLost = request.url === "/tasks/start" && this.faults.loseStartAnswers > 0;
-            if (isLost || this.#isCutFrom(message.epoch)) {
+            if (isLost || this.#isDisconnectedFrom(message.epoch)) {
                 this.faults.loseStartAnswers -= isLost ? 1 : 0;
                 request.socket.destroy();
                 return;
             }
             const isRefusal = typeof answer === "string";
-            response.writeHead(isRefusal ? statusRefused : statusOk, { "content-type": "application/json" });
+            response.writeHead(isRefusal ? statusConflict : statusOk, { "content-type": "application/json" });
             response.end(JSON.stringify(isRefusal ? { refusal: answer } : answer));
         }
         catch {
@@ -168,23 +170,23 @@
         }
     }
 
-    #isCutFrom(epoch: number): boolean {
+    #isDisconnectedFrom(epoch: number): boolean {
         const { isCut, cutUpToEpoch, cutFromEpoch } = this.faults;
         return isCut || epoch <= cutUpToEpoch || (cutFromEpoch > 0 && epoch >= cutFromEpoch);
     }
 
-    async #carryOut(path: string, message: ClaimMessage, response: ServerResponse): Promise<unknown> {
+    async #execute(path: string, message: ClaimMessage, response: ServerResponse): Promise<unknown> {
         const now = performance.now();
         switch (path) {
             case "/tasks/claim":
                 return this.#report();
             case "/tasks/heartbeat": {
                 const heartbeat = message as HeartbeatMessage;
-                this.#table.renew(heartbeat);
+                this.#table.applyHeartbeat(heartbeat);
                 if (this.#table.ended.size === 0) {
-                    await this.#untilChanged(heartbeat.wait, response);
+                    await this.#waitForChange(heartbeat.wait, response);
                 }
-                return this.#table.accepts(message.epoch) ? this.#report() : WorkerRefusal.OldEpoch;
+                return this.#table.acceptEpoch(message.epoch) ? this.#report() : WorkerRefusal.OldEpoch;
             }
             case "/tasks/start":
                 return this.#start(message as StartMessage, now);
@@ -193,19 +195,19 @@
             case "/tasks/throttle":
                 return this.#table.throttle(message as ThrottleMessage);
             default:
-                throw new Error(`no such message: ${path}`);
+                throw new Error(`unknown worker message: ${path}`);
         }
     }
 
-    #untilChanged(wait: number, response: ServerResponse): Promise<void> {
+    #waitForChange(wait: number, response: ServerResponse): Promise<void> {
         return new Promise(resolve => {
             const finish = () => {
                 clearTimeout(timer);
-                this.#waiting.delete(finish);
+                this.#waitingHeartbeats.delete(finish);
                 resolve();
             };
             const timer = setTimeout(finish, wait);
-            this.#waiting.add(finish);
+            this.#waitingHeartbeats.add(finish);
             response.once("close", finish);
         });
     }
@@ -214,9 +216,9 @@
         return {
             worker: this.options.worker,
             incarnation: `${this.options.worker}-${this.#incarnation}` as WorkerReport["incarnation"],
-            number: this.#table.issueNumber(performance.now()),
+            number: this.#table.issueReportNumber(performance.now()),
             leaving: this.#table.isLeaving,
-            running: [...this.#table.running.values()].map(describeRunning),
+            running: [...this.#table.running.values()].map(toRunningTask),
             ended: [...this.#table.ended.values()],
         };
     }
@@ -232,21 +234,21 @@
         if (outcome.serves && outcome.serviceAddress === undefined) {
             outcome.serviceAddress = await this.#openService(outcome);
         }
-        return describeRunning(outcome);
+        return toRunningTask(outcome);
     }
 
-    async #openService(task: LiveTask): Promise<string> {
+    async #openService(task: TaskExecution): Promise<string> {
         const service = { server: createServer(), inFlight: 0 };
         this.#services.set(task, service);
         service.server.keepAliveTimeout = 60_000;
         service.server.on("request", (request: IncomingMessage, response: ServerResponse) => {
-            void this.#serveLive(task, service, request, response);
+            void this.#handleLiveRequest(task, service, request, response);
         });
         await new Promise<void>(resolve => service.server.listen(0, "127.0.0.1", resolve));
         return `127.0.0.1:${(service.server.address() as AddressInfo).port}`;
     }
 
-    async #stopServing(task: LiveTask): Promise<void> {
+    async #closeService(task: TaskExecution): Promise<void> {
         const service = this.#services.get(task);
         if (service === undefined) {
             return;
@@ -258,9 +260,12 @@
         });
     }
 
-    /** Answers after `milliseconds` with `bytes` bytes that depend on the request's id. */
-    async #serveLive(
-        task: LiveTask,
+    /**
+     * Responds after `milliseconds` with the request's ID and body and `bytes` bytes of repeated ID. The query may also set
+     * `status`, and `cut` truncates the response.
+     */
+    async #handleLiveRequest(
+        task: TaskExecution,
         service: { inFlight: number; },
         request: IncomingMessage,
         response: ServerResponse,
@@ -268,7 +273,7 @@
         const id = String(request.headers["pebbledale-request-id"]);
         if (service.inFlight >= task.grant.slots) {
             request.resume();
-            response.writeHead(statusBusy, { "pebbledale-refused": "busy" }).end();
+            response.writeHead(statusServiceUnavailable, { "pebbledale-refused": "busy" }).end();
             return;
         }
         service.inFlight++;
@@ -301,9 +306,9 @@
     }
 }
 
-const describeRunning = (task: LiveTask): RunningTask => ({
+const toRunningTask = (task: TaskExecution): RunningTask => ({
     task: task.task,
     attempt: task.attempt,
-    usage: usageOf(task, performance.now()),
+    usage: reportedUsage(task, performance.now()),
     serviceAddress: task.serviceAddress,
 });
