--- a/eslint.config.js
+++ b/eslint.config.js
@@ -46,7 +46,7 @@
                 checkConstructors: false,
             }],
             "jsdoc/informative-docs": "error",
-            "no-warning-comments": ["warn", {
+            "no-warning-comments": ["error", {
                 terms: ["see the module's comment", "see the class's comment"],
                 location: "start",
                 decoration: ["*"],
