--- a/packages/entry/src/following/follow-loop.ts
+++ b/packages/entry/src/following/follow-loop.ts
@@ -101,7 +101,7 @@
         return this.#withTimeout(wait + this.#slack, signal, async linked => {
             const sentAt = this.options.clock.monotonic();
             const update = await source.changes(cursor, wait, linked);
-            this.#recordAnswerTime(this.options.clock.monotonic() - sentAt - wait);
+            this.#recordResponseTime(this.options.clock.monotonic() - sentAt - wait);
             return update;
         });
     }
@@ -112,9 +112,9 @@
     }
 
     /** Ignores answers that arrive before the wait is over: they carry changes and say nothing about the store's response time. */
-    #recordAnswerTime(took: Milliseconds): void {
-        if (took >= 0) {
-            this.#responseTimes.recordResponse(took);
+    #recordResponseTime(responseTime: Milliseconds): void {
+        if (responseTime >= 0) {
+            this.#responseTimes.recordResponse(responseTime);
         }
     }
 
--- a/packages/entry/src/front-end/job-service.ts
+++ b/packages/entry/src/front-end/job-service.ts
@@ -14,7 +14,7 @@
 export class JobService {
     /** By the monotonic clock; set when the process stops. */
     #answerDeadline: Milliseconds = Infinity;
-    readonly #pending = new Map<QueueName, { readonly at: Milliseconds; readonly count: number; }>();
+    readonly #pendingCounts = new Map<QueueName, { readonly at: Milliseconds; readonly count: number; }>();
 
     constructor(
         private readonly owner: OwnerAccess,
@@ -23,8 +23,8 @@
     ) {}
 
     /** Has requests answered by a moment of the monotonic clock, whatever their own deadlines. Called when the process stops. */
-    limitAnswersTo(moment: Milliseconds): void {
-        this.#answerDeadline = moment;
+    limitAnswersTo(deadline: Milliseconds): void {
+        this.#answerDeadline = deadline;
     }
 
     /** `within`: time until the caller's deadline. */
@@ -43,15 +43,15 @@
     /** Counts the waiting jobs of a queue; the count may be up to {@link pendingCountLifetime} old. */
     async pending(queue: QueueName, within: Milliseconds): Promise<JobAnswer> {
         const now = this.clock.monotonic();
-        const known = this.#pending.get(queue);
+        const known = this.#pendingCounts.get(queue);
         if (known !== undefined && now - known.at < pendingCountLifetime) {
-            const remembered: JobAnswer = { kind: "pending", count: known.count };
-            this.log.logAnswer({ kind: "pending", queue }, remembered, now);
-            return remembered;
+            const cachedAnswer: JobAnswer = { kind: "pending", count: known.count };
+            this.log.logAnswer({ kind: "pending", queue }, cachedAnswer, now);
+            return cachedAnswer;
         }
         const answer = await this.#ask({ kind: "pending", queue }, within);
         if (answer.kind === "pending") {
-            this.#pending.set(queue, { at: now, count: answer.count });
+            this.#pendingCounts.set(queue, { at: now, count: answer.count });
         }
         return answer;
     }
--- a/packages/entry/src/links/vm-session.ts
+++ b/packages/entry/src/links/vm-session.ts
@@ -208,7 +208,7 @@
                 this.#links.acknowledge(message.worker, message.through);
                 break;
             case "ask":
-                void this.#ask(message);
+                void this.#askAdviceService(message);
                 break;
             case "reply":
                 this.#pendingRequests.get(message.request)?.resolve(message.reply);
@@ -274,7 +274,7 @@
         }
     }
 
-    async #ask({ question, step, workers, duration }: AdviceQuestionMessage): Promise<void> {
+    async #askAdviceService({ question, step, workers, duration }: AdviceQuestionMessage): Promise<void> {
         const channel = this.#channel;
         const { signal } = createAbortController();
         try {
--- a/packages/entry/src/ownership/candidate.ts
+++ b/packages/entry/src/ownership/candidate.ts
@@ -331,12 +331,12 @@
             await session.run();
         }
         finally {
-            const ownedCell = this.#session !== undefined;
+            const hasOwnedCell = this.#session !== undefined;
             this.#session = undefined;
             const cause: unknown = lost.signal.reason;
             lost.abort();
             stop.removeEventListener("abort", onStop);
-            if (ownedCell) {
+            if (hasOwnedCell) {
                 logger.log(logEvents.ownershipEnded, {
                     cause: cause instanceof JournalFencedError ? cause.message : String(cause),
                 });
--- a/packages/entry/test/explorer/mutations.ts
+++ b/packages/entry/test/explorer/mutations.ts
@@ -19,7 +19,7 @@
 const polls = "cell/dist/src/runs/worker-poll-reconciler.js";
 const link = "entry/dist/src/links/worker-link.js";
 const runs = "cell/dist/src/runs/run-lifecycle.js";
-const turns = "entry/dist/src/owner/turn-runner.js";
+const turnRunner = "entry/dist/src/owner/turn-runner.js";
 const reportHandler = "entry/dist/src/owner/worker-report-handler.js";
 const assignments = "entry/dist/src/owner/assignments.js";
 
@@ -35,7 +35,7 @@
     {
         name: "ends are acknowledged before they are kept",
         rule: "done once",
-        file: turns,
+        file: turnRunner,
         from: "await this.#committed;",
         to: "",
     },
--- a/packages/entry/test/following/follow-loop.test.ts
+++ b/packages/entry/test/following/follow-loop.test.ts
@@ -23,7 +23,7 @@
     calls = 0;
     answerTime: Milliseconds = 4;
     /** Whether a call ends when it is abandoned. */
-    heedsSignals = true;
+    honoursSignals = true;
     /** Number of answers that were applied. */
     appliedCount = 0;
     readonly #hanging: (() => void)[] = [];
@@ -63,7 +63,7 @@
     #hang(signal: AbortSignal): Promise<void> {
         return new Promise((resolve, reject) => {
             this.#hanging.push(resolve);
-            const end = () => this.heedsSignals ? reject(signal.reason as Error) : undefined;
+            const end = () => this.honoursSignals ? reject(signal.reason as Error) : undefined;
             signal.addEventListener("abort", end);
             if (signal.aborted) {
                 end();
@@ -91,7 +91,7 @@
 };
 
 /** Advances time and returns the largest age of the copy meanwhile. */
-const oldestIn = async (clock: ManualClock, loop: FollowLoop, length: Milliseconds): Promise<Milliseconds> => {
+const maxAgeDuring = async (clock: ManualClock, loop: FollowLoop, length: Milliseconds): Promise<Milliseconds> => {
     let oldest = 0;
     for (let elapsed = 0; elapsed < length; elapsed += 10) {
         await advanceTime(clock, 10);
@@ -115,7 +115,7 @@
             const { clock, store, loop, stop, failures } = begin();
             await advanceTime(clock, at);
             store.silenceOpenConnections();
-            expect(await oldestIn(clock, loop, 3_000)).toBeLessThan(requiredFreshness);
+            expect(await maxAgeDuring(clock, loop, 3_000)).toBeLessThan(requiredFreshness);
             expect(failures.length).toEqual(1);
             stop.abort();
         }
@@ -126,7 +126,7 @@
         const { clock, store, loop, stop } = begin();
         let oldest = 0;
         for (let faults = 0; faults < 8; faults++) {
-            oldest = Math.max(oldest, await oldestIn(clock, loop, 1_700 + faults * 130));
+            oldest = Math.max(oldest, await maxAgeDuring(clock, loop, 1_700 + faults * 130));
             store.silenceOpenConnections();
         }
         expect(oldest).toBeLessThan(maxStaleness(limits));
@@ -136,17 +136,17 @@
     it("is followed with one call a second while nothing changes", async () => {
         const { clock, store, stop } = begin();
         await advanceTime(clock, 20_000);
-        const readings = 1;
-        expect(store.calls).toEqual(readings + 20);
+        const readAllCalls = 1;
+        expect(store.calls).toEqual(readAllCalls + 20);
         stop.abort();
     });
 
     it("abandons a call that ignores its signal, such as one through another VM, and discards a late result", async () => {
         const { clock, store, loop, stop } = begin();
-        store.heedsSignals = false;
+        store.honoursSignals = false;
         await advanceTime(clock, 700);
         store.silenceOpenConnections();
-        expect(await oldestIn(clock, loop, 3_000)).toBeLessThan(requiredFreshness);
+        expect(await maxAgeDuring(clock, loop, 3_000)).toBeLessThan(requiredFreshness);
         const appliedCount = store.appliedCount;
         store.answerHanging();
         await advanceTime(clock, 100);
@@ -159,7 +159,7 @@
         await advanceTime(clock, 3_000);
         store.answerTime = 600;
         // The first call and the retry are abandoned before their answers arrive; the next one waits twice as long.
-        expect(await oldestIn(clock, loop, 10_000)).toBeLessThan(maxStaleness(limits) + 2 * store.answerTime);
+        expect(await maxAgeDuring(clock, loop, 10_000)).toBeLessThan(maxStaleness(limits) + 2 * store.answerTime);
         stop.abort();
     });
 });
--- a/packages/entry/test/front-end/caller-authentication.test.ts
+++ b/packages/entry/test/front-end/caller-authentication.test.ts
@@ -31,7 +31,7 @@
     });
 
     it("is refused when it is missing, repeated, malformed, of another scheme, or unknown", () => {
-        const heads = [
+        const invalidHeaders = [
             [],
             ["Bearer k3y-of.north", "Bearer k3y-of.north"],
             ["Bearer "],
@@ -43,7 +43,7 @@
             [`Bearer ${"k".repeat(16_000)}`],
             ["Bearer kéy"],
         ];
-        expect(heads.map(shown => check(shown).kind)).toEqual(heads.map(() => "refused"));
+        expect(invalidHeaders.map(shown => check(shown).kind)).toEqual(invalidHeaders.map(() => "refused"));
     });
 
     it("that is unknown is not refused for good while the configuration is outdated", () => {
--- a/packages/entry/test/membership/vm-registration.test.ts
+++ b/packages/entry/test/membership/vm-registration.test.ts
@@ -16,23 +16,23 @@
 class OneKeyStore {
     entry: KeyValue | undefined;
     lease = "lease-1" as PlatformLeaseId;
-    isLeaseOver = false;
+    isLeaseExpired = false;
     losesNextAnswer = false;
     /** Whether new calls never get an answer. */
     isSilent = false;
 
     loseLease(): void {
         this.entry = undefined;
-        this.isLeaseOver = true;
+        this.isLeaseExpired = true;
     }
 
     async grantLease(): Promise<PlatformLeaseId> {
-        this.isLeaseOver = false;
+        this.isLeaseExpired = false;
         return this.lease;
     }
 
     async renewLease(): Promise<boolean> {
-        return this.isSilent ? new Promise(() => undefined) : !this.isLeaseOver;
+        return this.isSilent ? new Promise(() => undefined) : !this.isLeaseExpired;
     }
 
     async revokeLease(): Promise<void> {
@@ -105,8 +105,8 @@
 };
 
 describe("a VM that stops while the store is silent", () => {
-    for (const isBusy of [false, true]) {
-        it(`does not wait long for the revocation of its lease${isBusy ? ", nor for a pending renewal" : ""}`, async () => {
+    for (const hasPendingRenewal of [false, true]) {
+        it(`does not wait long for the revocation of its lease${hasPendingRenewal ? ", nor for a pending renewal" : ""}`, async () => {
             const store = new OneKeyStore();
             const clock = new ManualClock();
             const logger = new RecordingLogger();
@@ -121,7 +121,7 @@
             const watched = watchEnd(signal => registration.run(signal));
             await settle();
             store.isSilent = true;
-            await advanceTime(clock, isBusy ? 1_100 : 100);
+            await advanceTime(clock, hasPendingRenewal ? 1_100 : 100);
             watched.stop();
             await advanceTime(clock, 500);
             expect(watched.hasEnded).toEqual(true);
--- a/packages/entry/test/store-relay/relayed-store.test.ts
+++ b/packages/entry/test/store-relay/relayed-store.test.ts
@@ -51,8 +51,8 @@
     });
 
     it("is made through another VM at once when the store rejects it", async () => {
-        const turnedAway = () => Promise.reject(new PlatformUnavailableError("status 503"));
-        const { call } = make(turnedAway, () => Promise.resolve(swapped));
+        const rejectCall = () => Promise.reject(new PlatformUnavailableError("status 503"));
+        const { call } = make(rejectCall, () => Promise.resolve(swapped));
         expect(await call()).toEqual(swapped);
     });
 
--- a/packages/entry/test/support/simulation/simulated-worker.ts
+++ b/packages/entry/test/support/simulation/simulated-worker.ts
@@ -38,7 +38,7 @@
     leaseUntil: WorkerTime = 0;
     readonly runs: Run[] = [];
     ended: { readonly listed: EndedRun; readonly record: RecordedRun; }[] = [];
-    count = 0;
+    endCount = 0;
     /** By task, the highest run that ended here. */
     readonly highestEnded = new Map<TaskAddress, number>();
 
@@ -59,13 +59,13 @@
 }
 
 /** Wall-clock time at which simulations begin, in Unix milliseconds. */
-const startOfTime = 1_700_000_000_000;
+const simulationStartTime = 1_700_000_000_000;
 
 /** Implements the workers' protocol exactly, in virtual time, and may restart under its id. */
 export class SimulatedWorker {
     #incarnation: IncarnationState | undefined;
     #incarnationCount = 0;
-    #reportedNames = 0;
+    #reportedIncarnationCount = 0;
     /** Peak of the thousandths of a processor that its runs requested together. */
     peakProcessorThousandths = 0;
     /** Whether each answer reports another incarnation, as a faulty worker or one in a crash loop does. */
@@ -108,7 +108,7 @@
         this.address = address;
         const now = this.clock.monotonic();
         this.#incarnation = new IncarnationState(
-            workerIncarnation(startOfTime + now + clockStep),
+            workerIncarnation(simulationStartTime + now + clockStep),
             ++this.#incarnationCount,
             now,
         );
@@ -140,7 +140,7 @@
 
     /** Undefined when the token is outdated. */
     poll({ token, forgetThrough, leaseUntil }: PollRequest): PollResult | undefined {
-        const incarnation = this.#present;
+        const incarnation = this.#currentIncarnation;
         if (token < incarnation.token) {
             return undefined;
         }
@@ -151,7 +151,7 @@
         );
         incarnation.ended = incarnation.ended.filter(({ listed }) => listed.number > forgetThrough);
         return {
-            ...(this.namesIncarnations ? { life: this.#nameOf(incarnation) } : {}),
+            ...(this.namesIncarnations ? { life: this.#reportedIncarnationOf(incarnation) } : {}),
             clock: this.#clockOf(incarnation),
             running: incarnation.runs.map(({ record: { task, run } }) => ({
                 task,
@@ -165,7 +165,7 @@
     }
 
     startRun({ task, run, payload, token, leaseUntil }: StartOrder, sent: SentCall): OrderAnswer {
-        const incarnation = this.#present;
+        const incarnation = this.#currentIncarnation;
         const clock = this.#clockOf(incarnation);
         if (token < incarnation.token) {
             return { kind: "refused", refusal: OrderRefusal.Fenced, clock };
@@ -203,7 +203,7 @@
     }
 
     stopRun({ task, run, token }: StopOrder): OrderAnswer {
-        const incarnation = this.#present;
+        const incarnation = this.#currentIncarnation;
         const clock = this.#clockOf(incarnation);
         if (token < incarnation.token) {
             return { kind: "refused", refusal: OrderRefusal.Fenced, clock };
@@ -236,9 +236,9 @@
         }
     }
 
-    #nameOf(incarnation: IncarnationState): WorkerIncarnation {
+    #reportedIncarnationOf(incarnation: IncarnationState): WorkerIncarnation {
         return this.changesIncarnationEachAnswer
-            ? workerIncarnation(incarnation.born + ++this.#reportedNames)
+            ? workerIncarnation(incarnation.born + ++this.#reportedIncarnationCount)
             : incarnation.born;
     }
 
@@ -276,7 +276,7 @@
         return present.length < members && now - record.startedAt >= gangWait ? RunEnd.Alone : undefined;
     }
 
-    get #present(): IncarnationState {
+    get #currentIncarnation(): IncarnationState {
         if (this.#incarnation === undefined) {
             throw new Error("a worker that is down was called");
         }
@@ -298,10 +298,10 @@
         record.endedAt = this.clock.monotonic();
         record.end = end;
         incarnation.highestEnded.set(record.task, Math.max(record.run, incarnation.highestEnded.get(record.task) ?? 0));
-        incarnation.count++;
+        incarnation.endCount++;
         incarnation.ended.push({
             record,
-            listed: { number: incarnation.count, task: record.task, run: record.run, end, checkpoint: "" },
+            listed: { number: incarnation.endCount, task: record.task, run: record.run, end, checkpoint: "" },
         });
     }
 }
--- a/packages/entry/test/worker-restarts/restarts.test.ts
+++ b/packages/entry/test/worker-restarts/restarts.test.ts
@@ -13,7 +13,7 @@
 };
 
 /** A worker that has finished tasks and received the acknowledgements. */
-const beginWithDoneWork = async (): Promise<void> => {
+const beginWithAcknowledgedTasks = async (): Promise<void> => {
     await begin({ workers: 1 });
     await world.submit("before", "done 100", 8);
     await world.advanceUntil(() => world.stateOf("before") === "completed", 2_000);
@@ -25,7 +25,7 @@
 
     it("is asked for its ends from the first on, however short it was away, and its finished tasks are not repeated", async () => {
         for (const away of [0, 300]) {
-            await beginWithDoneWork();
+            await beginWithAcknowledgedTasks();
             await world.restart(world.workers[0], away);
             await world.submit("after", "done 600", 2);
             const isDone = await world.advanceUntil(() => world.stateOf("after") === "completed", 10_000);
@@ -145,7 +145,7 @@
     });
 
     it("is treated alike by an owner that takes over while it is away", async () => {
-        await beginWithDoneWork();
+        await beginWithAcknowledgedTasks();
         await world.submit("across", "done 2000", 2);
         world.workers[0].crash();
         await world.advance(50);
