--- a/packages/entry/src/entry-process.ts
+++ b/packages/entry/src/entry-process.ts
@@ -167,8 +167,8 @@
                 + priorLeaseMargin,
             ownerStatus: () => ({
                 ownerSilence: this.#session.hasOwner ? this.#session.ownerSilence : Infinity,
-                // Left out on purpose: an owner that was only paused would go on denying jobs that its successor accepted, and
-                // renewing its lease does not show it that the owner's key has changed hands.
+                // Not reported on purpose: if a paused owner were replaced because of its silence, it would deny jobs that its
+                // successor has accepted, because renewing its lease does not reveal that another VM holds the owner's key.
                 lastOwnerSilence: undefined,
                 terminatedOwner: this.#terminatedOwner,
                 isTakeoverRequested: this.#isTakeoverRequested,
@@ -199,7 +199,7 @@
         return this.#configuration.queues;
     }
 
-    /** Whether the store confirmed the configuration within the time that following it takes at most. */
+    /** Whether the store has confirmed the configuration within the time of {@link maxStaleness}. */
     get isConfigurationCurrent(): boolean {
         return (this.#configuration.age ?? Infinity) <= maxStaleness(this.#followLimits);
     }
--- a/packages/entry/src/following/limits.ts
+++ b/packages/entry/src/following/limits.ts
@@ -4,11 +4,11 @@
 
 /** Required freshness of what a VM knows, as the operators set it. */
 export interface FreshnessBounds {
-    /** No task is started on a worker later than this after the worker announced that it drains. */
+    /** Maximum time from the announcement that a worker drains to the last start of a task on it. */
     readonly drainWithin: Milliseconds;
-    /** A configuration is in force this long after the store accepted it. */
+    /** Maximum time from the acceptance of a configuration by the store until it is in force. */
     readonly configurationWithin: Milliseconds;
-    /** VMs reach each other again this long after a fault of their connections. */
+    /** Maximum time until VMs reach each other again after a network fault between them. */
     readonly contactWithin: Milliseconds;
 }
 
--- a/packages/entry/src/following/store-probe.ts
+++ b/packages/entry/src/following/store-probe.ts
@@ -63,7 +63,7 @@
                         [...this.#waiters].forEach(reportRecovery => reportRecovery());
                     }
                 };
-                // A failed call needs no handling: it shows once a later one is answered.
+                // A failed call needs no handling: it is detected once a later one is answered.
                 this.options.call().then(recordAnswer, () => undefined);
             }
             await this.options.clock.sleep(probeInterval);
--- a/packages/entry/src/front-end/caller-authentication.ts
+++ b/packages/entry/src/front-end/caller-authentication.ts
@@ -20,7 +20,7 @@
  * Authenticates a request to a queue.
  *
  * `shown`: values of its `Authorization` headers. `isCurrent`: whether the configuration is up to date. If not, an unknown key may
- * belong to a newer version and is not refused for good.
+ * belong to a newer version and is not refused permanently.
  */
 export const authenticateCaller = (
     { needsKey }: QueueConfiguration,
--- a/packages/entry/src/front-end/job-service.ts
+++ b/packages/entry/src/front-end/job-service.ts
@@ -22,7 +22,7 @@
         private readonly log: RequestLog,
     ) {}
 
-    /** Has requests answered by a moment of the monotonic clock, whatever their own deadlines. Called when the process stops. */
+    /** Sets a deadline by the monotonic clock for the answers to all requests, whatever their own deadlines. Called when the process stops. */
     limitAnswersTo(deadline: Milliseconds): void {
         this.#answerDeadline = deadline;
     }
--- a/packages/entry/src/front-end/request-log.ts
+++ b/packages/entry/src/front-end/request-log.ts
@@ -7,7 +7,7 @@
 
 const maxPathLength = 100;
 
-/** How well an entry VM was in contact with the owner when it answered a caller. */
+/** An entry VM's contact with the owner at the time of an answer to a caller. */
 export interface OwnerContact {
     readonly epoch: number;
     /** Time since the last message from the owner. */
--- a/packages/entry/src/links/constants.ts
+++ b/packages/entry/src/links/constants.ts
@@ -52,7 +52,7 @@
 export const ownerSilenceLimit: Milliseconds = 1_000;
 /**
  * Messages of the owner that are read within this time of a possible suspension may have been sent before it. Longer
- * than the heartbeat interval, so that the second heartbeat counts at the latest.
+ * than the heartbeat interval, so that at the latest the second heartbeat after a suspension counts.
  */
 export const staleMessageWindow: Milliseconds = 300;
 /**
--- a/packages/entry/src/owner/owner-session.ts
+++ b/packages/entry/src/owner/owner-session.ts
@@ -395,7 +395,7 @@
         const reply: OwnerReply = this.#isHandingOver
             ? { kind: "handing-over" }
             : await this.#requestHandler.reply(body);
-        // The front repeats requests with an uncertain outcome at the next owner after a handover.
+        // The front end repeats requests with an uncertain outcome at the next owner after a handover.
         if (!this.#isHandingOver || reply.kind !== "uncertain") {
             link.channel.send({ kind: "reply", request, reply });
         }
--- a/packages/entry/src/owner/worker-report-handler.ts
+++ b/packages/entry/src/owner/worker-report-handler.ts
@@ -73,6 +73,7 @@
         { worker, look, age }: WorkerMessage & { kind: "looked"; },
     ): void {
         const { cell, clock } = this.options;
+        // Only the first poll of a link settles orders that were sent before the link was assigned.
         const settledBefore = assignment.hasPolled ? -Infinity : assignment.assignedAt;
         assignment.hasPolled = true;
         this.#resumeIfSilent(link, worker);
--- a/packages/entry/src/ownership/candidate.ts
+++ b/packages/entry/src/ownership/candidate.ts
@@ -158,7 +158,7 @@
 
     #retryDelayAfter(cause: unknown): Milliseconds {
         if (cause instanceof ClaimAbandonedError) {
-            // By then the faster VM's claim is visible; an earlier attempt would cost three store calls in vain.
+            // By then the faster VM's claim is visible; an earlier attempt would cost three store calls without effect.
             return campaignInterval;
         }
         this.options.logger.log(logEvents.claimFailed, { cause: String(cause) });
--- a/packages/entry/src/ownership/constants.ts
+++ b/packages/entry/src/ownership/constants.ts
@@ -4,8 +4,8 @@
 /** Interval at which a VM checks whether to claim the cell. */
 export const campaignInterval: Milliseconds = 50;
 /**
- * Interval of that check while ownership is stable: events that could change it wake the candidate, and an idle VM
- * wakes seldom.
+ * Interval of that check while ownership is stable: events that could change it wake the candidate, so that an idle VM
+ * rarely wakes.
  */
 export const stableCampaignInterval: Milliseconds = 1_000;
 /** Additional delay of a candidate's claim for each larger VM, which would serve the cell better. */
@@ -15,9 +15,9 @@
  * others within 30 to 50 ms.
  */
 export const equalCandidateDelay: Milliseconds = 50;
-/** While the owner was heard this recently, a missing key is left to it to restore. */
+/** If the owner was heard this recently, candidates leave it to restore its missing key. */
 export const ownerRecentlyHeardWindow: Milliseconds = 600;
-/** An owner that was not heard for this long is suspected. Too short for heartbeats every 250 ms: requires 125 ms. */
+/** An owner that was not heard for this long is suspected. Requires heartbeats every 125 ms; at 250 ms it would be too short. */
 export const ownerSuspicionTimeout: Milliseconds = 400;
 /**
  * An owner that has not sent its first message to a VM within this time of its claim is suspected; starting takes 0.2
@@ -47,7 +47,7 @@
  */
 export const ownerKeyRestoreTimeout: Milliseconds = 1_500;
 /**
- * Candidates wait until no new VM has joined for this long, so that larger ones are seen in a start of the whole cell.
+ * Candidates wait until no new VM has joined for this long, so that they know the larger ones when the whole cell starts.
  * VMs that start together join within 20 to 50 ms of each other.
  */
 export const formationQuietTime: Milliseconds = 60;
--- a/packages/entry/src/peers/vm-dialer.ts
+++ b/packages/entry/src/peers/vm-dialer.ts
@@ -34,10 +34,10 @@
  * the VM is reachable. In milliseconds.
  */
 const redialAfter: Milliseconds = 600;
-/** Timeout of that dial, in milliseconds. */
+/** Timeout of dialling a silent connected VM again, in milliseconds. */
 const redialTimeout: Milliseconds = 350;
 /**
- * Grace period after that dial, in milliseconds, in which a VM that was only slow is heard on its former connection.
+ * Grace period after such a dial, in milliseconds, in which a VM that was only slow is heard on its former connection.
  */
 const redialGrace: Milliseconds = 30;
 /** A VM that reaches a smaller share of the others than this is isolated and should not own the cell. */
@@ -76,11 +76,11 @@
     }
 
     /**
-     * Whether this VM has reached enough of the others and no longer does. One that never did may own the cell for lack
-     * of another.
+     * Whether this VM has reached enough of the others and no longer does. One that never did may own the cell, as
+     * no other VM may be able to.
      */
     get hasBecomeIsolated(): boolean {
-        // VMs that have just joined and were not dialled yet are left out: in a start of the whole cell they are the
+        // VMs that have just joined and were not dialled yet are left out: when the whole cell starts they are the
         // majority.
         const dialled = this.#otherVms().filter(vm => this.#known.get(vm.name)?.isReachable !== undefined);
         const reachesEnough = this.#reachesEnoughOf(dialled);
--- a/packages/entry/src/protocol/messages.ts
+++ b/packages/entry/src/protocol/messages.ts
@@ -59,7 +59,7 @@
     readonly worker: WorkerId;
 }
 
-/** An order to be forwarded to a worker. */
+/** An order that the VM forwards to a worker. */
 export interface CommandMessage {
     readonly kind: "command";
     readonly command: WorkerCommand;
@@ -284,7 +284,7 @@
     | OwnerHeardMessage
     | HeartbeatMessage;
 
-/** A request that a front passes to the owner for a caller. */
+/** A caller's request as a front end forwards it to the owner. */
 export type OwnerRequest =
     | { readonly kind: "submit"; readonly definition: JobDefinition; }
     | { readonly kind: "state"; readonly job: JobId; readonly organisation?: OrganisationName | undefined; }
@@ -295,7 +295,7 @@
 export enum RetryLaterReason {
     /** The store has not confirmed the journal's last write for too long. */
     JournalStalled = "journal-stalled",
-    /** The front has a newer configuration than the owner. */
+    /** The front end has a newer configuration than the owner. */
     QueueUnknown = "queue-unknown",
     /** The job was submitted, and its record is not committed yet. */
     NotCommittedYet = "not-kept-yet",
@@ -303,7 +303,7 @@
     OwnerUnconfirmed = "owner-unconfirmed",
 }
 
-/** Reply of the owner to a front's request. */
+/** Reply of the owner to a request of a front end. */
 export type OwnerReply =
     | { readonly kind: "accepted"; }
     | { readonly kind: "cancelled"; }
--- a/packages/entry/src/settings/types.ts
+++ b/packages/entry/src/settings/types.ts
@@ -12,7 +12,7 @@
     readonly gangWait: Milliseconds;
     /** How long one VM is down for upkeep. */
     readonly upkeepTime: Milliseconds;
-    /** Two owners that both order upkeep must not alternate within this time. */
+    /** How long a new owner waits before it orders upkeep, as orders of the former owner may still be in effect. */
     readonly orderTurn: Milliseconds;
 }
 
--- a/packages/entry/src/store-relay/relayed-store.ts
+++ b/packages/entry/src/store-relay/relayed-store.ts
@@ -36,12 +36,12 @@
  */
 const minRelayDelay: Milliseconds = 250;
 const maxRelayDelay: Milliseconds = 600;
-/** Time without direct calls after only another VM could make a call. It doubles each time. */
+/** How long direct calls are avoided after only another VM could make a call. Doubles each time. */
 const initialDirectBackoff: Milliseconds = 1_000;
 const maxDirectBackoff: Milliseconds = 4_000;
 /** Delay before each further VM is asked, as the store may be unreachable from the first one too. */
 const nextRelayDelay: Milliseconds = 80;
-/** Most VMs that are asked for one call. */
+/** Maximum number of VMs that are asked for one call. */
 const maxRelays = 3;
 /** Longest wait for changes in one call of another VM. */
 const maxRelayedWait: Milliseconds = 2_000;
--- a/packages/entry/test/explorer/explore-until-found.ts
+++ b/packages/entry/test/explorer/explore-until-found.ts
@@ -6,7 +6,7 @@
 /** Time for a scenario in the first round, in milliseconds; it grows with each round. */
 const scenarioTime = 3_000;
 const seed = 1;
-/** Most violations that are reported. */
+/** Maximum number of violations that are reported. */
 const maxReported = 5;
 
 /** Result of the search; printed as JSON. */
--- a/packages/entry/test/explorer/explorer.test.ts
+++ b/packages/entry/test/explorer/explorer.test.ts
@@ -21,9 +21,9 @@
 
 describe("a walk that once broke a rule", () => {
     for (const file of readdirSync(folder).sort()) {
-        const { scenario: name, deviations, story } = readWalk(file);
+        const { scenario: scenarioName, deviations, story } = readWalk(file);
         it(`breaks none: ${file}`, async () => {
-            const scenario = scenarios.find(other => other.name === name)!;
+            const scenario = scenarios.find(other => other.name === scenarioName)!;
             const walk = await playWalk(scenario, deviations);
             expect(walk.story).toEqual([...story]);
             expect(walk.broken).toEqual([]);
--- a/packages/entry/test/explorer/fault-injector.ts
+++ b/packages/entry/test/explorer/fault-injector.ts
@@ -93,7 +93,7 @@
         { readonly born: SimulatedWorker["born"]; readonly address: string; }
     >;
 
-    /** From now on outcomes of calls are chosen. */
+    /** Begins to choose the outcomes of calls; before, all calls are delivered. */
     begin(): void {
         this.#isArmed = true;
     }
@@ -118,7 +118,7 @@
         }
     }
 
-    /** Executes what is due. Workers that a task crashed are restarted. */
+    /** Executes the actions that are due, and restarts workers that a task crashed. */
     #tick(): void {
         const now = this.world.clock.monotonic();
         for (const worker of this.world.workers) {
@@ -150,7 +150,7 @@
         });
     }
 
-    /** Crashes a worker for good. */
+    /** Crashes a worker permanently, and adds another in its place. */
     removeWorker(worker: SimulatedWorker): void {
         worker.crash();
         this.#removed.add(worker);
@@ -172,7 +172,7 @@
         this.#disruptions.set(id, { until: this.world.clock.monotonic() + disruptionTime, outcome });
     }
 
-    /** Publishes a worker's first entry, which is outdated, and after a while its present one. */
+    /** Publishes a worker's first entry, which is outdated, and after a while its current one. */
     publishFirstEntry(worker: SimulatedWorker): void {
         this.world.publishEntry(worker, this.#firstEntries.get(worker));
         this.#after(disruptionTime, () => this.world.publishEntry(worker));
--- a/packages/entry/test/explorer/scenarios.ts
+++ b/packages/entry/test/explorer/scenarios.ts
@@ -20,7 +20,7 @@
     readonly jobs: readonly ScenarioJob[];
 }
 
-/** Size of a task of which a worker has room for one only. */
+/** Size of a task of which a worker can run only one at a time. */
 const wide = { processorThousandths: 5_000, memoryMebibytes: 1_024, accelerators: 0 };
 
 const plain = (name: string, at: Milliseconds, tasks = 2): ScenarioJob => ({ name, payload: "done 300", tasks, at });
--- a/packages/entry/test/following/follow-loop.test.ts
+++ b/packages/entry/test/following/follow-loop.test.ts
@@ -212,7 +212,7 @@
         });
     }
 
-    it("does not abandon a page that takes long", async () => {
+    it("does not abandon a read of the whole state that takes long", async () => {
         const { clock, loop, stop, calls } = begin({ backAt: 0, answerTime: 1_200 });
         await advanceTime(clock, 1_300);
         expect(loop.age !== undefined).toEqual(true);
--- a/packages/entry/test/front-end/caller-authentication.test.ts
+++ b/packages/entry/test/front-end/caller-authentication.test.ts
@@ -16,13 +16,13 @@
     });
 const [open] = configuration.queues;
 const closed = { ...open, needsKey: true };
-const check = (shown: readonly string[], isCurrent = true) =>
-    authenticateCaller(closed, directoryOf("k3y-of.north"), shown, isCurrent);
+const check = (headers: readonly string[], isCurrent = true) =>
+    authenticateCaller(closed, directoryOf("k3y-of.north"), headers, isCurrent);
 
 describe("a caller's key", () => {
     it("identifies its organisation, in any spelling of the scheme", () => {
         const allowed = { kind: "allowed", organisation: north } as const;
-        expect(["Bearer k3y-of.north", "bearer k3y-of.north", "BEARER  k3y-of.north "].map(head => check([head])))
+        expect(["Bearer k3y-of.north", "bearer k3y-of.north", "BEARER  k3y-of.north "].map(header => check([header])))
             .toEqual([allowed, allowed, allowed]);
     });
 
@@ -43,10 +43,10 @@
             [`Bearer ${"k".repeat(16_000)}`],
             ["Bearer kéy"],
         ];
-        expect(invalidHeaders.map(shown => check(shown).kind)).toEqual(invalidHeaders.map(() => "refused"));
+        expect(invalidHeaders.map(headers => check(headers).kind)).toEqual(invalidHeaders.map(() => "refused"));
     });
 
-    it("that is unknown is not refused for good while the configuration is outdated", () => {
+    it("that is unknown is not refused permanently while the configuration is outdated", () => {
         expect([check(["Bearer new"], false).kind, check(["Bearer new"], false).kind]).toEqual([
             "unsure",
             "unsure",
@@ -63,6 +63,6 @@
     });
 
     it("of any form is refused unless it is known", () => {
-        fc.assert(fc.property(fc.string(), head => check([head]).kind === "refused"));
+        fc.assert(fc.property(fc.string(), header => check([header]).kind === "refused"));
     });
 });
--- a/packages/entry/test/front-end/job-service.test.ts
+++ b/packages/entry/test/front-end/job-service.test.ts
@@ -25,8 +25,8 @@
         waitForOwner: () => Promise.resolve(),
     };
     const clock = new ManualClock();
-    const { log, logger: kept, metrics } = makeRequestLog(clock);
-    return { asked, service: new JobService(access, clock, log), logged: kept.logged, metrics };
+    const { log, logger, metrics } = makeRequestLog(clock);
+    return { asked, service: new JobService(access, clock, log), logged: logger.logged, metrics };
 };
 
 describe("the job service", () => {
@@ -46,12 +46,12 @@
         expect(asked).toEqual([]);
     });
 
-    it("uses the rest of a caller's time: 0.1 s is enough to persist a record", async () => {
+    it("sends a job when 0.1 s of the caller's time is left, which is enough to persist its record", async () => {
         const { service } = accessOf({ kind: "accepted" });
         expect((await service.submit(definition, 100)).kind).toEqual("accepted");
     });
 
-    it("answers requests that arrive while its VM stops before the process ends", async () => {
+    it("answers requests before the process ends, even if they arrive while its VM is stopping", async () => {
         const clock = new ManualClock();
         const access: OwnerAccess = {
             hasOwner: () => true,
--- a/packages/entry/test/membership/vm-registration.test.ts
+++ b/packages/entry/test/membership/vm-registration.test.ts
@@ -96,7 +96,7 @@
     });
 });
 
-/** Runs until `stop` is called, and tells whether the run has ended. */
+/** Starts a run that is asked to stop by `stop`; `hasEnded` tells whether it has ended. */
 const watchEnd = (run: (signal: AbortSignal) => Promise<void>) => {
     const stop = new AbortController();
     const watched = { stop: () => stop.abort(), hasEnded: false };
@@ -158,7 +158,7 @@
             leaseLength: 1_000,
         });
 
-    it("is won when the first answer was lost and the second attempt finds its own value", async () => {
+    it("is claimed when the first answer was lost and the second attempt finds its own value", async () => {
         const store = new OneKeyStore();
         store.losesNextAnswer = true;
         await expect(make(store).claim(absentVersion)).toBeRejected();
@@ -187,7 +187,7 @@
         stop.abort();
     });
 
-    it("is lost to another process", async () => {
+    it("is not claimed while another process has it", async () => {
         const store = new OneKeyStore();
         store.entry = { key: "cell/owner", value: "other", version: 3 as KeyVersion };
         expect(await make(store).claim(absentVersion)).toEqual(false);
--- a/packages/entry/test/owner/stop-without-store.test.ts
+++ b/packages/entry/test/owner/stop-without-store.test.ts
@@ -56,15 +56,13 @@
 
 describe("the stop times of a VM", () => {
     it("allow two readiness checks before new connections are refused, and end before the process is killed", () => {
-        const { stopAcceptingAfter: closesAfter, answerWithin: answersWithin, exitWithin: endsWithin } =
-            shutdownTimesOf(6_000);
-        expect(closesAfter > 2_000 && closesAfter < answersWithin).toEqual(true);
-        expect(answersWithin < endsWithin && endsWithin < 6_000).toEqual(true);
+        const { stopAcceptingAfter, answerWithin, exitWithin } = shutdownTimesOf(6_000);
+        expect(stopAcceptingAfter > 2_000 && stopAcceptingAfter < answerWithin).toEqual(true);
+        expect(answerWithin < exitWithin && exitWithin < 6_000).toEqual(true);
     });
 
     it("keep their order when little time is given", () => {
-        const { stopAcceptingAfter: closesAfter, answerWithin: answersWithin, exitWithin: endsWithin } =
-            shutdownTimesOf(2_000);
-        expect(closesAfter < answersWithin && answersWithin < endsWithin).toEqual(true);
+        const { stopAcceptingAfter, answerWithin, exitWithin } = shutdownTimesOf(2_000);
+        expect(stopAcceptingAfter < answerWithin && answerWithin < exitWithin).toEqual(true);
     });
 });
--- a/packages/entry/test/ownership/campaign.test.ts
+++ b/packages/entry/test/ownership/campaign.test.ts
@@ -65,7 +65,7 @@
         expect(reasonToClaim(input({ view: viewOf(owner, "a", "b") }))).toEqual(undefined);
     });
 
-    it("by the passing of time alone only when there is no owner or it may be silent", () => {
+    it("through the passage of time alone only when there is no owner or the owner may be silent", () => {
         const view = viewOf(owner, "a", "b");
         expect([
             isOwnershipStable(input({ view })),
--- a/packages/entry/test/support/observation.ts
+++ b/packages/entry/test/support/observation.ts
@@ -23,5 +23,5 @@
     const logger = new RecordingLogger();
     const metrics = new EntryMetrics();
     const owner = () => ({ epoch: 7, silence: 120 });
-    return { log: new RequestLog({ logger, metrics, clock, owner }), logger: logger, metrics };
+    return { log: new RequestLog({ logger, metrics, clock, owner }), logger, metrics };
 };
--- a/packages/entry/test/support/simulation/simulated-worker.ts
+++ b/packages/entry/test/support/simulation/simulated-worker.ts
@@ -24,7 +24,7 @@
 /** Longest lease that a worker accepts. */
 export const longestLease: Milliseconds = 6_000;
 
-/** Time after which a gang member ends alone when the others have not started. */
+/** Time after which a gang member ends as `alone` when the others have not started. */
 const gangWait: Milliseconds = 3_000;
 
 interface Run {
@@ -87,17 +87,17 @@
         return this.#incarnation !== undefined;
     }
 
-    /** The present incarnation as reported; undefined while it is down or where incarnations are not reported. */
+    /** The current incarnation as reported; undefined while it is down or where incarnations are not reported. */
     get born(): WorkerIncarnation | undefined {
         return this.namesIncarnations ? this.#incarnation?.born : undefined;
     }
 
-    /** Highest token seen by the present incarnation. */
+    /** Highest token seen by the current incarnation. */
     get token(): number {
         return this.#incarnation?.token ?? 0;
     }
 
-    /** Number of incarnations so far, including the present one. */
+    /** Number of incarnations so far, including the current one. */
     get incarnationCount(): number {
         return this.#incarnationCount;
     }
--- a/packages/entry/test/support/simulation/simulation-world.ts
+++ b/packages/entry/test/support/simulation/simulation-world.ts
@@ -220,7 +220,7 @@
         return received;
     }
 
-    /** Publishes a worker's entry, with its present incarnation and address or others. */
+    /** Publishes a worker's entry, by default with its current incarnation and address. */
     publishEntry(worker: SimulatedWorker, { address, born }: ListedIncarnation = worker, isDraining = false): void {
         const { id } = worker;
         this.directory.put({
--- a/packages/entry/test/worker-restarts/restarts.test.ts
+++ b/packages/entry/test/worker-restarts/restarts.test.ts
@@ -1,6 +1,6 @@
 /*
  * Guards against lost ends after a worker restarts under its id. Links acknowledged ends to the new incarnation by the numbers of
- * the earlier one, so that finished tasks were considered lost and started again.
+ * the earlier one, so that finished tasks were considered lost and restarted.
  */
 import { logEvents, workerIncarnation } from "@pebbledale/core";
 import { expect } from "earl";
@@ -12,7 +12,7 @@
     world = await SimulationWorld.begin(options);
 };
 
-/** A worker that has finished tasks and received the acknowledgements. */
+/** Begins with a worker that has finished tasks and received the acknowledgements. */
 const beginWithAcknowledgedTasks = async (): Promise<void> => {
     await begin({ workers: 1 });
     await world.submit("before", "done 100", 8);
@@ -23,10 +23,10 @@
 describe("a worker that restarts under its id", () => {
     afterEach(() => world.end());
 
-    it("is asked for its ends from the first on, however short it was away, and its finished tasks are not repeated", async () => {
-        for (const away of [0, 300]) {
+    it("is polled for all ends of its new incarnation, however short its downtime, and its finished tasks are not repeated", async () => {
+        for (const downtime of [0, 300]) {
             await beginWithAcknowledgedTasks();
-            await world.restart(world.workers[0], away);
+            await world.restart(world.workers[0], downtime);
             await world.submit("after", "done 600", 2);
             const isDone = await world.advanceUntil(() => world.stateOf("after") === "completed", 10_000);
             await world.advance(1_000);
@@ -36,8 +36,8 @@
         }
     });
 
-    // The owner once considered finished runs of restarted workers as running, so that gangs waited although there was enough room.
-    it("frees the room of its finished tasks, so that a gang starts as soon as the workers have room for it", async () => {
+    // The owner once considered finished runs of restarted workers as running, so that gangs waited although there was enough capacity.
+    it("frees the resources of its finished tasks, so that a gang starts as soon as the workers have enough capacity", async () => {
         await begin({ workers: 4 });
         await world.submit("before", "done 20", 600);
         await world.advanceUntil(() => world.stateOf("before") === "completed", 10_000);
@@ -75,7 +75,7 @@
         expect(isStartedElsewhere).toEqual(true);
     });
 
-    it("counts as crashed with all its runs: a task that was running each time fails after three starts", async () => {
+    it("counts as a crash for all its runs: a task that was running at three crashes fails", async () => {
         await begin({ workers: 4 });
         world.workers.forEach(worker => worker.tick());
         await world.submit("killer", "crash 10");
@@ -131,9 +131,9 @@
         await world.advance(500);
         const [worker] = world.workers;
         const waits: number[] = [];
-        for (const away of [290, 330, 370, 410]) {
+        for (const downtime of [290, 330, 370, 410]) {
             worker.crash();
-            await world.advance(away);
+            await world.advance(downtime);
             worker.start();
             world.publishEntry(worker);
             const startedAt = world.clock.monotonic();
@@ -144,7 +144,7 @@
         expect(Math.max(...waits)).toBeLessThan(50);
     });
 
-    it("is treated alike by an owner that takes over while it is away", async () => {
+    it("neither loses nor repeats tasks if another owner takes over while it is down", async () => {
         await beginWithAcknowledgedTasks();
         await world.submit("across", "done 2000", 2);
         world.workers[0].crash();
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -86,7 +86,7 @@
     const backgroundTasks = [sharedSettings.run(), owners.run()];
     await untilAborted(stop);
     logger.log(logEvents.processStopping);
-    // Keeps serving while the load balancer takes notice that this gateway is no longer ready.
+    // Keeps serving until the load balancer has noticed that this gateway is no longer ready.
     await clock.sleep(values["listen.drain"]);
     await Promise.race([callerServer.close(), clock.sleep(values["process.stop_within"])]);
     background.abort();
--- a/packages/gateway/src/live/slot-broker.ts
+++ b/packages/gateway/src/live/slot-broker.ts
@@ -1,7 +1,7 @@
 /** Allocation of the slots of one service to the live requests at one gateway. */
 import type { Clock, Milliseconds, SlotGrant, SlotRequest, TaskId, WorkerId } from "@pebbledale/core";
 
-/** A slot of an instance: the right to have one request in flight there until the slot is released. */
+/** A slot of an instance: the right to have one request in flight at that instance until the slot is released. */
 export interface Slot {
     readonly task: TaskId;
     readonly worker: WorkerId;
@@ -68,7 +68,7 @@
 const noOwnerRetryAfter: Milliseconds = 1_000;
 /** Maximum wait of requests that arrive before the first bundle. */
 const maxFirstBundleWait: Milliseconds = 1_500;
-/** Factor by which the peak demand decays from one renewal to the next. */
+/** Factor by which the remembered demand decays from one renewal to the next. */
 const demandDecay = 0.8;
 /** The bundle is no longer renewed after this time without requests. */
 const idleTimeout: Milliseconds = 60_000;
--- a/packages/operator/src/cli/commands/settings-accept.ts
+++ b/packages/operator/src/cli/commands/settings-accept.ts
@@ -27,14 +27,14 @@
     author = Option.String("--author", userInfo().username, { description: "Who" });
 
     protected override async executeWithSettings(values: OperatorValues): Promise<ExitCode> {
-        const { acceptTree: accept, fetchSettings, parseStoredTree: treeOf } = await import("../../settings/index.js");
+        const { acceptTree, fetchSettings, parseStoredTree } = await import("../../settings/index.js");
         const text = readFileSync(this.file, "utf8");
         const parsed = parseSettingsTree(text, this.file);
         if (parsed.isErr()) {
             this.showFindings(parsed.error);
             return ExitCode.Failed;
         }
-        const outcome = await accept(values, { text, base: this.base, author: this.author, note: this.note });
+        const outcome = await acceptTree(values, { text, base: this.base, author: this.author, note: this.note });
         if (outcome.kind === "accepted") {
             const { revision } = outcome.stored;
             this.print(this.json ? JSON.stringify({ accepted: true, revision }) : `revision ${revision} is in force`);
@@ -50,7 +50,7 @@
             `revision ${current?.revision ?? 0} is in force, ${current?.author ?? "nobody"} accepted it`,
         );
         const before = this.base === 0 ? undefined : await fetchSettings(values, this.base).catch(() => undefined);
-        const rows = diffSettings(treeOf(before), treeOf(current));
+        const rows = diffSettings(parseStoredTree(before), parseStoredTree(current));
         if (this.json) {
             this.print(JSON.stringify({ accepted: false, current: current?.revision ?? 0, changedSince: rows }));
         }
--- a/packages/operator/src/cli/commands/settings-diff.ts
+++ b/packages/operator/src/cli/commands/settings-diff.ts
@@ -16,13 +16,13 @@
     file = Option.String({ name: "FILE" });
 
     protected override async executeWithSettings(values: OperatorValues): Promise<ExitCode> {
-        const { diffWithCurrent: diffWithText } = await import("../../settings/index.js");
+        const { diffWithCurrent } = await import("../../settings/index.js");
         const parsed = parseSettingsTree(readFileSync(this.file, "utf8"), this.file);
         if (parsed.isErr()) {
             this.showFindings(parsed.error);
             return ExitCode.Failed;
         }
-        const { base, rows } = await diffWithText(values, parsed.value);
+        const { base, rows } = await diffWithCurrent(values, parsed.value);
         if (this.json) {
             this.print(JSON.stringify({ base, differences: rows }));
             return ExitCode.Done;
--- a/packages/operator/src/cli/commands/settings-explain.ts
+++ b/packages/operator/src/cli/commands/settings-explain.ts
@@ -18,7 +18,7 @@
     workloadClass = Option.String("--class", { description: "A workload class of the site" });
 
     protected override async executeWithSettings(values: OperatorValues): Promise<ExitCode> {
-        const { fetchSettings, parseStoredTree: treeOf } = await import("../../settings/index.js");
+        const { fetchSettings, parseStoredTree } = await import("../../settings/index.js");
         const keys = Object.keys(treeSchema) as TreeKey[];
         if (this.key !== undefined && !keys.includes(this.key as TreeKey)) {
             throw new OperatorError("bad-settings", `no such key: ${this.key}`);
@@ -27,7 +27,7 @@
         const [region, site] = this.site === "" ? [] : this.site.split("/");
         const path = { region, site, workloadClass: this.workloadClass };
         const rows = keys.filter(key => this.key === undefined || key === this.key).map(key =>
-            treeOf(stored).explain(key, path)
+            parseStoredTree(stored).explain(key, path)
         );
         if (this.json) {
             this.print(JSON.stringify({ revision: stored.revision, values: rows }));
--- a/packages/runtime/src/logging/log-rate-limiter.ts
+++ b/packages/runtime/src/logging/log-rate-limiter.ts
@@ -1,4 +1,4 @@
-/** Limits how many lines a process logs per period. */
+/** Rate limit of the log lines of a process. */
 import type { Clock, EventLevel, Milliseconds } from "@pebbledale/core";
 
 /** Maximum number of lines below `warn` in one period. */
--- a/packages/scheduler/src/ownership/owned-shard.ts
+++ b/packages/scheduler/src/ownership/owned-shard.ts
@@ -189,7 +189,7 @@
             : outcome;
     }
 
-    /** Cached per revision of the settings and workload class. */
+    /** Cached by workload class until the settings change. */
     #settingsOf(workloadClass: WorkloadClass | undefined): ShardSettings {
         const { sharedSettings, values } = this.options;
         if (this.#settingsTree !== sharedSettings.tree) {
--- a/packages/scheduler/src/ownership/shard-candidate.ts
+++ b/packages/scheduler/src/ownership/shard-candidate.ts
@@ -160,7 +160,7 @@
             }
             catch {
                 // A failed renewal does not end ownership: the epoch of the journal fences off former owners, and
-                // leases to workers are granted only up to the horizon after the last confirmation.
+                // leases to workers are granted only for a limited time after the last successful renewal.
             }
         }
     }
--- a/packages/scheduler/src/workers/worker-link.ts
+++ b/packages/scheduler/src/workers/worker-link.ts
@@ -14,10 +14,10 @@
 import type { LinkedShard } from "../ownership/types.js";
 
 /**
- * Claims a worker for the epoch of this owner, keeps its heartbeat going, and sends starts and stops until they are
+ * Claims a worker for the epoch of this owner, sends it heartbeats, and repeats starts and stops until they are
  * answered.
  *
- * If the worker refuses a message because it has seen a newer epoch, the shard is given up.
+ * If the worker refuses a message because it has seen a newer epoch, this process gives up the shard.
  */
 export class WorkerLink {
     readonly #client: HttpWorkerClient;
