--- a/packages/entry/src/front-end/job-service.ts
+++ b/packages/entry/src/front-end/job-service.ts
@@ -22,7 +22,10 @@
         private readonly log: RequestLog,
     ) {}
 
-    /** Sets a deadline by the monotonic clock for the answers to all requests, whatever their own deadlines. Called when the process stops. */
+    /**
+     * Sets a deadline by the monotonic clock for the answers to all requests, whatever their own deadlines. Called when the
+     * process stops.
+     */
     limitAnswersTo(deadline: Milliseconds): void {
         this.#answerDeadline = deadline;
     }
--- a/packages/entry/src/membership/vm-registration.ts
+++ b/packages/entry/src/membership/vm-registration.ts
@@ -28,7 +28,7 @@
 const retryDelay: Milliseconds = 250;
 const renewalsPerLease = 3;
 
-/** Keeps this VM's key in the store while the process runs. The key is attached to a lease, so that it expires after the process has ended. */
+/** Keeps this VM's key in the store while the process runs. The key is bound to a lease, so that it expires when the process ends. */
 export class VmRegistration {
     readonly #monitor: DependencyMonitor;
     #lease: PlatformLeaseId | undefined;
