--- a/packages/entry/src/ownership/candidate.ts
+++ b/packages/entry/src/ownership/candidate.ts
@@ -122,7 +122,7 @@
     async run(stop: AbortSignal): Promise<void> {
         const { clock } = this.options;
         while (!stop.aborted) {
-            const input = this.#input();
+            const input = this.#campaignInput();
             const reason = reasonToClaim(input);
             if (reason === undefined || !this.#hasWaited(input) || isCellForming(input)) {
                 this.#eligibleSince = reason === undefined ? undefined : this.#eligibleSince;
@@ -165,7 +165,7 @@
         return claimRetryDelay;
     }
 
-    #input(): CampaignInput {
+    #campaignInput(): CampaignInput {
         const { view, self, clock, ownerStatus } = this.options;
         const now = clock.monotonic();
         const status = ownerStatus();
--- a/packages/entry/src/ownership/owner-key.ts
+++ b/packages/entry/src/ownership/owner-key.ts
@@ -71,12 +71,12 @@
         const lease = await granted;
         const outcome = await store.compareAndSwap(ownerKey, expected, value, lease);
         // A conflict with this process's own value means that the first answer was lost.
-        const isOwn = outcome.kind === "swapped" || outcome.current?.value === value;
-        this.#lease = isOwn ? lease : undefined;
+        const isClaimed = outcome.kind === "swapped" || outcome.current?.value === value;
+        this.#lease = isClaimed ? lease : undefined;
         if (outcome.kind === "swapped") {
             this.#confirmedAt = Math.max(this.#confirmedAt, sentAt);
         }
-        return isOwn;
+        return isClaimed;
     }
 
     /** Keeps the key alive until `signal` fires, then releases it. */
--- a/packages/entry/src/settings/settings-reloader.ts
+++ b/packages/entry/src/settings/settings-reloader.ts
@@ -33,13 +33,13 @@
 
     /** `cause` names in the log what led to the reload. */
     reload(cause: string): void {
-        const fresh = this.options.read();
-        if (fresh === undefined || isDeepStrictEqual(fresh, this.#settings)) {
+        const newSettings = this.options.read();
+        if (newSettings === undefined || isDeepStrictEqual(newSettings, this.#settings)) {
             return;
         }
-        const changed = (Object.keys(fresh) as (keyof EntrySettings)[])
-            .filter(key => !isDeepStrictEqual(fresh[key], this.#settings[key]));
-        this.#settings = fresh;
+        const changed = (Object.keys(newSettings) as (keyof EntrySettings)[])
+            .filter(key => !isDeepStrictEqual(newSettings[key], this.#settings[key]));
+        this.#settings = newSettings;
         this.options.logger.log(logEvents.settingsReloaded, { cause, changed });
     }
 
--- a/packages/entry/test/explorer/walk.ts
+++ b/packages/entry/test/explorer/walk.ts
@@ -102,7 +102,7 @@
         world.history.runs.map((
             { task, run, endedAt, end, isAcknowledged },
         ) => [task, run, endedAt === undefined, end, isAcknowledged]),
-        cell.snapshot().jobs.map(({ id, state: shown, occurrences }) => [id, shown, occurrences]),
+        cell.snapshot().jobs.map(({ id, state: jobState, occurrences }) => [id, jobState, occurrences]),
         [...cell.workers.values()].map(worker => [
             worker.id,
             worker.address,
--- a/packages/entry/test/following/follow-loop.test.ts
+++ b/packages/entry/test/following/follow-loop.test.ts
@@ -92,12 +92,12 @@
 
 /** Advances time and returns the largest age of the copy meanwhile. */
 const maxAgeDuring = async (clock: ManualClock, loop: FollowLoop, length: Milliseconds): Promise<Milliseconds> => {
-    let oldest = 0;
+    let maxAge = 0;
     for (let elapsed = 0; elapsed < length; elapsed += 10) {
         await advanceTime(clock, 10);
-        oldest = Math.max(oldest, loop.age ?? 0);
+        maxAge = Math.max(maxAge, loop.age ?? 0);
     }
-    return oldest;
+    return maxAge;
 };
 
 describe("a followed copy", () => {
--- a/packages/entry/test/membership/vm-registration.test.ts
+++ b/packages/entry/test/membership/vm-registration.test.ts
@@ -21,7 +21,7 @@
     /** Whether new calls never get an answer. */
     isSilent = false;
 
-    loseLease(): void {
+    expireLease(): void {
         this.entry = undefined;
         this.isLeaseExpired = true;
     }
@@ -68,7 +68,7 @@
         const running = new VmRegistration(options).run(stop.signal);
         await settle();
         expect(store.entry?.value).toEqual("a");
-        store.loseLease();
+        store.expireLease();
         await advanceTime(clock, 1_100);
         expect(store.entry?.value).toEqual("a");
         stop.abort();
--- a/packages/entry/test/support/simulation/simulated-network.ts
+++ b/packages/entry/test/support/simulation/simulated-network.ts
@@ -55,7 +55,7 @@
         { worker, address }: SimulatedWorkerClient,
         limit: Milliseconds,
         execute: (recipient: SimulatedWorker, sent: SentCall) => Promise<Answer> | Answer,
-        refused: (refusal: OrderRefusal) => Answer,
+        refuseCall: (refusal: OrderRefusal) => Answer,
     ): Promise<Answer> {
         const { executedAfter, isAnswered } = this.outcomeOf(kind, worker);
         const unreachable = (why: string) => new WorkerUnreachableError(`${kind} at ${address}: ${why}`);
@@ -80,7 +80,7 @@
             const incarnation = recipient.incarnationCount;
             const answer = recipient.id === worker
                 ? await execute(recipient, sent)
-                : refused(OrderRefusal.WrongWorker);
+                : refuseCall(OrderRefusal.WrongWorker);
             if (!recipient.isUp || recipient.incarnationCount !== incarnation) {
                 throw unreachable("connection reset");
             }
@@ -91,8 +91,8 @@
         timedOut.catch(() => undefined);
         const pending = { kind, worker, sentAt: this.clock.monotonic() };
         this.#pending.add(pending);
-        const settled = () => void this.#pending.delete(pending);
-        call.then(settled, settled);
+        const removePending = () => void this.#pending.delete(pending);
+        call.then(removePending, removePending);
         return Promise.race([call, timedOut]);
     }
 
--- a/packages/entry/test/support/simulation/simulated-worker.ts
+++ b/packages/entry/test/support/simulation/simulated-worker.ts
@@ -145,7 +145,7 @@
             return undefined;
         }
         incarnation.token = token;
-        this.#lease(incarnation, leaseUntil);
+        this.#extendLease(incarnation, leaseUntil);
         incarnation.ended.filter(({ listed }) => listed.number <= forgetThrough).forEach(({ record }) =>
             record.isAcknowledged = true
         );
@@ -174,7 +174,7 @@
         if (leaseUntil < clock) {
             return { kind: "refused", refusal: OrderRefusal.Late, clock };
         }
-        this.#lease(incarnation, leaseUntil);
+        this.#extendLease(incarnation, leaseUntil);
         if (incarnation.runs.some(({ record }) => record.task === task && record.run === run)) {
             return { kind: "taken", clock };
         }
@@ -210,7 +210,7 @@
         }
         incarnation.token = token;
         incarnation.runs.filter(({ record }) => record.task === task && record.run === run)
-            .forEach(stopped => this.#end(incarnation, stopped, RunEnd.Stopped));
+            .forEach(stopped => this.#endRun(incarnation, stopped, RunEnd.Stopped));
         return { kind: "taken", clock };
     }
 
@@ -228,11 +228,11 @@
                 return;
             }
             if (end !== undefined) {
-                this.#end(incarnation, run, end);
+                this.#endRun(incarnation, run, end);
             }
         }
         if (this.#clockOf(incarnation) > incarnation.leaseUntil) {
-            [...incarnation.runs].forEach(run => this.#end(incarnation, run, RunEnd.Lapsed));
+            [...incarnation.runs].forEach(run => this.#endRun(incarnation, run, RunEnd.Lapsed));
         }
     }
 
@@ -260,20 +260,20 @@
     /** Members run from the moment that all have started; they finish together, and none continues without the others. */
     #endOfMember(record: RecordedRun): RunEnd | undefined {
         const now = this.clock.monotonic();
-        const all = this.history.membersOf(record);
-        const present = all.filter(({ endedAt }) => endedAt === undefined);
+        const startedMembers = this.history.membersOf(record);
+        const runningMembers = startedMembers.filter(({ endedAt }) => endedAt === undefined);
         const { members, after } = record.behaviour;
-        if (all.some(({ end }) => end === RunEnd.Done)) {
+        if (startedMembers.some(({ end }) => end === RunEnd.Done)) {
             return RunEnd.Done;
         }
-        if (present.length < all.length) {
+        if (runningMembers.length < startedMembers.length) {
             return RunEnd.Broken;
         }
-        const lastStart = Math.max(...present.map(({ startedAt }) => startedAt));
-        if (present.length === members && now - lastStart >= after) {
+        const lastStart = Math.max(...runningMembers.map(({ startedAt }) => startedAt));
+        if (runningMembers.length === members && now - lastStart >= after) {
             return RunEnd.Done;
         }
-        return present.length < members && now - record.startedAt >= gangWait ? RunEnd.Alone : undefined;
+        return runningMembers.length < members && now - record.startedAt >= gangWait ? RunEnd.Alone : undefined;
     }
 
     get #currentIncarnation(): IncarnationState {
@@ -287,12 +287,12 @@
         return this.clock.monotonic() - incarnation.startedAt;
     }
 
-    #lease(incarnation: IncarnationState, until: WorkerTime | undefined): void {
+    #extendLease(incarnation: IncarnationState, until: WorkerTime | undefined): void {
         const longest = this.#clockOf(incarnation) + longestLease;
         incarnation.leaseUntil = Math.max(incarnation.leaseUntil, Math.min(until ?? 0, longest));
     }
 
-    #end(incarnation: IncarnationState, run: Run, end: RunEnd): void {
+    #endRun(incarnation: IncarnationState, run: Run, end: RunEnd): void {
         incarnation.runs.splice(incarnation.runs.indexOf(run), 1);
         const { record } = run;
         record.endedAt = this.clock.monotonic();
--- a/packages/gateway/src/live/forwarder.ts
+++ b/packages/gateway/src/live/forwarder.ts
@@ -122,18 +122,18 @@
 }
 
 const endToEndHeaders = (headers: LiveRequest["headers"]): Record<string, string | string[]> => {
-    const kept: Record<string, string | string[]> = {};
+    const forwarded: Record<string, string | string[]> = {};
     for (const [name, value] of Object.entries(headers)) {
         if (value !== undefined && !hopByHopHeaders.has(name)) {
-            kept[name] = value;
+            forwarded[name] = value;
         }
     }
-    return kept;
+    return forwarded;
 };
 
 /** Keeps the instance's `content-length`, so that a caller can detect a truncated body. */
 const responseHeaders = (headers: LiveRequest["headers"]): Record<string, string | string[]> => {
-    const kept = endToEndHeaders(headers);
+    const forwarded = endToEndHeaders(headers);
     const length = headers["content-length"];
-    return length === undefined ? kept : { ...kept, "content-length": length };
+    return length === undefined ? forwarded : { ...forwarded, "content-length": length };
 };
