--- a/packages/entry/src/following/constants.ts
+++ b/packages/entry/src/following/constants.ts
@@ -3,13 +3,13 @@
 
 /** Share of the required freshness that one call waits for changes. The rest is left for detecting a dead connection and retrying. */
 export const waitShare = 0.5;
-/** Share of the required freshness by which an answer may be late at most, however slow earlier answers were. */
+/** Maximum lateness of an answer as a share of the required freshness, however slow earlier answers were. */
 export const slackShare = 0.2;
 /** The platform's store allows waits of up to 30 s. */
 export const maxFollowWait: Milliseconds = 20_000;
 /** Bounds the rate of calls to a few a second when the required freshness is very short. */
 export const minFollowWait: Milliseconds = 250;
-/** Shortest time by which an answer may be late: a pause of this process takes up to 0.1 s. */
+/** Minimum time that an answer may be late before its call is abandoned: a pause of this process takes up to 0.1 s. */
 export const minSlack: Milliseconds = 250;
 /** The slack doubles with each consecutive failure, up to this. A slow store answers within 0.4 s. */
 export const maxSlack: Milliseconds = 1_500;
--- a/packages/entry/src/following/follow-loop.ts
+++ b/packages/entry/src/following/follow-loop.ts
@@ -48,8 +48,8 @@
 }
 
 /**
- * Keeps a local copy of data in the store up to date: reads the whole state once, then waits for changes in a loop, and tells how
- * old the copy is.
+ * Keeps a local copy of data in the store up to date: reads the whole state once, then waits for changes in a loop, and reports
+ * the age of the copy.
  *
  * A connection can die without being closed, and then looks like a store without changes. Each call therefore waits only briefly
  * and is abandoned soon after its wait is over.
@@ -106,7 +106,7 @@
         });
     }
 
-    /** How late the answer to a call may be, counted from the end of its wait. */
+    /** Time after the end of its wait within which a call must be answered. */
     get #slack(): Milliseconds {
         return Math.min(maxSlack, this.#responseTimes.timeout * 2 ** this.#consecutiveFailures);
     }
--- a/packages/entry/src/following/limits.ts
+++ b/packages/entry/src/following/limits.ts
@@ -16,7 +16,7 @@
 export interface FollowLimits {
     /** How long a call waits for changes. */
     readonly wait: Milliseconds;
-    /** How late an answer may be beyond that before its connection is considered dead. */
+    /** Time after the wait within which the answer must arrive; then the connection is considered dead. */
     readonly slack: Milliseconds;
 }
 
@@ -28,7 +28,7 @@
 };
 
 /**
- * Largest age of a followed copy while the store works and one connection dies: the call on the dead connection times out, and the
+ * Maximum age of a followed copy while the store works and one connection dies: the call on the dead connection times out, and the
  * retry is answered on another connection.
  */
 export const maxStaleness = ({ wait, slack }: FollowLimits): Milliseconds =>
--- a/packages/entry/src/front-end/constants.ts
+++ b/packages/entry/src/front-end/constants.ts
@@ -5,7 +5,7 @@
 export const answerMargin: Milliseconds = 25;
 /** With less time left a request is not sent to the owner, which needs 10 to 30 ms to persist a record. */
 export const minOwnerCallTime: Milliseconds = 20;
-/** Longest wait for an owner before a request is refused. */
+/** Maximum wait for an owner before a request is refused. */
 export const maxOwnerWait: Milliseconds = 1_500;
 /** Retry delay given to callers that are refused because there is no owner. */
 export const noOwnerRetryAfter: Milliseconds = 500;
--- a/packages/entry/src/links/best-effort-orders.ts
+++ b/packages/entry/src/links/best-effort-orders.ts
@@ -17,7 +17,7 @@
     readonly onStopUnanswered: () => void;
 }
 
-/** Sends stop and pace orders, which can be repeated safely, so that a lost one needs no resolution. */
+/** Sends stop and pace orders, which can be repeated safely, so that the outcome of an unanswered one need not be determined. */
 export class BestEffortOrders {
     constructor(private readonly options: BestEffortOrdersOptions) {}
 
--- a/packages/entry/src/links/worker-link.ts
+++ b/packages/entry/src/links/worker-link.ts
@@ -306,8 +306,8 @@
     }
 
     /**
-     * Whether another incarnation has answered: told by its name or, where workers do not report any, by a clock that
-     * went back.
+     * Whether another incarnation has answered: it reports another identity or, where workers report none, its clock has
+     * gone back.
      */
     #isOtherIncarnation({ life }: PollResult, reading: ClockReading): boolean {
         const isNamed = life !== undefined && this.#incarnation !== undefined;
--- a/packages/entry/src/membership/vm-registration.ts
+++ b/packages/entry/src/membership/vm-registration.ts
@@ -22,7 +22,7 @@
     readonly leaseLength: Milliseconds;
 }
 
-/** Longest wait for the revocation of a lease when a process stops. Without an answer the lease expires by itself. */
+/** Maximum wait for the revocation of a lease when a process stops. Without an answer the lease expires by itself. */
 export const revokeTimeout: Milliseconds = 400;
 /** Delay before a failed call is retried: a VM whose key has expired is invisible to owners. */
 const retryDelay: Milliseconds = 250;
--- a/packages/entry/src/owner/successor.ts
+++ b/packages/entry/src/owner/successor.ts
@@ -1,7 +1,7 @@
 /** Selection of the VM to which the cell is handed over. */
 import type { VmLink } from "./vm-link.js";
 
-/** The best connected VM that is not stopping, other than the owner's own; undefined when there is none. */
+/** Returns the most suitable of the connected VMs that are not stopping, without the owner's own; undefined when there is none. */
 export const chooseSuccessor = (links: Iterable<VmLink>, owner: string): VmLink | undefined => {
     const candidates = [...links].filter(link => link.vm.name !== owner && !link.isLeaving);
     return candidates.reduce<VmLink | undefined>(
--- a/packages/entry/src/ownership/candidate.ts
+++ b/packages/entry/src/ownership/candidate.ts
@@ -97,7 +97,7 @@
 export class Candidate {
     #session: OwnerSession | undefined;
     #eligibleSince: Milliseconds | undefined;
-    /** Since when this VM wants the cell and reaches too few of the other VMs. */
+    /** When this VM, wanting to claim the cell, first reached too few of the other VMs; undefined while it reaches enough. */
     #isolatedSince: Milliseconds | undefined;
     /** Suspicions of the owner are ignored until then, as the other VMs did not share the last one. */
     #suspicionsIgnoredUntil = -Infinity;
--- a/packages/entry/src/ownership/owner-key.ts
+++ b/packages/entry/src/ownership/owner-key.ts
@@ -23,7 +23,7 @@
     readonly leaseLength: Milliseconds;
 }
 
-/** A requested lease. It starts when the store receives the request, which is not before it was sent. */
+/** A requested lease. It starts no earlier than its request was sent. */
 interface PreparedLease {
     readonly sentAt: Milliseconds;
     readonly granted: Promise<PlatformLeaseId>;
--- a/packages/entry/src/settings/types.ts
+++ b/packages/entry/src/settings/types.ts
@@ -4,7 +4,7 @@
 
 /** Time limits set by the operators. */
 export interface EntryBounds extends FreshnessBounds {
-    /** Longest lease that a worker grants. */
+    /** Maximum length of a lease that a worker accepts. */
     readonly longestLease: Milliseconds;
     /** The process is killed this long after it was asked to stop. */
     readonly stopWithin: Milliseconds;
--- a/packages/entry/src/store-relay/relayed-store.ts
+++ b/packages/entry/src/store-relay/relayed-store.ts
@@ -32,7 +32,7 @@
 
 /**
  * Bounds of the delay after which an unanswered direct call is also made through another VM; between them it follows the store's
- * usual response time. That is about 4 ms, up to 0.4 s under load, when additional calls would make the store reject more of them.
+ * usual response time, about 4 ms and up to 0.4 s under load. Under load, additional calls would make the store reject more of them.
  */
 const minRelayDelay: Milliseconds = 250;
 const maxRelayDelay: Milliseconds = 600;
@@ -43,7 +43,7 @@
 const nextRelayDelay: Milliseconds = 80;
 /** Maximum number of VMs that are asked for one call. */
 const maxRelays = 3;
-/** Longest wait for changes in one call of another VM. */
+/** Maximum wait for changes in one call of another VM. */
 const maxRelayedWait: Milliseconds = 2_000;
 
 /**
--- a/packages/entry/test/explorer/explorer.ts
+++ b/packages/entry/test/explorer/explorer.ts
@@ -20,7 +20,7 @@
 
 /** Limits of an exploration. */
 export interface ExplorationLimits {
-    /** Most deviations in one walk. */
+    /** Maximum number of deviations in one walk. */
     readonly maxDeviations: number;
     readonly seed: number;
     /** Checked before each walk; exploration stops when it is false. */
--- a/packages/entry/test/following/follow-loop.test.ts
+++ b/packages/entry/test/following/follow-loop.test.ts
@@ -15,7 +15,7 @@
 } from "../../src/index.js";
 import { advanceTime } from "../support/index.js";
 
-/** Shortest freshness that operators require. */
+/** Strictest freshness that operators require: the maximum age of a copy. */
 const requiredFreshness: Milliseconds = 2_000;
 
 /** A store without changes, whose calls wait as requested. Calls on connections that died never end. */
--- a/packages/entry/test/links/vm-session.test.ts
+++ b/packages/entry/test/links/vm-session.test.ts
@@ -47,7 +47,7 @@
         stop.abort();
     });
 
-    /* Guards against links of a former connection polling workers with tokens that these refuse. */
+    /* Guards against links of a former connection polling workers with tokens that the workers refuse. */
     it("closes its links when the same owner connects again", async () => {
         let polls = 0;
         const client = {
--- a/packages/entry/test/links/worker-link.test.ts
+++ b/packages/entry/test/links/worker-link.test.ts
@@ -100,8 +100,8 @@
     });
 
     /*
-     * Guards against a run that went down with a draining worker being replaced late, as only the expiry of its lease
-     * proves that it is over.
+     * Guards against late replacement of a run that ended with its draining worker: only the expiry of its lease proves
+     * that it has ended.
      */
     it("grants short leases at a draining worker", async () => {
         const client = firstThenWaiting();
--- a/packages/entry/test/owner/stop-without-store.test.ts
+++ b/packages/entry/test/owner/stop-without-store.test.ts
@@ -54,7 +54,7 @@
     });
 });
 
-describe("the stop times of a VM", () => {
+describe("the shutdown times of a VM", () => {
     it("allow two readiness checks before new connections are refused, and end before the process is killed", () => {
         const { stopAcceptingAfter, answerWithin, exitWithin } = shutdownTimesOf(6_000);
         expect(stopAcceptingAfter > 2_000 && stopAcceptingAfter < answerWithin).toEqual(true);
--- a/packages/entry/test/support/simulation/simulated-worker.ts
+++ b/packages/entry/test/support/simulation/simulated-worker.ts
@@ -21,7 +21,7 @@
 import { behaviourOf, TaskKind } from "./behaviour.js";
 import type { RecordedRun, RunHistory } from "./run-history.js";
 
-/** Longest lease that a worker accepts. */
+/** Maximum length of a lease that a worker accepts. */
 export const longestLease: Milliseconds = 6_000;
 
 /** Time after which a gang member ends as `alone` when the others have not started. */
@@ -45,7 +45,7 @@
     constructor(readonly born: WorkerIncarnation, readonly number: number, readonly startedAt: Milliseconds) {}
 }
 
-/** When a call was sent, and to which incarnation of its worker, counted from 1. */
+/** When a call was sent, and the number of the incarnation of its worker at that time, counted from 1. */
 export interface SentCall {
     readonly at: Milliseconds;
     readonly incarnation: number;
--- a/packages/entry/test/worker-restarts/restarts.test.ts
+++ b/packages/entry/test/worker-restarts/restarts.test.ts
@@ -117,8 +117,8 @@
     });
 
     /*
-     * An unanswered order may be executed seconds later by the incarnation that is then at the address. If that incarnation has not
-     * seen a higher token, it starts a task which runs elsewhere by then, as its predecessor had reported that it does not have it.
+     * Guards against duplicate runs. An unanswered order may be executed seconds later by a newer incarnation at the address. Unless
+     * that one has seen a higher token, it starts a task that already runs elsewhere, as the previous one reported not to run it.
      */
     it("sees a higher token soon after its start while an unanswered order may still reach it", async () => {
         await begin({ workers: 2 });
--- a/packages/gateway/src/owners/owner-directory.ts
+++ b/packages/gateway/src/owners/owner-directory.ts
@@ -57,7 +57,7 @@
     readonly signal: AbortSignal;
 }
 
-/** Common form of all answers to calls, told apart by `kind`. */
+/** Common form of all answers to calls, distinguished by `kind`. */
 export interface OwnerAnswer {
     readonly kind: string;
 }
