--- a/packages/entry/src/configuration/index.ts
+++ b/packages/entry/src/configuration/index.ts
@@ -1,2 +1,2 @@
-/** The operators' configuration as known to this VM. */
+/** The newest version of the operators' configuration that this VM has seen. */
 export * from "./configuration-watch.js";
--- a/packages/entry/src/ownership/candidate.ts
+++ b/packages/entry/src/ownership/candidate.ts
@@ -91,7 +91,7 @@
 const cellShard = shardId("cell");
 
 /**
- * Claims the cell when there is reason to, and runs the owner's session while this VM owns it. The other VMs are
+ * Claims the cell when there is a reason to, and runs the owner's session while this VM owns it. The other VMs are
  * dialled and the journal is read while the claim is in progress.
  */
 export class Candidate {
--- a/packages/entry/src/ownership/constants.ts
+++ b/packages/entry/src/ownership/constants.ts
@@ -40,7 +40,7 @@
 export const renewalsPerLease = 3;
 /** How long a candidate waits for its dials before it considers itself isolated. */
 export const reachTimeout: Milliseconds = 300;
-/** An isolated candidate claims the cell all the same when no other VM has done so for this long. */
+/** An isolated candidate nevertheless claims the cell when no other VM has done so for this long. */
 export const isolationTimeout: Milliseconds = 5_000;
 /**
  * An owner that is heard but has not restored its missing key by then is considered defective; a restore takes 0.4 s.
--- a/packages/entry/test/explorer/mutations.ts
+++ b/packages/entry/test/explorer/mutations.ts
@@ -5,7 +5,7 @@
     readonly name: string;
     /** The rule that it violates. */
     readonly rule: string;
-    /** Part of the name of the only scenario that shows it in reasonable time; missing when others do too. */
+    /** Part of the name of the only scenario that reveals it in reasonable time; undefined when others do as well. */
     readonly scenario?: string;
     /** Suffix of the file's path. */
     readonly file: string;
--- a/packages/entry/test/following/follow-loop.test.ts
+++ b/packages/entry/test/following/follow-loop.test.ts
@@ -1,6 +1,6 @@
 /*
  * Guards against waiting on dead connections. An owner once waited for changes of the workers' entries on a connection that had died
- * silently, until the whole wait of 20 s was over, and went on placing tasks on VMs that had announced to drain.
+ * silently, until the whole wait of 20 s was over, and went on placing tasks on VMs that had announced that they drain.
  */
 import { ManualClock, type Milliseconds } from "@pebbledale/core";
 import { expect } from "earl";
--- a/packages/entry/test/owner/relay-order.test.ts
+++ b/packages/entry/test/owner/relay-order.test.ts
@@ -19,12 +19,12 @@
         expect(namesOf(links, 3)).toEqual(["large-2", "large-1", "small-1", "small-2"]);
     });
 
-    it("asks VMs last whose last call failed", () => {
+    it("asks VMs whose previous call failed after all others", () => {
         const some = [...links.slice(0, 3), link("large-2", 1.4, true)];
         expect(namesOf(some, 0)).toEqual(["large-1", "small-1", "small-2", "large-2"]);
     });
 
-    it("asks nobody when no VM is connected", () => {
+    it("asks no VM when none is connected", () => {
         expect(namesOf([], 5)).toEqual([]);
     });
 });
--- a/packages/entry/test/support/simulation/simulated-worker.ts
+++ b/packages/entry/test/support/simulation/simulated-worker.ts
@@ -257,7 +257,7 @@
         return kind === TaskKind.Failed ? RunEnd.Failed : RunEnd.Done;
     }
 
-    /** Members run from the moment that all have started; they finish together, and none continues without the others. */
+    /** Members begin to work once all have started; they finish together, and none continues without the others. */
     #endOfMember(record: RecordedRun): RunEnd | undefined {
         const now = this.clock.monotonic();
         const startedMembers = this.history.membersOf(record);
--- a/packages/entry/test/worker-restarts/restarts.test.ts
+++ b/packages/entry/test/worker-restarts/restarts.test.ts
@@ -61,7 +61,7 @@
         expect(world.runsOf("gang").length).toEqual(1);
     });
 
-    it("blocks its runs no longer than its own leases when it becomes silent", async () => {
+    it("delays the replacement of its runs no longer than its own leases last when it becomes silent", async () => {
         await begin({ workers: 2 });
         await world.advance(40_000);
         world.workers[1].crash();
@@ -179,7 +179,7 @@
         expect(await world.advanceUntil(isUsed, 5_000)).toEqual(true);
     });
 
-    it("with different ones in its entry and its answers: the answers count, with its last valid description", async () => {
+    it("with different ones in its entry and its answers: is used under the one in its answers", async () => {
         await begin({ workers: 1 });
         const [worker] = world.workers;
         world.publishEntry(worker, { address: worker.address, born: workerIncarnation(7) });
--- a/packages/scheduler/src/ownership/owned-shard.ts
+++ b/packages/scheduler/src/ownership/owned-shard.ts
@@ -94,7 +94,7 @@
 
     /**
      * Commits the records of a transition to the journal, then executes its effects. If the journal refuses the
-     * records, the shard is lost and the effects are dropped; the promise resolves all the same.
+     * records, the shard is lost and the effects are dropped; the promise nevertheless resolves.
      */
     async commit(transition: Transition): Promise<void> {
         if (transition.records.length > 0) {
