--- a/packages/entry/src/following/follow-loop.ts
+++ b/packages/entry/src/following/follow-loop.ts
@@ -48,8 +48,8 @@
 }
 
 /**
- * Keeps a local copy of data in the store up to date: reads the whole state once, then waits for changes in a loop, and tells how
- * old the copy is.
+ * Keeps a local copy of data in the store up to date: reads the whole state once, then waits for changes in a loop, and reports
+ * the age of the copy.
  *
  * A connection can die without being closed, and then looks like a store without changes. Each call therefore waits only briefly
  * and is abandoned soon after its wait is over.
@@ -101,20 +101,20 @@
         return this.#withTimeout(wait + this.#slack, signal, async linked => {
             const sentAt = this.options.clock.monotonic();
             const update = await source.changes(cursor, wait, linked);
-            this.#recordAnswerTime(this.options.clock.monotonic() - sentAt - wait);
+            this.#recordResponseTime(this.options.clock.monotonic() - sentAt - wait);
             return update;
         });
     }
 
-    /** How late the answer to a call may be, counted from the end of its wait. */
+    /** Time after the end of its wait within which a call must be answered. */
     get #slack(): Milliseconds {
         return Math.min(maxSlack, this.#responseTimes.timeout * 2 ** this.#consecutiveFailures);
     }
 
     /** Ignores answers that arrive before the wait is over: they carry changes and say nothing about the store's response time. */
-    #recordAnswerTime(took: Milliseconds): void {
-        if (took >= 0) {
-            this.#responseTimes.recordResponse(took);
+    #recordResponseTime(responseTime: Milliseconds): void {
+        if (responseTime >= 0) {
+            this.#responseTimes.recordResponse(responseTime);
         }
     }
 
--- a/packages/entry/src/following/limits.ts
+++ b/packages/entry/src/following/limits.ts
@@ -4,11 +4,11 @@
 
 /** Required freshness of what a VM knows, as the operators set it. */
 export interface FreshnessBounds {
-    /** No task is started on a worker later than this after the worker announced that it drains. */
+    /** Maximum time from the announcement that a worker drains to the last start of a task on it. */
     readonly drainWithin: Milliseconds;
-    /** A configuration is in force this long after the store accepted it. */
+    /** Maximum time from the acceptance of a configuration by the store until it is in force. */
     readonly configurationWithin: Milliseconds;
-    /** VMs reach each other again this long after a fault of their connections. */
+    /** Maximum time until VMs reach each other again after a network fault between them. */
     readonly contactWithin: Milliseconds;
 }
 
@@ -16,7 +16,7 @@
 export interface FollowLimits {
     /** How long a call waits for changes. */
     readonly wait: Milliseconds;
-    /** How late an answer may be beyond that before its connection is considered dead. */
+    /** Time after the wait within which the answer must arrive; then the connection is considered dead. */
     readonly slack: Milliseconds;
 }
 
@@ -28,7 +28,7 @@
 };
 
 /**
- * Largest age of a followed copy while the store works and one connection dies: the call on the dead connection times out, and the
+ * Maximum age of a followed copy while the store works and one connection dies: the call on the dead connection times out, and the
  * retry is answered on another connection.
  */
 export const maxStaleness = ({ wait, slack }: FollowLimits): Milliseconds =>
--- a/packages/entry/src/membership/vm-registration.ts
+++ b/packages/entry/src/membership/vm-registration.ts
@@ -22,13 +22,13 @@
     readonly leaseLength: Milliseconds;
 }
 
-/** Longest wait for the revocation of a lease when a process stops. Without an answer the lease expires by itself. */
+/** Maximum wait for the revocation of a lease when a process stops. Without an answer the lease expires by itself. */
 export const revokeTimeout: Milliseconds = 400;
 /** Delay before a failed call is retried: a VM whose key has expired is invisible to owners. */
 const retryDelay: Milliseconds = 250;
 const renewalsPerLease = 3;
 
-/** Keeps this VM's key in the store while the process runs. The key hangs on a lease, so that it disappears with the process. */
+/** Keeps this VM's key in the store while the process runs. The key is bound to a lease, so that it expires when the process ends. */
 export class VmRegistration {
     readonly #monitor: DependencyMonitor;
     #lease: PlatformLeaseId | undefined;
--- a/packages/entry/src/ownership/candidate.ts
+++ b/packages/entry/src/ownership/candidate.ts
@@ -91,13 +91,13 @@
 const cellShard = shardId("cell");
 
 /**
- * Claims the cell when there is reason to, and runs the owner's session while this VM owns it. The other VMs are
+ * Claims the cell when there is a reason to, and runs the owner's session while this VM owns it. The other VMs are
  * dialled and the journal is read while the claim is in progress.
  */
 export class Candidate {
     #session: OwnerSession | undefined;
     #eligibleSince: Milliseconds | undefined;
-    /** Since when this VM wants the cell and reaches too few of the other VMs. */
+    /** When this VM, wanting to claim the cell, first reached too few of the other VMs; undefined while it reaches enough. */
     #isolatedSince: Milliseconds | undefined;
     /** Suspicions of the owner are ignored until then, as the other VMs did not share the last one. */
     #suspicionsIgnoredUntil = -Infinity;
@@ -122,7 +122,7 @@
     async run(stop: AbortSignal): Promise<void> {
         const { clock } = this.options;
         while (!stop.aborted) {
-            const input = this.#input();
+            const input = this.#campaignInput();
             const reason = reasonToClaim(input);
             if (reason === undefined || !this.#hasWaited(input) || isCellForming(input)) {
                 this.#eligibleSince = reason === undefined ? undefined : this.#eligibleSince;
@@ -158,14 +158,14 @@
 
     #retryDelayAfter(cause: unknown): Milliseconds {
         if (cause instanceof ClaimAbandonedError) {
-            // By then the faster VM's claim is visible; an earlier attempt would cost three store calls in vain.
+            // By then the faster VM's claim is visible; an earlier attempt would cost three store calls without effect.
             return campaignInterval;
         }
         this.options.logger.log(logEvents.claimFailed, { cause: String(cause) });
         return claimRetryDelay;
     }
 
-    #input(): CampaignInput {
+    #campaignInput(): CampaignInput {
         const { view, self, clock, ownerStatus } = this.options;
         const now = clock.monotonic();
         const status = ownerStatus();
@@ -331,12 +331,12 @@
             await session.run();
         }
         finally {
-            const ownedCell = this.#session !== undefined;
+            const hasOwnedCell = this.#session !== undefined;
             this.#session = undefined;
             const cause: unknown = lost.signal.reason;
             lost.abort();
             stop.removeEventListener("abort", onStop);
-            if (ownedCell) {
+            if (hasOwnedCell) {
                 logger.log(logEvents.ownershipEnded, {
                     cause: cause instanceof JournalFencedError ? cause.message : String(cause),
                 });
--- a/packages/entry/src/settings/types.ts
+++ b/packages/entry/src/settings/types.ts
@@ -4,7 +4,7 @@
 
 /** Time limits set by the operators. */
 export interface EntryBounds extends FreshnessBounds {
-    /** Longest lease that a worker grants. */
+    /** Maximum length of a lease that a worker accepts. */
     readonly longestLease: Milliseconds;
     /** The process is killed this long after it was asked to stop. */
     readonly stopWithin: Milliseconds;
@@ -12,7 +12,7 @@
     readonly gangWait: Milliseconds;
     /** How long one VM is down for upkeep. */
     readonly upkeepTime: Milliseconds;
-    /** Two owners that both order upkeep must not alternate within this time. */
+    /** How long a new owner waits before it orders upkeep, as orders of the former owner may still be in effect. */
     readonly orderTurn: Milliseconds;
 }
 
--- a/packages/entry/src/store-relay/relayed-store.ts
+++ b/packages/entry/src/store-relay/relayed-store.ts
@@ -32,18 +32,18 @@
 
 /**
  * Bounds of the delay after which an unanswered direct call is also made through another VM; between them it follows the store's
- * usual response time. That is about 4 ms, up to 0.4 s under load, when additional calls would make the store reject more of them.
+ * usual response time, about 4 ms and up to 0.4 s under load. Under load, additional calls would make the store reject more of them.
  */
 const minRelayDelay: Milliseconds = 250;
 const maxRelayDelay: Milliseconds = 600;
-/** Time without direct calls after only another VM could make a call. It doubles each time. */
+/** How long direct calls are avoided after only another VM could make a call. Doubles each time. */
 const initialDirectBackoff: Milliseconds = 1_000;
 const maxDirectBackoff: Milliseconds = 4_000;
 /** Delay before each further VM is asked, as the store may be unreachable from the first one too. */
 const nextRelayDelay: Milliseconds = 80;
-/** Most VMs that are asked for one call. */
+/** Maximum number of VMs that are asked for one call. */
 const maxRelays = 3;
-/** Longest wait for changes in one call of another VM. */
+/** Maximum wait for changes in one call of another VM. */
 const maxRelayedWait: Milliseconds = 2_000;
 
 /**
--- a/packages/entry/test/explorer/mutations.ts
+++ b/packages/entry/test/explorer/mutations.ts
@@ -5,7 +5,7 @@
     readonly name: string;
     /** The rule that it violates. */
     readonly rule: string;
-    /** Part of the name of the only scenario that shows it in reasonable time; missing when others do too. */
+    /** Part of the name of the only scenario that reveals it in reasonable time; undefined when others do as well. */
     readonly scenario?: string;
     /** Suffix of the file's path. */
     readonly file: string;
@@ -19,7 +19,7 @@
 const polls = "cell/dist/src/runs/worker-poll-reconciler.js";
 const link = "entry/dist/src/links/worker-link.js";
 const runs = "cell/dist/src/runs/run-lifecycle.js";
-const turns = "entry/dist/src/owner/turn-runner.js";
+const turnRunner = "entry/dist/src/owner/turn-runner.js";
 const reportHandler = "entry/dist/src/owner/worker-report-handler.js";
 const assignments = "entry/dist/src/owner/assignments.js";
 
@@ -35,7 +35,7 @@
     {
         name: "ends are acknowledged before they are kept",
         rule: "done once",
-        file: turns,
+        file: turnRunner,
         from: "await this.#committed;",
         to: "",
     },
--- a/packages/entry/test/membership/vm-registration.test.ts
+++ b/packages/entry/test/membership/vm-registration.test.ts
@@ -16,23 +16,23 @@
 class OneKeyStore {
     entry: KeyValue | undefined;
     lease = "lease-1" as PlatformLeaseId;
-    isLeaseOver = false;
+    isLeaseExpired = false;
     losesNextAnswer = false;
     /** Whether new calls never get an answer. */
     isSilent = false;
 
-    loseLease(): void {
+    expireLease(): void {
         this.entry = undefined;
-        this.isLeaseOver = true;
+        this.isLeaseExpired = true;
     }
 
     async grantLease(): Promise<PlatformLeaseId> {
-        this.isLeaseOver = false;
+        this.isLeaseExpired = false;
         return this.lease;
     }
 
     async renewLease(): Promise<boolean> {
-        return this.isSilent ? new Promise(() => undefined) : !this.isLeaseOver;
+        return this.isSilent ? new Promise(() => undefined) : !this.isLeaseExpired;
     }
 
     async revokeLease(): Promise<void> {
@@ -68,7 +68,7 @@
         const running = new VmRegistration(options).run(stop.signal);
         await settle();
         expect(store.entry?.value).toEqual("a");
-        store.loseLease();
+        store.expireLease();
         await advanceTime(clock, 1_100);
         expect(store.entry?.value).toEqual("a");
         stop.abort();
@@ -96,7 +96,7 @@
     });
 });
 
-/** Runs until `stop` is called, and tells whether the run has ended. */
+/** Starts a run that is asked to stop by `stop`; `hasEnded` tells whether it has ended. */
 const watchEnd = (run: (signal: AbortSignal) => Promise<void>) => {
     const stop = new AbortController();
     const watched = { stop: () => stop.abort(), hasEnded: false };
@@ -105,8 +105,8 @@
 };
 
 describe("a VM that stops while the store is silent", () => {
-    for (const isBusy of [false, true]) {
-        it(`does not wait long for the revocation of its lease${isBusy ? ", nor for a pending renewal" : ""}`, async () => {
+    for (const hasPendingRenewal of [false, true]) {
+        it(`does not wait long for the revocation of its lease${hasPendingRenewal ? ", nor for a pending renewal" : ""}`, async () => {
             const store = new OneKeyStore();
             const clock = new ManualClock();
             const logger = new RecordingLogger();
@@ -121,7 +121,7 @@
             const watched = watchEnd(signal => registration.run(signal));
             await settle();
             store.isSilent = true;
-            await advanceTime(clock, isBusy ? 1_100 : 100);
+            await advanceTime(clock, hasPendingRenewal ? 1_100 : 100);
             watched.stop();
             await advanceTime(clock, 500);
             expect(watched.hasEnded).toEqual(true);
@@ -158,7 +158,7 @@
             leaseLength: 1_000,
         });
 
-    it("is won when the first answer was lost and the second attempt finds its own value", async () => {
+    it("is claimed when the first answer was lost and the second attempt finds its own value", async () => {
         const store = new OneKeyStore();
         store.losesNextAnswer = true;
         await expect(make(store).claim(absentVersion)).toBeRejected();
@@ -187,7 +187,7 @@
         stop.abort();
     });
 
-    it("is lost to another process", async () => {
+    it("is not claimed while another process has it", async () => {
         const store = new OneKeyStore();
         store.entry = { key: "cell/owner", value: "other", version: 3 as KeyVersion };
         expect(await make(store).claim(absentVersion)).toEqual(false);
--- a/packages/entry/test/support/simulation/simulated-worker.ts
+++ b/packages/entry/test/support/simulation/simulated-worker.ts
@@ -21,10 +21,10 @@
 import { behaviourOf, TaskKind } from "./behaviour.js";
 import type { RecordedRun, RunHistory } from "./run-history.js";
 
-/** Longest lease that a worker accepts. */
+/** Maximum length of a lease that a worker accepts. */
 export const longestLease: Milliseconds = 6_000;
 
-/** Time after which a gang member ends alone when the others have not started. */
+/** Time after which a gang member ends as `alone` when the others have not started. */
 const gangWait: Milliseconds = 3_000;
 
 interface Run {
@@ -38,14 +38,14 @@
     leaseUntil: WorkerTime = 0;
     readonly runs: Run[] = [];
     ended: { readonly listed: EndedRun; readonly record: RecordedRun; }[] = [];
-    count = 0;
+    endCount = 0;
     /** By task, the highest run that ended here. */
     readonly highestEnded = new Map<TaskAddress, number>();
 
     constructor(readonly born: WorkerIncarnation, readonly number: number, readonly startedAt: Milliseconds) {}
 }
 
-/** When a call was sent, and to which incarnation of its worker, counted from 1. */
+/** When a call was sent, and the number of the incarnation of its worker at that time, counted from 1. */
 export interface SentCall {
     readonly at: Milliseconds;
     readonly incarnation: number;
@@ -59,13 +59,13 @@
 }
 
 /** Wall-clock time at which simulations begin, in Unix milliseconds. */
-const startOfTime = 1_700_000_000_000;
+const simulationStartTime = 1_700_000_000_000;
 
 /** Implements the workers' protocol exactly, in virtual time, and may restart under its id. */
 export class SimulatedWorker {
     #incarnation: IncarnationState | undefined;
     #incarnationCount = 0;
-    #reportedNames = 0;
+    #reportedIncarnationCount = 0;
     /** Peak of the thousandths of a processor that its runs requested together. */
     peakProcessorThousandths = 0;
     /** Whether each answer reports another incarnation, as a faulty worker or one in a crash loop does. */
@@ -87,17 +87,17 @@
         return this.#incarnation !== undefined;
     }
 
-    /** The present incarnation as reported; undefined while it is down or where incarnations are not reported. */
+    /** The current incarnation as reported; undefined while it is down or where incarnations are not reported. */
     get born(): WorkerIncarnation | undefined {
         return this.namesIncarnations ? this.#incarnation?.born : undefined;
     }
 
-    /** Highest token seen by the present incarnation. */
+    /** Highest token seen by the current incarnation. */
     get token(): number {
         return this.#incarnation?.token ?? 0;
     }
 
-    /** Number of incarnations so far, including the present one. */
+    /** Number of incarnations so far, including the current one. */
     get incarnationCount(): number {
         return this.#incarnationCount;
     }
@@ -108,7 +108,7 @@
         this.address = address;
         const now = this.clock.monotonic();
         this.#incarnation = new IncarnationState(
-            workerIncarnation(startOfTime + now + clockStep),
+            workerIncarnation(simulationStartTime + now + clockStep),
             ++this.#incarnationCount,
             now,
         );
@@ -140,18 +140,18 @@
 
     /** Undefined when the token is outdated. */
     poll({ token, forgetThrough, leaseUntil }: PollRequest): PollResult | undefined {
-        const incarnation = this.#present;
+        const incarnation = this.#currentIncarnation;
         if (token < incarnation.token) {
             return undefined;
         }
         incarnation.token = token;
-        this.#lease(incarnation, leaseUntil);
+        this.#extendLease(incarnation, leaseUntil);
         incarnation.ended.filter(({ listed }) => listed.number <= forgetThrough).forEach(({ record }) =>
             record.isAcknowledged = true
         );
         incarnation.ended = incarnation.ended.filter(({ listed }) => listed.number > forgetThrough);
         return {
-            ...(this.namesIncarnations ? { life: this.#nameOf(incarnation) } : {}),
+            ...(this.namesIncarnations ? { life: this.#reportedIncarnationOf(incarnation) } : {}),
             clock: this.#clockOf(incarnation),
             running: incarnation.runs.map(({ record: { task, run } }) => ({
                 task,
@@ -165,7 +165,7 @@
     }
 
     startRun({ task, run, payload, token, leaseUntil }: StartOrder, sent: SentCall): OrderAnswer {
-        const incarnation = this.#present;
+        const incarnation = this.#currentIncarnation;
         const clock = this.#clockOf(incarnation);
         if (token < incarnation.token) {
             return { kind: "refused", refusal: OrderRefusal.Fenced, clock };
@@ -174,7 +174,7 @@
         if (leaseUntil < clock) {
             return { kind: "refused", refusal: OrderRefusal.Late, clock };
         }
-        this.#lease(incarnation, leaseUntil);
+        this.#extendLease(incarnation, leaseUntil);
         if (incarnation.runs.some(({ record }) => record.task === task && record.run === run)) {
             return { kind: "taken", clock };
         }
@@ -203,14 +203,14 @@
     }
 
     stopRun({ task, run, token }: StopOrder): OrderAnswer {
-        const incarnation = this.#present;
+        const incarnation = this.#currentIncarnation;
         const clock = this.#clockOf(incarnation);
         if (token < incarnation.token) {
             return { kind: "refused", refusal: OrderRefusal.Fenced, clock };
         }
         incarnation.token = token;
         incarnation.runs.filter(({ record }) => record.task === task && record.run === run)
-            .forEach(stopped => this.#end(incarnation, stopped, RunEnd.Stopped));
+            .forEach(stopped => this.#endRun(incarnation, stopped, RunEnd.Stopped));
         return { kind: "taken", clock };
     }
 
@@ -228,17 +228,17 @@
                 return;
             }
             if (end !== undefined) {
-                this.#end(incarnation, run, end);
+                this.#endRun(incarnation, run, end);
             }
         }
         if (this.#clockOf(incarnation) > incarnation.leaseUntil) {
-            [...incarnation.runs].forEach(run => this.#end(incarnation, run, RunEnd.Lapsed));
+            [...incarnation.runs].forEach(run => this.#endRun(incarnation, run, RunEnd.Lapsed));
         }
     }
 
-    #nameOf(incarnation: IncarnationState): WorkerIncarnation {
+    #reportedIncarnationOf(incarnation: IncarnationState): WorkerIncarnation {
         return this.changesIncarnationEachAnswer
-            ? workerIncarnation(incarnation.born + ++this.#reportedNames)
+            ? workerIncarnation(incarnation.born + ++this.#reportedIncarnationCount)
             : incarnation.born;
     }
 
@@ -257,26 +257,26 @@
         return kind === TaskKind.Failed ? RunEnd.Failed : RunEnd.Done;
     }
 
-    /** Members run from the moment that all have started; they finish together, and none continues without the others. */
+    /** Members begin to work once all have started; they finish together, and none continues without the others. */
     #endOfMember(record: RecordedRun): RunEnd | undefined {
         const now = this.clock.monotonic();
-        const all = this.history.membersOf(record);
-        const present = all.filter(({ endedAt }) => endedAt === undefined);
+        const startedMembers = this.history.membersOf(record);
+        const runningMembers = startedMembers.filter(({ endedAt }) => endedAt === undefined);
         const { members, after } = record.behaviour;
-        if (all.some(({ end }) => end === RunEnd.Done)) {
+        if (startedMembers.some(({ end }) => end === RunEnd.Done)) {
             return RunEnd.Done;
         }
-        if (present.length < all.length) {
+        if (runningMembers.length < startedMembers.length) {
             return RunEnd.Broken;
         }
-        const lastStart = Math.max(...present.map(({ startedAt }) => startedAt));
-        if (present.length === members && now - lastStart >= after) {
+        const lastStart = Math.max(...runningMembers.map(({ startedAt }) => startedAt));
+        if (runningMembers.length === members && now - lastStart >= after) {
             return RunEnd.Done;
         }
-        return present.length < members && now - record.startedAt >= gangWait ? RunEnd.Alone : undefined;
+        return runningMembers.length < members && now - record.startedAt >= gangWait ? RunEnd.Alone : undefined;
     }
 
-    get #present(): IncarnationState {
+    get #currentIncarnation(): IncarnationState {
         if (this.#incarnation === undefined) {
             throw new Error("a worker that is down was called");
         }
@@ -287,21 +287,21 @@
         return this.clock.monotonic() - incarnation.startedAt;
     }
 
-    #lease(incarnation: IncarnationState, until: WorkerTime | undefined): void {
+    #extendLease(incarnation: IncarnationState, until: WorkerTime | undefined): void {
         const longest = this.#clockOf(incarnation) + longestLease;
         incarnation.leaseUntil = Math.max(incarnation.leaseUntil, Math.min(until ?? 0, longest));
     }
 
-    #end(incarnation: IncarnationState, run: Run, end: RunEnd): void {
+    #endRun(incarnation: IncarnationState, run: Run, end: RunEnd): void {
         incarnation.runs.splice(incarnation.runs.indexOf(run), 1);
         const { record } = run;
         record.endedAt = this.clock.monotonic();
         record.end = end;
         incarnation.highestEnded.set(record.task, Math.max(record.run, incarnation.highestEnded.get(record.task) ?? 0));
-        incarnation.count++;
+        incarnation.endCount++;
         incarnation.ended.push({
             record,
-            listed: { number: incarnation.count, task: record.task, run: record.run, end, checkpoint: "" },
+            listed: { number: incarnation.endCount, task: record.task, run: record.run, end, checkpoint: "" },
         });
     }
 }
