--- a/packages/cell/src/advice/index.ts
+++ b/packages/cell/src/advice/index.ts
@@ -42,5 +42,5 @@
 /** Client of the advice service. */
 export interface AdviceClient {
     /** Rejects when no answer arrives. */
-    ask(question: AdviceQuestion, limit: Milliseconds, signal: AbortSignal): Promise<AdviceAnswer>;
+    ask(question: AdviceQuestion, timeout: Milliseconds, signal: AbortSignal): Promise<AdviceAnswer>;
 }
--- a/packages/cell/src/advising/advice-dispatcher.ts
+++ b/packages/cell/src/advising/advice-dispatcher.ts
@@ -18,7 +18,7 @@
  * The per-worker time of a part of a slow question is at least this share of the constant time of a call: smaller parts would occupy more
  * VMs and be answered hardly sooner.
  */
-const minNamingShare = 1 / 3;
+const minWorkerTimeShare = 1 / 3;
 /** Share of the free VMs that one question may use, leaving others to the questions that follow. */
 const freeVmShare = 1 / 2;
 
@@ -195,7 +195,7 @@
 const isSlow = ({ policy, workers }: AdviceRequest): boolean => callDuration(policy, workers.length) > slowQuestionTime;
 
 const minPartSize = ({ decision, eachWorker }: AdvicePolicy): number =>
-    eachWorker === 0 ? maxAdviceWorkers : Math.ceil(decision * minNamingShare / eachWorker);
+    eachWorker === 0 ? maxAdviceWorkers : Math.ceil(decision * minWorkerTimeShare / eachWorker);
 
 const isFreeFor = (vm: AskingVm, isSlowQuestion: boolean): boolean =>
     isSlowQuestion ? vm.inFlight.size === 0 : vm.inFlight.size < maxInFlight;
--- a/packages/cell/src/advising/advice-planner.ts
+++ b/packages/cell/src/advising/advice-planner.ts
@@ -14,7 +14,7 @@
 import {
     adviceInterval,
     capacityMargin,
-    choiceMargin,
+    emptyCapacityMargin,
     gangCapacityMargin,
     initialPermittedShare,
     minAdviceWorkers,
@@ -227,7 +227,7 @@
     #unaskedWorkers(step: Step, count: number): WorkerState[] {
         const { isGang } = step.definition;
         const share = this.#permittedShares.get(step.job.queue) ?? initialPermittedShare;
-        const most = isGang ? Infinity : maxAdviceWorkers;
+        const maxWorkers = isGang ? Infinity : maxAdviceWorkers;
         const chosen: WorkerState[] = [];
         let capacity = 0;
         let capacityWhenEmpty = 0;
@@ -235,8 +235,8 @@
         for (const worker of this.#inQueryOrder(step)) {
             const isEnough = isGang
                 ? capacity * share >= count * gangCapacityMargin
-                : capacity * share >= count * capacityMargin || capacityWhenEmpty * share >= count * choiceMargin;
-            if (chosen.length >= most || isEnough && chosen.length >= minAdviceWorkers) {
+                : capacity * share >= count * capacityMargin || capacityWhenEmpty * share >= count * emptyCapacityMargin;
+            if (chosen.length >= maxWorkers || isEnough && chosen.length >= minAdviceWorkers) {
                 break;
             }
             const isFresh = step.permits?.wasAsked(worker.id) !== true;
--- a/packages/cell/src/advising/constants.ts
+++ b/packages/cell/src/advising/constants.ts
@@ -6,7 +6,7 @@
 /** The same for a gang, whose members need their resources at one moment. */
 export const gangCapacityMargin = 3;
 /** A question names enough workers once the permitted ones are expected to hold the step this many times when empty. */
-export const choiceMargin = 2.5;
+export const emptyCapacityMargin = 2.5;
 /** Share of workers assumed to be permitted before a queue's first answer. */
 export const initialPermittedShare = 0.3;
 /** Lower bound of the learned share, so that questions of a queue with poor answers stay bounded. */
--- a/packages/cell/src/fair-share/submission-rate.ts
+++ b/packages/cell/src/fair-share/submission-rate.ts
@@ -15,9 +15,9 @@
 }
 
 /** A job's position among those of its organisation. */
-interface Place {
+interface JobPosition {
     /** From 1, in its window. */
-    readonly place: number;
+    readonly ordinal: number;
     /** Number of jobs in the window before. */
     readonly before: number;
 }
@@ -31,29 +31,29 @@
  */
 export class SubmissionRate implements Entitlements {
     readonly #tallies = new Map<OrganisationName, Tally>();
-    readonly #places = new WeakMap<Job, Place>();
+    readonly #positions = new WeakMap<Job, JobPosition>();
 
     constructor(private readonly jobRateOf: JobRateOf) {}
 
     /** Jobs must come in the order of their acceptance. */
     noteJob(job: Job): void {
-        if (job.organisation === undefined || this.#places.has(job)) {
+        if (job.organisation === undefined || this.#positions.has(job)) {
             return;
         }
         const tally = this.#tallyOf(job.organisation, Math.floor(job.acceptedAt / rateWindow));
         tally.count++;
-        this.#places.set(job, { place: tally.count, before: tally.before });
+        this.#positions.set(job, { ordinal: tally.count, before: tally.before });
     }
 
     /** Uses the newest configuration: a changed rate applies to jobs accepted earlier, too. */
     entitlementOf(job: Job): Entitlement {
         const rate = job.organisation && this.jobRateOf(job.organisation);
-        const position = this.#places.get(job);
+        const position = this.#positions.get(job);
         if (rate === undefined || position === undefined) {
             return Entitlement.Entitled;
         }
         const unused = Math.max(0, rate - position.before);
-        return position.place <= rate + unused ? Entitlement.Entitled : Entitlement.Surplus;
+        return position.ordinal <= rate + unused ? Entitlement.Entitled : Entitlement.Surplus;
     }
 
     #tallyOf(organisation: OrganisationName, second: number): Tally {
--- a/packages/cell/src/limits/constants.ts
+++ b/packages/cell/src/limits/constants.ts
@@ -16,7 +16,7 @@
  * Share of an organisation's limit that all but the most urgent queues may use, so that urgent jobs do not wait for seconds behind one job
  * of many tasks.
  */
-export const deferrableShare = 0.8;
+export const nonUrgentShare = 0.8;
 /**
  * Below this share of its limit an organisation's work is never blocked in favour of its other work: a job counts as lost if nothing of it
  * runs for three seconds while its organisation uses less than half of its limit.
--- a/packages/cell/src/limits/organisation-limits.ts
+++ b/packages/cell/src/limits/organisation-limits.ts
@@ -2,7 +2,7 @@
 import type { Milliseconds, OrganisationName } from "@pebbledale/core";
 import type { UsageLedger } from "../organisations/index.js";
 import type { Step, Task } from "../state/index.js";
-import { deferrableShare, limitWaitTime, unrestrictedShare } from "./constants.js";
+import { nonUrgentShare, limitWaitTime, unrestrictedShare } from "./constants.js";
 
 /**
  * Keeps each organisation's running work within its limit.
@@ -56,7 +56,7 @@
         if (terms.priority <= this.#mostUrgentPriority) {
             return remaining;
         }
-        const admissible = this.usage.countRemaining(organisation, size, deferrableShare);
+        const admissible = this.usage.countRemaining(organisation, size, nonUrgentShare);
         const isStarving = admissible === 0 && this.usage.isBelowShare(organisation, unrestrictedShare);
         return isStarving ? Math.min(1, remaining) : admissible;
     }
--- a/packages/cell/src/monitoring/progress-monitor.ts
+++ b/packages/cell/src/monitoring/progress-monitor.ts
@@ -15,7 +15,7 @@
     constructor(private readonly context: CellContext) {}
 
     /** Takes the progress of a worker's runs. `clock`: the worker's own clock at the time of the report. */
-    note(worker: WorkerState, reported: readonly (readonly [TaskRun, WorkerRun])[], clock: Milliseconds): void {
+    recordProgress(worker: WorkerState, reported: readonly (readonly [TaskRun, WorkerRun])[], clock: Milliseconds): void {
         const now = this.context.now();
         const samples = new Map<Step, RunPace[]>();
         for (const [run, progress] of reported) {
@@ -26,17 +26,17 @@
             }
         }
         const finding = assessSpeed([...samples].map(([step, paces]) => this.#samplesOf(worker, step, paces)));
-        samples.forEach((paces, step) => this.#paces.note(step, worker.id, medianOf(paces.map(({ pace }) => pace))));
+        samples.forEach((paces, step) => this.#paces.recordPace(step, worker.id, medianOf(paces.map(({ pace }) => pace))));
         if (finding !== undefined) {
             this.#judge(worker, finding, now);
         }
     }
 
     /** Takes the duration of a completed run as a reference for tasks of its step elsewhere. */
-    noteDone(run: TaskRun): void {
+    recordCompletion(run: TaskRun): void {
         const pace = paceOfCompleted(run, this.context.now());
         if (pace !== undefined) {
-            this.#paces.note(run.task.step, run.worker.id, pace);
+            this.#paces.recordPace(run.task.step, run.worker.id, pace);
         }
     }
 
--- a/packages/cell/src/monitoring/step-paces.ts
+++ b/packages/cell/src/monitoring/step-paces.ts
@@ -24,7 +24,7 @@
     readonly #paces = new WeakMap<Step, Map<WorkerId, number>>();
 
     /** Adds a sample of a step's tasks on a worker. */
-    note(step: Step, worker: WorkerId, pace: number): void {
+    recordPace(step: Step, worker: WorkerId, pace: number): void {
         const paces = this.#paces.get(step) ?? new Map<WorkerId, number>();
         this.#paces.set(step, paces);
         const average = paces.get(worker);
--- a/packages/cell/src/preemption/preemption-policy.ts
+++ b/packages/cell/src/preemption/preemption-policy.ts
@@ -17,7 +17,7 @@
     constructor(private readonly context: CellContext) {}
 
     mayPreemptFor(run: TaskRun, step: Step, now: Milliseconds): boolean {
-        return isPreemptibleBy(run, step.job.terms.priority) && this.#isOutrankedInTime(run, step, now);
+        return isPreemptibleBy(run, step.job.terms.priority) && this.#isOutrankedWithSlack(run, step, now);
     }
 
     mayPreemptForPriority(run: TaskRun, priority: number, now: Milliseconds): boolean {
@@ -26,7 +26,7 @@
     }
 
     /** Whether the step ranks before the run's step, whose job can be on time nevertheless. */
-    #isOutrankedInTime(run: TaskRun, step: Step, now: Milliseconds): boolean {
+    #isOutrankedWithSlack(run: TaskRun, step: Step, now: Milliseconds): boolean {
         const victim = rankStep(this.context, run.task.step, now);
         return slackOf(run, victim, now) > minSlackToPreempt
             && compareRanks(rankStep(this.context, step, now), victim) < 0;
--- a/packages/cell/src/runs/worker-incarnations.ts
+++ b/packages/cell/src/runs/worker-incarnations.ts
@@ -29,7 +29,7 @@
         if (former.silentSince === undefined) {
             this.silences.record(id, former.entry?.service, this.context.now());
         }
-        const worker = this.#succeed(former, incarnation);
+        const worker = this.#createSuccessor(former, incarnation);
         this.context.workers.set(id, worker);
         this.listener.workerGone(former);
         this.recordWorker(worker);
@@ -102,7 +102,7 @@
         this.context.options.log.log(logEvents.workerGone, { worker: worker.id, reason });
     }
 
-    #succeed(former: WorkerState, incarnation: WorkerIncarnation | undefined): WorkerState {
+    #createSuccessor(former: WorkerState, incarnation: WorkerIncarnation | undefined): WorkerState {
         const worker = former.createSuccessor(incarnation);
         if (worker.unlistedSince !== undefined) {
             // The new incarnation gets the full grace period to publish its entry.
--- a/packages/cell/src/runs/worker-poll-reconciler.ts
+++ b/packages/cell/src/runs/worker-poll-reconciler.ts
@@ -105,7 +105,7 @@
             }
         }
         worker.unknownRuns = unknownRuns;
-        this.progress.note(worker, progress, clock);
+        this.progress.recordProgress(worker, progress, clock);
         this.paces.update(worker, progress);
         for (const run of [...worker.runs.values()]) {
             if (reported.has(run)) {
--- a/packages/cell/src/scheduler/cell-scheduler.ts
+++ b/packages/cell/src/scheduler/cell-scheduler.ts
@@ -411,8 +411,8 @@
         const { step } = run.task;
         this.#health.noteEnd(run, end);
         if (end === RunEnd.Done) {
-            this.#speeds.noteDone(run, this.#context.now());
-            this.#progress.noteDone(run);
+            this.#speeds.recordCompletion(run, this.#context.now());
+            this.#progress.recordCompletion(run);
         }
         if (end !== RunEnd.Done && step.definition.isGang && !step.isDone) {
             this.#starts.stopMembers(step, "another member of its gang ended");
--- a/packages/cell/src/state/definition.ts
+++ b/packages/cell/src/state/definition.ts
@@ -123,6 +123,6 @@
     if (index === undefined || rest !== undefined) {
         return undefined;
     }
-    const place = { job: job as JobId, occurrence: Number(occurrence), step: Number(step), index: Number(index) };
-    return Number.isInteger(place.occurrence + place.step + place.index) ? place : undefined;
+    const coordinates = { job: job as JobId, occurrence: Number(occurrence), step: Number(step), index: Number(index) };
+    return Number.isInteger(coordinates.occurrence + coordinates.step + coordinates.index) ? coordinates : undefined;
 };
--- a/packages/cell/src/task-worker/types.ts
+++ b/packages/cell/src/task-worker/types.ts
@@ -117,12 +117,12 @@
 /** Calls to one incarnation of a worker. Each rejects with `WorkerUnreachableError` when there is no answer. */
 export interface TaskWorkerClient {
     /** Polls the worker. `limit`: timeout of the call, as in the other methods. */
-    poll(request: PollRequest, limit: Milliseconds, signal: AbortSignal): Promise<PollAnswer>;
+    poll(request: PollRequest, timeout: Milliseconds, signal: AbortSignal): Promise<PollAnswer>;
     /** Starts a run. Idempotent: a repeated order for a run that was started is accepted without effect. */
-    start(order: StartOrder, limit: Milliseconds, signal: AbortSignal): Promise<OrderAnswer>;
+    start(order: StartOrder, timeout: Milliseconds, signal: AbortSignal): Promise<OrderAnswer>;
     /** Stops a run. Its end is reported by a later poll. */
-    stop(order: StopOrder, limit: Milliseconds, signal: AbortSignal): Promise<OrderAnswer>;
-    pace(order: PaceOrder, limit: Milliseconds, signal: AbortSignal): Promise<OrderAnswer>;
+    stop(order: StopOrder, timeout: Milliseconds, signal: AbortSignal): Promise<OrderAnswer>;
+    pace(order: PaceOrder, timeout: Milliseconds, signal: AbortSignal): Promise<OrderAnswer>;
     /** Closes the connections. */
     close(): Promise<void>;
 }
--- a/packages/cell/src/upkeep/types.ts
+++ b/packages/cell/src/upkeep/types.ts
@@ -63,7 +63,7 @@
     /** Lists all VMs. */
     list(signal: AbortSignal): Promise<readonly VmEntry[]>;
     /** Begins a VM's upkeep: its runs are killed at once and it returns with a new worker. */
-    beginUpkeep(vm: VmId, wave: number, orderer: VmOrderIssuer, signal: AbortSignal): Promise<VmOrderAnswer>;
+    beginUpkeep(vm: VmId, wave: number, issuer: VmOrderIssuer, signal: AbortSignal): Promise<VmOrderAnswer>;
 }
 
 /** Reports the status of waves to operators. Calls reject when no answer arrives. */
--- a/packages/cell/src/upkeep/wave-planner.ts
+++ b/packages/cell/src/upkeep/wave-planner.ts
@@ -37,9 +37,9 @@
 
 interface Wave {
     readonly definition: UpkeepWave;
-    readonly since: Milliseconds;
+    readonly addedAt: Milliseconds;
     /** VMs whose upkeep was ordered. */
-    readonly begun: Map<VmId, Order>;
+    readonly orders: Map<VmId, Order>;
     /** VMs that are up again after their upkeep, or no longer listed. */
     readonly finished: Set<VmId>;
     /** VMs that were seen down after their order. */
@@ -75,8 +75,8 @@
         if (!this.#waves.has(wave) && !this.#completed.has(wave)) {
             this.#waves.set(wave, {
                 definition,
-                since: this.options.now(),
-                begun: new Map(),
+                addedAt: this.options.now(),
+                orders: new Map(),
                 finished: new Set(),
                 seenDown: new Set(),
             });
@@ -97,11 +97,11 @@
 
     /** An order is issued. Its VM counts as down until the order is refused or found not to be carried out. */
     noteOrdered(wave: number, vm: VmId): void {
-        this.#waves.get(wave)?.begun.set(vm, this.#newOrder(false));
+        this.#waves.get(wave)?.orders.set(vm, this.#newOrder(false));
     }
 
     noteConfirmed(wave: number, vm: VmId): void {
-        const order = this.#waves.get(wave)?.begun.get(vm);
+        const order = this.#waves.get(wave)?.orders.get(vm);
         if (order !== undefined) {
             order.isConfirmed = true;
         }
@@ -109,7 +109,7 @@
 
     /** An order was refused. It is issued again later. */
     noteRefused(wave: number, vm: VmId): void {
-        this.#waves.get(wave)?.begun.delete(vm);
+        this.#waves.get(wave)?.orders.delete(vm);
     }
 
     /** Computes the actions that are due now. */
@@ -130,13 +130,13 @@
 
     #planWave(number: number, wave: Wave, closed: Set<WorkerId>, begin: { wave: number; vm: VmId; }[]): void {
         const { definition } = wave;
-        const down = definition.vms.filter(vm => wave.begun.has(vm) && !wave.finished.has(vm)).length;
+        const down = definition.vms.filter(vm => wave.orders.has(vm) && !wave.finished.has(vm)).length;
         let free = definition.mostDown - down;
         // In addition to the VMs that are down, as many are drained as may go down next.
         let draining = definition.mostDown;
         for (const vm of definition.vms) {
             const entry = this.#vms.get(vm);
-            const isOpen = !wave.begun.has(vm) && !wave.finished.has(vm) && entry?.state === VmCondition.Up;
+            const isOpen = !wave.orders.has(vm) && !wave.finished.has(vm) && entry?.state === VmCondition.Up;
             if (!isOpen || draining === 0) {
                 continue;
             }
@@ -156,11 +156,11 @@
         if (planned === undefined || planned.runs === 0) {
             return true;
         }
-        return !planned.isNeeded && this.options.now() > wave.since + this.#maxDrainTime(wave);
+        return !planned.isNeeded && this.options.now() > wave.addedAt + this.#maxDrainTime(wave);
     }
 
     /** How long VMs may drain, from the start of the wave: the rest of its time is needed for the upkeep itself. */
-    #maxDrainTime({ definition, begun }: Wave): Milliseconds {
+    #maxDrainTime({ definition, orders: begun }: Wave): Milliseconds {
         const rounds = Math.ceil((definition.vms.length - begun.size) / Math.max(1, definition.mostDown));
         const needed = rounds * (this.options.upkeepTime + upkeepMargin);
         const elapsedShare = begun.size / Math.max(1, definition.vms.length);
@@ -174,14 +174,14 @@
     /** Updates a VM's progress: it is finished once it is up again after its upkeep, or no longer listed. */
     #updateVm(wave: Wave, vm: VmId): void {
         const entry = this.#vms.get(vm);
-        const order = wave.begun.get(vm);
+        const order = wave.orders.get(vm);
         if (entry === undefined) {
             wave.finished.add(vm);
             return;
         }
         if (entry.state === VmCondition.Upkeep) {
             // An earlier owner may have issued the order.
-            wave.begun.set(vm, { ...order ?? this.#newOrder(true), isConfirmed: true });
+            wave.orders.set(vm, { ...order ?? this.#newOrder(true), isConfirmed: true });
             wave.seenDown.add(vm);
             return;
         }
@@ -194,7 +194,7 @@
         }
         else if (isOverdue) {
             // The order had no answer: it is issued again, which is answered as done if it was carried out.
-            wave.begun.delete(vm);
+            wave.orders.delete(vm);
         }
     }
 }
--- a/packages/cell/src/worker-speed/speed-estimator.ts
+++ b/packages/cell/src/worker-speed/speed-estimator.ts
@@ -22,7 +22,7 @@
     /** The latest pace of each step's tasks, by worker. */
     readonly #paces = new WeakMap<Step, Map<WorkerState, number>>();
 
-    noteDone(run: TaskRun, now: Milliseconds): void {
+    recordCompletion(run: TaskRun, now: Milliseconds): void {
         const { worker, task: { step } } = run;
         const pace = paceOfCompleted(run, now);
         if (pace === undefined || worker.slowUntil > now) {
--- a/packages/cell/test/advising/advice-dispatcher.test.ts
+++ b/packages/cell/test/advising/advice-dispatcher.test.ts
@@ -144,8 +144,8 @@
     const policy = { decision: 16, eachWorker: 0.23, validity: 1_500 };
 
     it("are examined only as far as VMs are free, not all of them for each answer", () => {
-        let looks = 0;
-        const requester = { isAdviceWanted: () => ++looks > 0, dropAdvice: () => undefined };
+        let checks = 0;
+        const requester = { isAdviceWanted: () => ++checks > 0, dropAdvice: () => undefined };
         const dispatcher = new AdviceDispatcher(() => 0, requester);
         const asked: number[] = [];
         for (let index = 0; index < 20; index++) {
@@ -155,11 +155,11 @@
             dispatcher.ask({ step: `s${index}`, workers: workersOf(12), urgency: 0, policy });
         }
         expect(asked.length).toEqual(160);
-        looks = 0;
+        checks = 0;
         for (let answered = 0; answered < 100; answered++) {
             dispatcher.complete(asked[answered]);
         }
         expect(asked.length).toEqual(260);
-        expect(looks).toEqual(100);
+        expect(checks).toEqual(100);
     });
 });
--- a/packages/cell/test/crashes/crash-fuzz.test.ts
+++ b/packages/cell/test/crashes/crash-fuzz.test.ts
@@ -15,7 +15,7 @@
 const startCrashDelay = 10;
 const stepsUnderFaults = 500;
 /** Time within which every job must end, with trials of all tasks at fault one after the other. */
-const maxRest = 240_000;
+const maxSettlingTime = 240_000;
 
 /** One seeded scenario. */
 class CrashScenario {
@@ -41,7 +41,7 @@
             this.#injectFaults();
             this.cell.advance(stepTime);
         }
-        for (let rested = 0; rested < maxRest && !this.#haveAllEnded(); rested += 1_000) {
+        for (let elapsed = 0; elapsed < maxSettlingTime && !this.#haveAllEnded(); elapsed += 1_000) {
             this.cell.advance(1_000);
         }
         this.#check();
@@ -139,9 +139,9 @@
 
     /** Number of shared losses of a job: during those, a task that crashes its worker late cannot be distinguished from others. */
     #sharedLossesOf(job: string): number {
-        const isMeant = ({ task }: Readonly<Record<string, unknown>>) => task === `${job}/0/0/0`;
+        const isOfJob = ({ task }: Readonly<Record<string, unknown>>) => task === `${job}/0/0/0`;
         const lost = this.cell.driver.logged.filter(({ event }) => event === logEvents.runLost);
-        return lost.filter(({ fields }) => isMeant(fields) && fields["isShared"] === true).length;
+        return lost.filter(({ fields }) => isOfJob(fields) && fields["isShared"] === true).length;
     }
 
     #happens(probability: number): boolean {
--- a/packages/cell/test/monitoring/slow-workers.test.ts
+++ b/packages/cell/test/monitoring/slow-workers.test.ts
@@ -84,8 +84,8 @@
     });
 
     it("are detected in time when they run all tasks of a job", () => {
-        const hasEnough = (fleet: Fleet) =>
+        const withEnoughTasks = (fleet: Fleet) =>
             fleet.workersOfWidestJob(12).filter(id => fleet.workersWithTasks(minTasks, minRunTime).includes(id));
-        expect(detectedShares(terms, 4, hasEnough)).toEqual(all);
+        expect(detectedShares(terms, 4, withEnoughTasks)).toEqual(all);
     });
 });
--- a/packages/cell/test/support/crashing-cell.ts
+++ b/packages/cell/test/support/crashing-cell.ts
@@ -25,7 +25,7 @@
 /** Time after which a crashed worker is replaced. */
 const restartTime: Milliseconds = 3_000;
 /** Longer than a restart takes. */
-const leaseLength: Milliseconds = 6_000;
+const leaseDuration: Milliseconds = 6_000;
 /** Time after which a gang member ends because other members have not started. */
 const gangWait: Milliseconds = 3_000;
 /** Time since the last answer of a worker when its silence is noticed. */
@@ -175,7 +175,7 @@
             host.isNewLink = true;
             host.isSilent = false;
             if (host.backAt !== undefined) {
-                this.driver.cell.applySilence(host.worker, now + leaseLength);
+                this.driver.cell.applySilence(host.worker, now + leaseDuration);
             }
         }
         this.#runTurn();
@@ -286,7 +286,7 @@
 
     #poll(host: Host, isFirst: boolean): void {
         host.isSilent = false;
-        host.leaseUntil = this.clock.monotonic() + leaseLength;
+        host.leaseUntil = this.clock.monotonic() + leaseDuration;
         const reported: WorkerRun[] = host.runs.map(({ start, startedAt }) =>
             running(start, this.#percentOf(start.task, startedAt))
         );
@@ -311,7 +311,7 @@
         this.crashes.push({ at: now, worker: host.worker, by, tasks: host.runs.map(run => run.start.task), backAt });
         host.runs = [];
         host.backAt = backAt;
-        this.driver.cell.applySilence(host.worker, now + leaseLength, { cause: "connection refused", heardAgo });
+        this.driver.cell.applySilence(host.worker, now + leaseDuration, { cause: "connection refused", heardAgo });
     }
 
     #stop({ worker, task, run }: StopCommand): void {
--- a/packages/cell/test/worker-speed/speed-estimator.test.ts
+++ b/packages/cell/test/worker-speed/speed-estimator.test.ts
@@ -18,7 +18,7 @@
 };
 
 /** Plays jobs with a task on each worker that takes that worker's time, with estimates that are off by up to e squared. */
-const playJobs = (driver: CellDriver, count: number, timeOf: (worker: string) => number, seed = 1): void => {
+const runJobs = (driver: CellDriver, count: number, timeOf: (worker: string) => number, seed = 1): void => {
     const random = new SeededRandom(seed);
     for (let index = 0; index < count; index++) {
         const estimate = Math.round(1_000 * Math.exp(random.next() * 4 - 2));
@@ -49,7 +49,7 @@
         const times = new Map<string, number>();
         for (let jobs = 0; jobs < 30; jobs++) {
             ids.forEach(id => times.set(id, 700 + Math.round(random.next() * 600)));
-            playJobs(driver, 1, id => times.get(id)!, jobs);
+            runJobs(driver, 1, id => times.get(id)!, jobs);
         }
         expect(ids.map(id => slownessOf(driver, id))).toEqual([1, 1, 1, 1]);
     });
@@ -59,7 +59,7 @@
             const driver = makeDriver();
             let previous = 1;
             for (let jobs = 0; jobs < 30; jobs++) {
-                playJobs(driver, 1, firstIsFast, seed + jobs);
+                runJobs(driver, 1, firstIsFast, seed + jobs);
                 const slowness = slownessOf(driver, "w1");
                 expect(slowness <= previous + tolerance && slowness >= 0.5).toEqual(true);
                 previous = slowness;
@@ -72,21 +72,21 @@
 
     it("is bounded, however long a task takes", () => {
         const driver = makeDriver();
-        playJobs(driver, 40, id => id === "w1" ? 100_000 : 1_000);
+        runJobs(driver, 40, id => id === "w1" ? 100_000 : 1_000);
         expect(slownessOf(driver, "w1")).toBeLessThan(4.01);
     });
 
     it("returns to neutral once the worker's tasks take as long as others'", () => {
         const driver = makeDriver();
-        playJobs(driver, 20, firstIsFast);
+        runJobs(driver, 20, firstIsFast);
         expect(slownessOf(driver, "w1")).toBeLessThan(0.7);
-        playJobs(driver, 60, () => 1_000);
+        runJobs(driver, 60, () => 1_000);
         expect(slownessOf(driver, "w1")).toEqual(1);
     });
 
     it("starts neutral for a restarted worker and for a new owner", () => {
         const driver = makeDriver();
-        playJobs(driver, 20, firstIsFast);
+        runJobs(driver, 20, firstIsFast);
         driver.cell.applyRestart(workerId("w1"), workerIncarnation(2));
         expect(slownessOf(driver, "w1")).toEqual(1);
         driver.takeOver();
@@ -98,7 +98,7 @@
 describe("tasks on workers of uneven speed", () => {
     it("go to fast workers if they are urgent, and leave these to others if they are deferrable", () => {
         const driver = makeDriver();
-        playJobs(driver, 20, firstIsFast);
+        runJobs(driver, 20, firstIsFast);
         driver.cell.submit(makeJob("deferrable", [makeStep()], { queue: queueName("deferrable") }));
         expect(driver.run().starts.map(({ worker }) => worker === idOf("w1"))).toEqual([false]);
         driver.cell.submit(makeJob("urgent", [makeStep()]));
--- a/packages/core/src/settings/shard-settings.ts
+++ b/packages/core/src/settings/shard-settings.ts
@@ -39,7 +39,7 @@
         retryDelay: tree.number("retry.delay", classPath),
         resultBytes: tree.number("result.bytes", path),
         retention: tree.number("result.retention", path),
-        gangPatience: tree.number("placement.gang_patience", classPath),
+        gangReservationDelay: tree.number("placement.gang_patience", classPath),
         slotGrant: tree.number("live.slot_grant", path),
         quarantineShare: tree.number("worker.quarantine_share", path),
         quarantineDuration: tree.number("worker.quarantine_duration", path),
--- a/packages/core/src/shard/placement-cycle.ts
+++ b/packages/core/src/shard/placement-cycle.ts
@@ -81,7 +81,7 @@
         const avoided = this.context.health.failedWorkersOf(job.job);
         const selection = this.#selector.select({ unit, job, settings, avoided, now });
         if (selection === undefined) {
-            if (unit.tasks.length > 1 && now - unit.since >= settings.gangPatience) {
+            if (unit.tasks.length > 1 && now - unit.since >= settings.gangReservationDelay) {
                 this.context.gangReservation.reserve(job.job, size, unit.tasks.length, now);
             }
             return false;
--- a/packages/core/src/shard/settings.ts
+++ b/packages/core/src/shard/settings.ts
@@ -16,7 +16,7 @@
     readonly retryDelay: Milliseconds;
     readonly resultBytes: number;
     readonly retention: Milliseconds;
-    readonly gangPatience: Milliseconds;
+    readonly gangReservationDelay: Milliseconds;
     readonly slotGrant: Milliseconds;
     readonly quarantineShare: number;
     readonly quarantineDuration: Milliseconds;
--- a/packages/core/src/time/suspension-detector.ts
+++ b/packages/core/src/time/suspension-detector.ts
@@ -5,7 +5,7 @@
  * Smallest jump of the wall clock that counts as a suspension, well above its resolution and slewing. Lease margins cover
  * shorter suspensions.
  */
-const minGap: Milliseconds = 100;
+const minJump: Milliseconds = 100;
 
 /**
  * Detects possible suspensions of the machine.
@@ -20,9 +20,9 @@
     #uninterruptedSince: Milliseconds = -Infinity;
 
     /** Compares readings of both clocks; returns the monotonic time of the last detected jump, or -Infinity. */
-    check(monotonic: Milliseconds, timeOfDay: number): Milliseconds {
-        const offset = timeOfDay - monotonic;
-        if (this.#offset !== undefined && offset - this.#offset > minGap) {
+    check(monotonic: Milliseconds, wallClock: number): Milliseconds {
+        const offset = wallClock - monotonic;
+        if (this.#offset !== undefined && offset - this.#offset > minJump) {
             this.#uninterruptedSince = monotonic;
         }
         this.#offset = offset;
