--- a/packages/cell/src/advising/advice-planner.ts
+++ b/packages/cell/src/advising/advice-planner.ts
@@ -108,7 +108,7 @@
 
     /** A question, or a part of one, was discarded without being asked. */
     drop(address: string, workers: readonly WorkerId[]): void {
-        this.#settle(address, workers);
+        this.#endQuestion(address, workers);
     }
 
     /** Renews the tickets of a plan that will have expired by its start, just in time. */
@@ -148,7 +148,7 @@
     ): void {
         const permits = this.#pending.get(address)?.permits;
         const asked = workerIds.filter(worker => permits?.isAnswerCurrent(worker) !== false);
-        const step = this.#settle(address, workerIds);
+        const step = this.#endQuestion(address, workerIds);
         if (step?.permits === undefined) {
             return;
         }
@@ -299,9 +299,9 @@
     }
 
     /** Ends a question or a part of one. Returns its step if that is still known. */
-    #settle(address: string, workers: readonly WorkerId[]): Step | undefined {
+    #endQuestion(address: string, workers: readonly WorkerId[]): Step | undefined {
         const step = this.#pending.get(address);
-        step?.permits?.questionSettled(workers);
+        step?.permits?.questionEnded(workers);
         if (step?.permits?.hasPendingQuestion !== true) {
             this.#pending.delete(address);
         }
--- a/packages/cell/src/runs/run-lifecycle.ts
+++ b/packages/cell/src/runs/run-lifecycle.ts
@@ -114,7 +114,7 @@
     /** Marks a run as reported by a poll of its worker, which also confirms it. */
     confirmReported(run: TaskRun): void {
         run.isReported = true;
-        this.#settleFormerIncarnation(run);
+        this.#resolveFormerIncarnation(run);
         this.confirm(run);
     }
 
@@ -172,7 +172,7 @@
         const task = this.context.table.taskOf(ended.task);
         const run = worker.runOf(ended.task, ended.run);
         if (run !== undefined) {
-            this.#settleFormerIncarnation(run);
+            this.#resolveFormerIncarnation(run);
             this.#remove(run);
         }
         if (task === undefined || task.endedRuns.has(ended.run)) {
@@ -245,7 +245,7 @@
     }
 
     /** Resolves which incarnation has a run: the current one. */
-    #settleFormerIncarnation(run: TaskRun): void {
+    #resolveFormerIncarnation(run: TaskRun): void {
         if (run.formerIncarnation === undefined) {
             return;
         }
--- a/packages/cell/src/runs/worker-incarnations.ts
+++ b/packages/cell/src/runs/worker-incarnations.ts
@@ -19,7 +19,7 @@
     /**
      * Handles a worker that restarted under its id. Runs that the former incarnation reported are lost. Runs that were ordered but not
      * reported may have been started by either incarnation, or may yet be started by the new one until it has seen a higher token; the
-     * first poll under a new link settles them. Returns the entry that may describe the new incarnation, if one is known.
+     * first poll under a new link resolves them. Returns the entry that may describe the new incarnation, if one is known.
      */
     applyRestart(id: WorkerId, incarnation: WorkerIncarnation | undefined): WorkerEntry | undefined {
         const former = this.context.workers.get(id);
--- a/packages/cell/src/runs/worker-poll-reconciler.ts
+++ b/packages/cell/src/runs/worker-poll-reconciler.ts
@@ -22,10 +22,10 @@
     ) {}
 
     /**
-     * Applies a full poll. `sentAt`: when the request was sent, by the owner's monotonic clock. `settledBefore`: start orders sent
+     * Applies a full poll. `sentAt`: when the request was sent, by the owner's monotonic clock. `resolvedBefore`: start orders sent
      * before this time whose runs are not reported were not carried out and will not be.
      */
-    applyPoll(id: WorkerId, poll: PollResult, sentAt: Milliseconds, settledBefore: Milliseconds): void {
+    applyPoll(id: WorkerId, poll: PollResult, sentAt: Milliseconds, resolvedBefore: Milliseconds): void {
         const worker = this.context.workers.get(id);
         if (worker === undefined) {
             return;
@@ -39,7 +39,7 @@
         this.crashes.noteAnswer(id, worker.incarnation);
         this.#markAnswered(worker);
         this.applyEnds(id, poll.ended);
-        this.#compare(worker, poll, sentAt, settledBefore);
+        this.#compare(worker, poll, sentAt, resolvedBefore);
         if (isFirst) {
             this.context.options.log.log(logEvents.workerSeen, {
                 worker: id,
@@ -79,7 +79,7 @@
         worker: WorkerState,
         { running, clock }: PollResult,
         sentAt: Milliseconds,
-        settledBefore: Milliseconds,
+        resolvedBefore: Milliseconds,
     ): void {
         const reported = new Set<TaskRun>();
         const progress: [TaskRun, WorkerRun][] = [];
@@ -111,8 +111,8 @@
             if (reported.has(run)) {
                 continue;
             }
-            if (isSettled(run, settledBefore)) {
-                this.#settleUnreported(run);
+            if (isResolved(run, resolvedBefore)) {
+                this.#resolveUnreported(run);
             }
             else if (run.confirmedAt !== undefined && run.confirmedAt < sentAt) {
                 this.runs.lose(run, {
@@ -125,7 +125,7 @@
     }
 
     /** Handles an ordered run that the worker does not have and will not start. */
-    #settleUnreported(run: TaskRun): void {
+    #resolveUnreported(run: TaskRun): void {
         if (run.formerIncarnation !== undefined) {
             this.runs.lose(run, this.incarnations.lossOf(run.worker, "the worker restarted", LossCause.Crashed));
         }
@@ -153,12 +153,12 @@
  * Whether a poll that does not report a run proves that the run was not started and will not be. An order to a former incarnation
  * precedes the link to the current one even where the clock shows the same time for both; otherwise its task would wait forever.
  */
-const isSettled = (
+const isResolved = (
     { confirmedAt, sentAt, formerIncarnation }: TaskRun,
-    settledBefore: Milliseconds,
+    resolvedBefore: Milliseconds,
 ): boolean => {
     const isSent = confirmedAt === undefined && sentAt !== undefined;
-    return isSent && (formerIncarnation === undefined ? sentAt < settledBefore : settledBefore > -Infinity);
+    return isSent && (formerIncarnation === undefined ? sentAt < resolvedBefore : resolvedBefore > -Infinity);
 };
 
 /** Whether a task's job has ended and the task will not end by itself, as members of a complete gang do. */
--- a/packages/cell/src/runs/worker-pool.ts
+++ b/packages/cell/src/runs/worker-pool.ts
@@ -80,8 +80,8 @@
         this.#entries.markUnlisted(id);
     }
 
-    applyPoll(id: WorkerId, poll: PollResult, sentAt: Milliseconds, settledBefore: Milliseconds): void {
-        this.#polls.applyPoll(id, poll, sentAt, settledBefore);
+    applyPoll(id: WorkerId, poll: PollResult, sentAt: Milliseconds, resolvedBefore: Milliseconds): void {
+        this.#polls.applyPoll(id, poll, sentAt, resolvedBefore);
     }
 
     applyEnds(id: WorkerId, ended: PollResult["ended"]): void {
--- a/packages/cell/src/scheduler/cell-scheduler.ts
+++ b/packages/cell/src/scheduler/cell-scheduler.ts
@@ -255,11 +255,11 @@
     }
 
     /**
-     * Applies a full poll of a worker. `sentAt`: when the request was sent, by the owner's monotonic clock. `settledBefore`: start
+     * Applies a full poll of a worker. `sentAt`: when the request was sent, by the owner's monotonic clock. `resolvedBefore`: start
      * orders sent before this time whose runs are not reported were not carried out and will not be.
      */
-    applyPoll(worker: WorkerId, poll: PollResult, sentAt: Milliseconds, settledBefore: Milliseconds): void {
-        this.#pool.applyPoll(worker, poll, sentAt, settledBefore);
+    applyPoll(worker: WorkerId, poll: PollResult, sentAt: Milliseconds, resolvedBefore: Milliseconds): void {
+        this.#pool.applyPoll(worker, poll, sentAt, resolvedBefore);
     }
 
     /** Applies ends of runs that a worker reported outside a full poll. */
--- a/packages/cell/src/state/job-table.ts
+++ b/packages/cell/src/state/job-table.ts
@@ -127,16 +127,16 @@
 
     /** Serializable copy of the state. */
     snapshot(): CellSnapshot {
-        const workers = [...this.knownWorkers].map(([id, { address, incarnation: life }]): WorkerSnapshot =>
-            life === undefined ? [id, address] : [id, address, life]
+        const workers = [...this.knownWorkers].map(([id, { address, incarnation }]): WorkerSnapshot =>
+            incarnation === undefined ? [id, address] : [id, address, incarnation]
         );
         return { jobs: [...this.jobs.values()].map(snapshotOf), workers };
     }
 
     /** Adds the contents of a snapshot to an empty table. */
     restore(snapshot: CellSnapshot): void {
-        snapshot.workers.forEach(([worker, address, life]) =>
-            this.knownWorkers.set(worker, { address, incarnation: life })
+        snapshot.workers.forEach(([worker, address, incarnation]) =>
+            this.knownWorkers.set(worker, { address, incarnation })
         );
         snapshot.jobs.forEach(saved => this.#restoreJob(saved));
     }
@@ -302,8 +302,8 @@
     task.failures,
     task.checkpoint,
     [...task.endedRuns],
-    [...task.openRuns].map(([run, { worker, incarnation: life }]): OpenRunSnapshot =>
-        life === undefined ? [run, worker] : [run, worker, life]
+    [...task.openRuns].map(([run, { worker, incarnation }]): OpenRunSnapshot =>
+        incarnation === undefined ? [run, worker] : [run, worker, incarnation]
     ),
 ];
 
--- a/packages/cell/src/state/step-permits.ts
+++ b/packages/cell/src/state/step-permits.ts
@@ -39,7 +39,7 @@
     }
 
     /** Marks a question, or a part of one, as answered or given up. */
-    questionSettled(workers: readonly WorkerId[]): void {
+    questionEnded(workers: readonly WorkerId[]): void {
         workers.forEach(worker => {
             this.#pending.delete(worker);
             this.#outdated.delete(worker);
--- a/packages/cell/test/load/replays.test.ts
+++ b/packages/cell/test/load/replays.test.ts
@@ -21,10 +21,10 @@
 const servedWideShares = (outcomes: readonly Outcome[]): readonly number[] =>
     outcomes.map(({ queues }) => queues["wide"].all.share);
 
-const expectOthersServed = ({ queues, violations: broken }: Outcome): void => {
+const expectOthersServed = ({ queues, violations }: Outcome): void => {
     expect(queues["urgent"].all.share).toBeGreaterThan(0.97);
     expect(queues["patient"].all.share).toBeGreaterThan(0.98);
-    expect(broken).toEqual([]);
+    expect(violations).toEqual([]);
 };
 
 describe("load of urgent jobs, deferrable jobs, and wide gangs that a quarter of the workers may run", () => {
@@ -57,7 +57,7 @@
 describe("load of twenty organisations with limits, one of which sends eight times its usual urgent jobs", () => {
     it("serves urgent jobs beside deferrable ones of the same organisation, and never exceeds a limit", () => {
         const outcomes = [play(sharedLoad, 1), play(sharedLoad, 2)];
-        outcomes.forEach(({ violations: broken }) => expect(broken).toEqual([]));
+        outcomes.forEach(({ violations }) => expect(violations).toEqual([]));
         expect(meanOf(outcomes.map(({ queues }) => queues["urgent"].all.share))).toBeGreaterThan(0.95);
     });
 });
@@ -65,8 +65,8 @@
 describe("load of a small cell with tasks that crash their workers, while workers also crash for other reasons", () => {
     it("gives up only these tasks, each after at most three workers, and continues to serve urgent jobs", () => {
         const outcomes = [play(crashingLoad, 1), play(crashingLoad, 2)];
-        for (const { queues, violations: broken, mostCrashes } of outcomes) {
-            expect(broken).toEqual([]);
+        for (const { queues, violations, mostCrashes } of outcomes) {
+            expect(violations).toEqual([]);
             expect(mostCrashes <= 3).toEqual(true);
             expect(queues["faulty"].all.submitted > 0).toEqual(true);
             expect(queues["urgent"].all.share).toBeGreaterThan(0.88);
--- a/packages/cell/test/load/urgent-work.test.ts
+++ b/packages/cell/test/load/urgent-work.test.ts
@@ -10,9 +10,9 @@
     it("serves urgent jobs, also those of a burst, while deferrable ones are on time", () => {
         const outcomes = [play(1), play(2)];
         expect(meanOf(outcomes.map(({ queues }) => queues["urgent"].all.share))).toBeGreaterThan(0.95);
-        outcomes.forEach(({ queues, violations: broken }) => {
+        outcomes.forEach(({ queues, violations }) => {
             expect(queues["patient"].all.share).toBeGreaterThan(0.9);
-            expect(broken).toEqual([]);
+            expect(violations).toEqual([]);
         });
     });
 });
--- a/packages/cell/test/scheduler/restarts.test.ts
+++ b/packages/cell/test/scheduler/restarts.test.ts
@@ -1,6 +1,6 @@
 /*
  * Guards against state of a former incarnation that is applied to the next one: advice kept by worker id, strikes left unexplained, and
- * orders left unsettled.
+ * orders left unresolved.
  */
 import { logEvents, workerIncarnation } from "@pebbledale/core";
 import { expect } from "earl";
@@ -72,8 +72,8 @@
     });
 });
 
-describe("a restart that an owner could not settle before it failed", () => {
-    it("is settled by the next owner, which attributes the crash to runs ordered from the former incarnation", () => {
+describe("a restart that an owner could not resolve before it failed", () => {
+    it("is resolved by the next owner, which attributes the crash to runs ordered from the former incarnation", () => {
         for (const fromSnapshot of [false, true]) {
             const driver = new CellDriver();
             driver.addWorkers(makeWorker("w", { life: formerIncarnation }));
--- a/packages/cell/test/scheduler/take-over.test.ts
+++ b/packages/cell/test/scheduler/take-over.test.ts
@@ -107,7 +107,7 @@
 });
 
 describe("a link that is assigned to another VM", () => {
-    it("does not settle orders that were decided but not sent yet", () => {
+    it("does not resolve orders that were decided but not sent yet", () => {
         const driver = new CellDriver();
         driver.addWorkers(makeWorker("w1"));
         driver.cell.submit(makeJob("j", [makeStep()]));
@@ -120,7 +120,7 @@
         expect(driver.run().starts).toEqual([]);
     });
 
-    it("settles orders that were sent over the former link", () => {
+    it("resolves orders that were sent over the former link", () => {
         const driver = new CellDriver();
         driver.addWorkers(makeWorker("w1"));
         driver.cell.submit(makeJob("j", [makeStep()]));
@@ -133,7 +133,7 @@
 });
 
 describe("a task whose job was cancelled", () => {
-    /** A job that was cancelled while its only start had no answer, which the link then settled as not started. */
+    /** A job that was cancelled while its only start had no answer, which the link then resolved as not started. */
     const cancelled = () => {
         const driver = new CellDriver();
         driver.addWorkers(makeWorker("w1"));
--- a/packages/cell/test/support/cell-driver.ts
+++ b/packages/cell/test/support/cell-driver.ts
@@ -51,7 +51,7 @@
         entries.forEach(entry => this.poll(entry.worker));
     }
 
-    /** Applies a poll that reports `running` and `ended`. `isFirst`: whether it is the first of a link, which settles earlier orders. */
+    /** Applies a poll that reports `running` and `ended`. `isFirst`: whether it is the first of a link, which resolves earlier orders. */
     poll(worker: string, running: readonly WorkerRun[] = [], ended: readonly EndedRun[] = [], isFirst = true): void {
         const now = this.clock.monotonic();
         const report: PollResult = { clock: now, running, ended };
--- a/packages/cell/test/support/load/replay.ts
+++ b/packages/cell/test/support/load/replay.ts
@@ -419,11 +419,11 @@
         }
     }
 
-    #poll(worker: LoadWorker, settledBefore = -Infinity): void {
+    #poll(worker: LoadWorker, resolvedBefore = -Infinity): void {
         this.#pollPlanned.delete(worker);
         const now = this.#clock.monotonic();
         if (worker.isUp) {
-            this.#cell.applyPoll(worker.entry.worker, worker.poll(now), now - messageDelay, settledBefore);
+            this.#cell.applyPoll(worker.entry.worker, worker.poll(now), now - messageDelay, resolvedBefore);
         }
     }
 
--- a/packages/cell/test/support/simulated-cell.ts
+++ b/packages/cell/test/support/simulated-cell.ts
@@ -400,10 +400,10 @@
         const fresh = poll.ended.filter(end => end.number > link.reportedThrough);
         fresh.forEach(end => this.#countEnd(end));
         link.reportedThrough = Math.max(link.reportedThrough, ...fresh.map(end => end.number));
-        const settledBefore = link.isNewLink ? now : -Infinity;
+        const resolvedBefore = link.isNewLink ? now : -Infinity;
         link.isNewLink = false;
         link.isSilent = false;
-        this.driver.cell.applyPoll(link.worker.id, { ...poll, ended: fresh }, now, settledBefore);
+        this.driver.cell.applyPoll(link.worker.id, { ...poll, ended: fresh }, now, resolvedBefore);
     }
 
     #start(command: StartCommand, now: Milliseconds, hasFaults: boolean): void {
@@ -423,14 +423,14 @@
         else {
             this.#lateStarts.push({ at: now + this.#below(3 * lease), link, worker, token, command });
         }
-        this.#settle(link, command, now);
+        this.#resolveStart(link, command, now);
     }
 
-    /** Settles a start without an answer: raises the token, so that the next poll is conclusive. */
-    #settle(link: Link, { worker, task, run }: StartCommand, now: Milliseconds): void {
+    /** Resolves a start without an answer: raises the token, so that the next poll is conclusive. */
+    #resolveStart(link: Link, { worker, task, run }: StartCommand, now: Milliseconds): void {
         link.token++;
         if (now < link.unreachableUntil) {
-            // The link keeps polling, and the first answer of the worker settles this start too.
+            // The link keeps polling, and the first answer of the worker resolves this start too.
             link.isNewLink = true;
             return;
         }
--- a/packages/core/src/journal/journal.ts
+++ b/packages/core/src/journal/journal.ts
@@ -347,20 +347,20 @@
      * double the bytes written, or before the ring runs out of keys.
      */
     #isSnapshotDue(): boolean {
-        const { snapshotEvery, ringSize, maxValueBytes: largestBytes } = this.dependencies.options;
+        const { snapshotEvery, ringSize, maxValueBytes } = this.dependencies.options;
         const since = this.#sequence - (this.#snapshot?.through ?? 0);
         if (since < snapshotEvery) {
             return false;
         }
         const waitingBytes = this.#pending.reduce((sum, entry) => sum + entry.bytes, 0);
-        const expected = since + Math.ceil(2 * waitingBytes / largestBytes);
+        const expected = since + Math.ceil(2 * waitingBytes / maxValueBytes);
         return this.#bytesSinceSnapshot >= this.#snapshotBytes || expected >= ringSize * snapshotFillRatio;
     }
 
     /** Whether the ring is nearly full, so that a snapshot must free keys first. */
     #isRingNearlyFull(): boolean {
-        const { ringSize, maxInFlight: mostOnTheirWay } = this.dependencies.options;
-        return this.#sequence - (this.#snapshot?.through ?? 0) >= ringSize * blockingFillRatio - mostOnTheirWay;
+        const { ringSize, maxInFlight } = this.dependencies.options;
+        return this.#sequence - (this.#snapshot?.through ?? 0) >= ringSize * blockingFillRatio - maxInFlight;
     }
 
     #removeObsolete(): void {
--- a/packages/entry/src/owner/worker-report-handler.ts
+++ b/packages/entry/src/owner/worker-report-handler.ts
@@ -73,10 +73,10 @@
         { worker, look, age }: WorkerMessage & { kind: "looked"; },
     ): void {
         const { cell, clock } = this.options;
-        const settledBefore = assignment.hasPolled ? -Infinity : assignment.assignedAt;
+        const resolvedBefore = assignment.hasPolled ? -Infinity : assignment.assignedAt;
         assignment.hasPolled = true;
         this.#resumeIfSilent(link, worker);
-        cell.applyPoll(worker, look, clock.monotonic() - age - pollAgeMargin, settledBefore);
+        cell.applyPoll(worker, look, clock.monotonic() - age - pollAgeMargin, resolvedBefore);
     }
 
     /** Allows leases again at a worker that answers after a silence, as expired leases have been taken into account. */
--- a/packages/entry/test/explorer/mutations.ts
+++ b/packages/entry/test/explorer/mutations.ts
@@ -51,8 +51,8 @@
         name: "what was ordered of a former life is never settled",
         rule: "each job has its end",
         file: polls,
-        from: "formerIncarnation === undefined ? sentAt < settledBefore : settledBefore > -Infinity",
-        to: "formerIncarnation === undefined && sentAt < settledBefore",
+        from: "formerIncarnation === undefined ? sentAt < resolvedBefore : resolvedBefore > -Infinity",
+        to: "formerIncarnation === undefined && sentAt < resolvedBefore",
     },
     {
         name: "what a restarted worker had is waited for",
--- a/packages/entry/test/owner/worker-report-handler.test.ts
+++ b/packages/entry/test/owner/worker-report-handler.test.ts
@@ -25,8 +25,8 @@
     const settledTimes: number[] = [];
     const cell = {
         workers: new Map([[worker, new WorkerState(worker, "127.0.0.1:1")]]),
-        applyPoll: (...[, , , settledBefore]: Parameters<CellScheduler["applyPoll"]>) =>
-            settledTimes.push(settledBefore),
+        applyPoll: (...[, , , resolvedBefore]: Parameters<CellScheduler["applyPoll"]>) =>
+            settledTimes.push(resolvedBefore),
     } as unknown as CellScheduler;
     const [ownerEnd, vmEnd] = createMemoryChannel<OwnerMessage, VmMessage>();
     const assigned: AssignMessage[] = [];
