--- a/packages/cell/src/advice/index.ts
+++ b/packages/cell/src/advice/index.ts
@@ -41,6 +41,6 @@
 
 /** Client of the advice service. */
 export interface AdviceClient {
-    /** Rejects when no answer arrives. */
+    /** Sends a question. Rejects when no answer arrives within `timeout`. */
     ask(question: AdviceQuestion, timeout: Milliseconds, signal: AbortSignal): Promise<AdviceAnswer>;
 }
--- a/packages/cell/src/advising/advice-planner.ts
+++ b/packages/cell/src/advising/advice-planner.ts
@@ -130,7 +130,7 @@
         }
     }
 
-    /** Advice is valid for one incarnation of a worker, so it is dropped when a worker is gone or was started again. */
+    /** Advice is valid for one incarnation of a worker, so it is dropped when a worker is gone or restarted. */
     forgetWorker(worker: WorkerId): void {
         for (const job of this.context.table.jobs.values()) {
             for (const { steps } of job.occurrences.values()) {
@@ -192,8 +192,8 @@
             return permits.hasPendingQuestion ? [] : this.#unaskedWorkers(step, count);
         }
         const needed = this.context.now() + callDuration(policy, candidates.length) + ticketLead;
-        const isFresh = (worker: WorkerState) => permits.ticketOf(worker.id, needed) !== undefined;
-        if (permits.hasPendingQuestion || candidates.every(isFresh)) {
+        const hasTicket = (worker: WorkerState) => permits.ticketOf(worker.id, needed) !== undefined;
+        if (permits.hasPendingQuestion || candidates.every(hasTicket)) {
             return [];
         }
         const wanted = needed + policy.validity * renewalShare;
@@ -235,12 +235,13 @@
         for (const worker of this.#inQueryOrder(step)) {
             const isEnough = isGang
                 ? capacity * share >= count * gangCapacityMargin
-                : capacity * share >= count * capacityMargin || capacityWhenEmpty * share >= count * emptyCapacityMargin;
+                : capacity * share >= count * capacityMargin
+                    || capacityWhenEmpty * share >= count * emptyCapacityMargin;
             if (chosen.length >= maxWorkers || isEnough && chosen.length >= minAdviceWorkers) {
                 break;
             }
-            const isFresh = step.permits?.wasAsked(worker.id) !== true;
-            if (isFresh && isEligible(worker, step, step.job.terms.service, now)) {
+            const isUnasked = step.permits?.wasAsked(worker.id) !== true;
+            if (isUnasked && isEligible(worker, step, step.job.terms.service, now)) {
                 chosen.push(worker);
                 capacity += worker.countFitting(step, count);
                 capacityWhenEmpty += worker.countWhenEmpty(step);
@@ -270,11 +271,11 @@
 
     /** Learns the share of workers that may run steps of a queue from those that were asked about for the first time. */
     #learnPermittedShare({ job, permits }: Step, asked: readonly WorkerId[], permitted: readonly Permit[]): void {
-        const fresh = new Set(asked.filter(worker => permits?.wasAsked(worker) !== true));
-        if (fresh.size === 0) {
+        const firstAsked = new Set(asked.filter(worker => permits?.wasAsked(worker) !== true));
+        if (firstAsked.size === 0) {
             return;
         }
-        const share = permitted.filter(({ worker }) => fresh.has(worker)).length / fresh.size;
+        const share = permitted.filter(({ worker }) => firstAsked.has(worker)).length / firstAsked.size;
         const previous = this.#permittedShares.get(job.queue) ?? initialPermittedShare;
         const learned = previous + (share - previous) * shareWeight;
         this.#permittedShares.set(job.queue, Math.max(minPermittedShare, learned));
--- a/packages/cell/src/crashes/constants.ts
+++ b/packages/cell/src/crashes/constants.ts
@@ -38,12 +38,12 @@
 export const maxSilentShare = 0.34;
 /**
  * Time for which a task waits for silent workers to return, when unproved strikes would be decisive. A crashed worker usually restarts
- * within seconds; one that is gone for good never explains its silence.
+ * within seconds; if it is gone for good, it never becomes known why it was silent.
  */
 export const explanationWait: Milliseconds = 10_000;
 /** The wait doubles for each unexplained silence beyond this number, the lowest at which a task waits at all. */
 export const explanationBackoffThreshold = 3;
 /** Maximum number of doublings of {@link explanationWait}. */
 export const maxExplanationDoublings = 5;
-/** Placement cost of each run that a trial on the same worker would put at risk; higher than any worker's number of processors. */
+/** Cost of a worker for a trial, for each run there that a crash would lose. Exceeds the cost of any worker's free processors. */
 export const riskCost = 200;
--- a/packages/cell/src/crashes/index.ts
+++ b/packages/cell/src/crashes/index.ts
@@ -1,4 +1,4 @@
-/** Detection of tasks that crash their workers: strikes, isolated trials, and giving up. */
+/** Detection of tasks that crash their workers: records strikes, runs suspect tasks in isolated trials, and gives up tasks at fault. */
 export { riskCost } from "./constants.js";
 export * from "./crash-monitor.js";
 export * from "./judgement.js";
--- a/packages/cell/src/fair-share/constants.ts
+++ b/packages/cell/src/fair-share/constants.ts
@@ -1,5 +1,5 @@
 /** Constants of fair sharing. */
 import type { Milliseconds } from "@pebbledale/core";
 
-/** Organisations' entitlements are counted over windows of this length. */
+/** Length of the windows in which organisations' submissions are counted. Entitlements are rates per second. */
 export const rateWindow: Milliseconds = 1_000;
--- a/packages/cell/src/headroom/headroom-log.ts
+++ b/packages/cell/src/headroom/headroom-log.ts
@@ -4,7 +4,7 @@
 import { logInterval, minLoggedChange, minLoggedShare } from "./constants.js";
 import type { ServiceHeadroom } from "./service-headroom.js";
 
-/** The headroom of a service that was logged last. */
+/** Last logged headroom of a service, in tasks. */
 interface LoggedHeadroom {
     readonly tasks: number;
     readonly at: Milliseconds;
--- a/packages/cell/src/index.ts
+++ b/packages/cell/src/index.ts
@@ -1,6 +1,6 @@
 /** Public interface of the cell's scheduler, and the interfaces that a platform implements. */
 export * from "./advice/index.js";
-export { AdviceDispatcher, type AdviceRequester as Questioner } from "./advising/index.js";
+export { AdviceDispatcher, type AdviceRequester } from "./advising/index.js";
 export * from "./configuration/index.js";
 export type { CrashSummary } from "./crashes/index.js";
 export * from "./fair-share/index.js";
--- a/packages/cell/src/limits/organisation-limits.ts
+++ b/packages/cell/src/limits/organisation-limits.ts
@@ -1,8 +1,8 @@
-/** Limits of organisations at placement. */
+/** Enforcement of organisations' limits at placement. */
 import type { Milliseconds, OrganisationName } from "@pebbledale/core";
 import type { UsageLedger } from "../organisations/index.js";
 import type { Step, Task } from "../state/index.js";
-import { nonUrgentShare, limitWaitTime, unrestrictedShare } from "./constants.js";
+import { limitWaitTime, nonUrgentShare, unrestrictedShare } from "./constants.js";
 
 /**
  * Keeps each organisation's running work within its limit.
@@ -50,7 +50,7 @@
         return [];
     }
 
-    /** How many tasks of a step that is no gang may start. All but the most urgent queues leave a part of the limit free. */
+    /** How many tasks of a step that is no gang may start. Queues other than the most urgent ones leave a part of the limit free. */
     #countAdmissible(organisation: OrganisationName, { definition: { size }, job: { terms } }: Step): number {
         const remaining = this.usage.countRemaining(organisation, size);
         if (terms.priority <= this.#mostUrgentPriority) {
--- a/packages/cell/src/migration/run-migrator.ts
+++ b/packages/cell/src/migration/run-migrator.ts
@@ -74,7 +74,7 @@
 
     /**
      * Stops runs that will not end before their worker leaves, if their progress is saved or they are long-running. A gang would be lost
-     * with any one of its workers, so it is stopped early to start again sooner.
+     * with any one of its workers, so it is stopped early to restart sooner.
      */
     #migrateFromLeaving(worker: WorkerState, leavesAt: Milliseconds, now: Milliseconds): void {
         for (const run of worker.runs.values()) {
--- a/packages/cell/src/monitoring/progress-monitor.ts
+++ b/packages/cell/src/monitoring/progress-monitor.ts
@@ -15,7 +15,11 @@
     constructor(private readonly context: CellContext) {}
 
     /** Takes the progress of a worker's runs. `clock`: the worker's own clock at the time of the report. */
-    recordProgress(worker: WorkerState, reported: readonly (readonly [TaskRun, WorkerRun])[], clock: Milliseconds): void {
+    recordProgress(
+        worker: WorkerState,
+        reported: readonly (readonly [TaskRun, WorkerRun])[],
+        clock: Milliseconds,
+    ): void {
         const now = this.context.now();
         const samples = new Map<Step, RunPace[]>();
         for (const [run, progress] of reported) {
@@ -26,7 +30,9 @@
             }
         }
         const finding = assessSpeed([...samples].map(([step, paces]) => this.#samplesOf(worker, step, paces)));
-        samples.forEach((paces, step) => this.#paces.recordPace(step, worker.id, medianOf(paces.map(({ pace }) => pace))));
+        samples.forEach((paces, step) =>
+            this.#paces.recordPace(step, worker.id, medianOf(paces.map(({ pace }) => pace)))
+        );
         if (finding !== undefined) {
             this.#judge(worker, finding, now);
         }
@@ -70,7 +76,7 @@
         const all = [...this.context.workers.values()];
         const slow = all.filter(other => other !== worker && other.slowUntil > now).length;
         if (slow + 1 > all.length * maxSlowShare) {
-            // So many slow workers at once are no outliers.
+            // A slow worker is an outlier; with this many at once the comparison itself is in doubt.
             return;
         }
         worker.slowUntil = now + slowDuration;
@@ -81,8 +87,8 @@
     }
 }
 
-const logFieldsOf = ({ baseline: ground, speed, deviations, samples }: SpeedFinding) => ({
-    ground,
+const logFieldsOf = ({ baseline, speed, deviations, samples }: SpeedFinding) => ({
+    ground: baseline,
     speed: Number(speed.toFixed(3)),
     deviations: Number(deviations.toFixed(1)),
     samples,
--- a/packages/cell/src/monitoring/run-paces.ts
+++ b/packages/cell/src/monitoring/run-paces.ts
@@ -29,8 +29,11 @@
     now: Milliseconds,
 ): RunPace | undefined => {
     const { estimate, isLasting, fills } = run.task.step.definition;
-    const isMeasurable = run.phase === RunPhase.Running && run.pace === fullPace && !isLasting && !fills && estimate > 0;
-    if (!isMeasurable || percent >= 99 || run.confirmedAt === undefined || now < run.confirmedAt + settlingTimeOf(run)) {
+    const isMeasurable = run.phase === RunPhase.Running && run.pace === fullPace && !isLasting && !fills
+        && estimate > 0;
+    if (
+        !isMeasurable || percent >= 99 || run.confirmedAt === undefined || now < run.confirmedAt + settlingTimeOf(run)
+    ) {
         run.progressSamples = undefined;
         return undefined;
     }
--- a/packages/cell/src/placement/reservations.ts
+++ b/packages/cell/src/placement/reservations.ts
@@ -42,7 +42,7 @@
     readonly position: number;
 }
 
-/** Cost added to a worker that is reserved for a step further behind. */
+/** Cost added to a worker that is reserved for a step later in the order. */
 const reservedCost = 400;
 
 /**
@@ -50,7 +50,7 @@
  *
  * A plan names the workers that will have the resources earliest, by the expected ends of their runs. Until then those workers take
  * only tasks that will have ended by that time or that leave enough free at that time. Plans are kept over cycles, as tickets
- * are obtained for their workers and a reservation that moves each time never comes free. Steps ahead of the planned one may still use its
+ * are obtained for their workers and resources do not accumulate if a reservation moves to other workers in each cycle. Steps ahead of the planned one may still use its
  * workers, at a higher cost.
  */
 export class Reservations {
@@ -123,7 +123,7 @@
         return (this.#ranks.get(step)?.position ?? Infinity) < (this.#ranks.get(other)?.position ?? Infinity);
     }
 
-    /** Whether a step may take over a reservation of another: it can earn more, or its queue is more urgent. */
+    /** Whether a step may take over a reservation of another: its deadline status is better, or equal and its queue more urgent. */
     #outranks(step: Step, other: Step): boolean {
         const rank = this.#ranks.get(step);
         const otherRank = this.#ranks.get(other);
--- a/packages/cell/src/preemption/preemption-policy.ts
+++ b/packages/cell/src/preemption/preemption-policy.ts
@@ -25,7 +25,7 @@
         return isPreemptibleBy(run, priority) && hasSlack(step, slackOf(run, rankStep(this.context, step, now), now));
     }
 
-    /** Whether the step ranks before the run's step, whose job can be on time nevertheless. */
+    /** Whether the step ranks before the run's step and the run's job can be on time although the run is stopped. */
     #isOutrankedWithSlack(run: TaskRun, step: Step, now: Milliseconds): boolean {
         const victim = rankStep(this.context, run.task.step, now);
         return slackOf(run, victim, now) > minSlackToPreempt
--- a/packages/cell/src/scheduler/start-dispatcher.ts
+++ b/packages/cell/src/scheduler/start-dispatcher.ts
@@ -13,25 +13,25 @@
     ) {}
 
     startAccepted(worker: WorkerId, task: TaskAddress, run: RunNumber): void {
-        const entry = this.context.workers.get(worker)?.runOf(task, run);
-        if (entry !== undefined) {
-            entry.worker.markHeard(this.context.now());
-            this.runs.confirm(entry);
+        const taskRun = this.context.workers.get(worker)?.runOf(task, run);
+        if (taskRun !== undefined) {
+            taskRun.worker.markHeard(this.context.now());
+            this.runs.confirm(taskRun);
         }
     }
 
     /** Handles a start order that was not carried out and will not be. `refusal`: undefined when it never reached the worker. */
     startRefused(worker: WorkerId, task: TaskAddress, run: RunNumber, refusal: OrderRefusal | undefined): void {
-        const entry = this.context.workers.get(worker)?.runOf(task, run);
+        const taskRun = this.context.workers.get(worker)?.runOf(task, run);
         this.context.options.log.log(logEvents.runRefused, { worker, task, run, refusal: refusal ?? "not delivered" });
-        if (entry === undefined || refusal === undefined && entry.confirmedAt !== undefined) {
+        if (taskRun === undefined || refusal === undefined && taskRun.confirmedAt !== undefined) {
             return;
         }
-        const { step } = entry.task;
+        const { step } = taskRun.task;
         if (refusal === OrderRefusal.Ticket) {
             step.permits?.expireTicket(worker);
         }
-        this.runs.markNotStarted(entry, refusal);
+        this.runs.markNotStarted(taskRun, refusal);
         if (step.definition.isGang) {
             this.stopMembers(step, "a member of its gang was not started");
         }
@@ -40,32 +40,32 @@
 
     /** Marks a start order as sent, now that its record is committed; false when the run must not be started any more. */
     prepareStart(worker: WorkerId, task: TaskAddress, run: RunNumber): boolean {
-        const entry = this.context.workers.get(worker)?.runOf(task, run);
-        if (entry?.phase !== RunPhase.Ordered) {
+        const taskRun = this.context.workers.get(worker)?.runOf(task, run);
+        if (taskRun?.phase !== RunPhase.Ordered) {
             return false;
         }
-        if (entry.worker.isOvercommitted) {
+        if (taskRun.worker.isOvercommitted) {
             // The worker's capacity has shrunk since the decision.
             return false;
         }
-        const { permits } = entry.task.step;
+        const { permits } = taskRun.task.step;
         if (permits !== undefined && permits.ticketOf(worker, this.context.now()) === undefined) {
             // The ticket expired while the record was being written.
             return false;
         }
-        entry.sentAt = this.context.now();
+        taskRun.sentAt = this.context.now();
         return true;
     }
 
     /** Abandons a start order that was never sent. */
     dropStart(worker: WorkerId, task: TaskAddress, run: RunNumber): void {
-        const entry = this.context.workers.get(worker)?.runOf(task, run);
-        if (entry === undefined || entry.confirmedAt !== undefined) {
+        const taskRun = this.context.workers.get(worker)?.runOf(task, run);
+        if (taskRun === undefined || taskRun.confirmedAt !== undefined) {
             return;
         }
-        this.runs.markNotStarted(entry, undefined);
-        if (entry.task.step.definition.isGang) {
-            this.stopMembers(entry.task.step, "a member of its gang was not started");
+        this.runs.markNotStarted(taskRun, undefined);
+        if (taskRun.task.step.definition.isGang) {
+            this.stopMembers(taskRun.task.step, "a member of its gang was not started");
         }
         this.onCapacityFreed();
     }
--- a/packages/cell/src/selection/candidates.ts
+++ b/packages/cell/src/selection/candidates.ts
@@ -58,7 +58,7 @@
     return true;
 };
 
-/** Workers that can take tasks of a step now, lowest cost first. May leave out others once enough are found for `most` tasks. */
+/** Workers that can take tasks of a step now, lowest cost first. May leave out others once enough are found for `maxTasks` tasks. */
 export const findCandidates = (query: CandidateQuery, maxTasks: number): Allocation[] => {
     const { permits } = query.step;
     const candidates = permits === undefined
--- a/packages/cell/src/state/definition.ts
+++ b/packages/cell/src/state/definition.ts
@@ -36,15 +36,15 @@
     readonly mostPerWorker: number | undefined;
     /** Speculative copies of a task may run at the same time; the first one to finish counts. */
     readonly allowsCopies: boolean;
-    /** Tasks run until the job is cancelled and are restarted when they end. */
+    /** Long-running: tasks run until the job is cancelled and are restarted when they end. */
     readonly isLasting: boolean;
-    /** Maximum number of tasks of a lasting step that the scheduler may interrupt at the same time. */
+    /** Maximum number of tasks of a long-running step that the scheduler may interrupt at the same time. */
     readonly mayBeAway: number | undefined;
     /** Image that the tasks run; tasks with the same image are expected to perform alike. */
     readonly image: string | undefined;
-    /** Upper limit for the tail response time of a lasting task that serves requests. */
+    /** Upper limit for the tail response time of a long-running task that serves requests. */
     readonly latencyTarget: Milliseconds | undefined;
-    /** Best-effort task: its processor demand is not reserved, it uses what other tasks leave idle. */
+    /** Filler task (best effort): its processor demand is not reserved; it uses what other tasks leave idle. */
     readonly fills: boolean;
 }
 
--- a/packages/cell/src/task-worker/types.ts
+++ b/packages/cell/src/task-worker/types.ts
@@ -116,7 +116,7 @@
 
 /** Calls to one incarnation of a worker. Each rejects with `WorkerUnreachableError` when there is no answer. */
 export interface TaskWorkerClient {
-    /** Polls the worker. `limit`: timeout of the call, as in the other methods. */
+    /** Polls the worker. `timeout`: applies to the whole call, as in the other methods. */
     poll(request: PollRequest, timeout: Milliseconds, signal: AbortSignal): Promise<PollAnswer>;
     /** Starts a run. Idempotent: a repeated order for a run that was started is accepted without effect. */
     start(order: StartOrder, timeout: Milliseconds, signal: AbortSignal): Promise<OrderAnswer>;
--- a/packages/cell/src/upkeep/wave-planner.ts
+++ b/packages/cell/src/upkeep/wave-planner.ts
@@ -46,7 +46,7 @@
     readonly seenDown: Set<VmId>;
 }
 
-/** Share of a wave's time after which VMs go down although work still runs there. */
+/** Share of a wave's time after which VMs begin their upkeep even with runs on them. */
 const drainShare = 0.5;
 /** Added to the duration of an upkeep, in milliseconds, as the platform's list may be out of date. */
 const upkeepMargin: Milliseconds = 500;
@@ -131,21 +131,21 @@
     #planWave(number: number, wave: Wave, closed: Set<WorkerId>, begin: { wave: number; vm: VmId; }[]): void {
         const { definition } = wave;
         const down = definition.vms.filter(vm => wave.orders.has(vm) && !wave.finished.has(vm)).length;
-        let free = definition.mostDown - down;
+        let openSlots = definition.mostDown - down;
         // In addition to the VMs that are down, as many are drained as may go down next.
         let draining = definition.mostDown;
         for (const vm of definition.vms) {
             const entry = this.#vms.get(vm);
-            const isOpen = !wave.orders.has(vm) && !wave.finished.has(vm) && entry?.state === VmCondition.Up;
-            if (!isOpen || draining === 0) {
+            const isWaiting = !wave.orders.has(vm) && !wave.finished.has(vm) && entry?.state === VmCondition.Up;
+            if (!isWaiting || draining === 0) {
                 continue;
             }
             draining--;
             if (entry.worker !== undefined) {
                 closed.add(entry.worker);
             }
-            if (free > 0 && this.#isReady(wave, entry)) {
-                free--;
+            if (openSlots > 0 && this.#isReady(wave, entry)) {
+                openSlots--;
                 begin.push({ wave: number, vm });
             }
         }
--- a/packages/cell/src/worker-speed/constants.ts
+++ b/packages/cell/src/worker-speed/constants.ts
@@ -8,7 +8,7 @@
 export const minWeight = 3;
 /** Smaller differences of speed are ignored: other runs on a worker have as much effect. */
 export const equalityTolerance = Math.log(1.35);
-/** Bound of a sample. Larger differences are attributed to the task rather than to the worker. */
+/** Bound of a sample's magnitude. Larger differences are attributed to the task rather than to the worker. */
 export const maxDifference = Math.log(4);
 /** Upper bound of workers whose paces are kept for a step. */
 export const maxPeers = 24;
--- a/packages/cell/src/worker-speed/speed-estimator.ts
+++ b/packages/cell/src/worker-speed/speed-estimator.ts
@@ -53,11 +53,12 @@
         this.#learn(other, speed - difference, weight);
     }
 
-    #learn(worker: WorkerState, difference: number, weight: number): void {
+    /** Adds a sample: the speed that one comparison suggests, as a natural logarithm relative to the typical worker's. */
+    #learn(worker: WorkerState, speed: number, weight: number): void {
         const estimate = this.#estimates.get(worker) ?? { sum: 0, weight: 0 };
         this.#estimates.set(worker, estimate);
         const retained = Math.min(1, maxWeight / (estimate.weight + weight));
-        const sample = Math.max(-maxDifference, Math.min(maxDifference, difference));
+        const sample = Math.max(-maxDifference, Math.min(maxDifference, speed));
         estimate.sum = (estimate.sum + sample * weight) * retained;
         estimate.weight = (estimate.weight + weight) * retained;
         worker.slowness = this.#slownessOf(worker, estimate);
--- a/packages/cell/src/worker-speed/types.ts
+++ b/packages/cell/src/worker-speed/types.ts
@@ -1,11 +1,11 @@
-/** The interface of the estimate of workers' speeds. */
+/** Interface of the estimator of workers' speeds. */
 import type { Milliseconds } from "@pebbledale/core";
 import type { TaskRun, WorkerState } from "../state/index.js";
 
 /** Learns how fast workers are and keeps {@link WorkerState.slowness} up to date. */
 export interface WorkerSpeeds {
-    /** Learns from a run that has completed. */
+    /** Updates the estimates from a completed run. */
     recordCompletion(run: TaskRun, now: Milliseconds): void;
-    /** The worker is gone or was started again. */
+    /** Drops the estimate of a worker that is gone or restarted. */
     forgetWorker(worker: WorkerState): void;
 }
--- a/packages/cell/test/crashes/crash-fuzz.test.ts
+++ b/packages/cell/test/crashes/crash-fuzz.test.ts
@@ -14,7 +14,7 @@
 /** Delay after which most tasks at fault crash their worker. */
 const startCrashDelay = 10;
 const stepsUnderFaults = 500;
-/** Time within which every job must end, with trials of all tasks at fault one after the other. */
+/** Time after the faults within which every job must end, with trials of all tasks at fault one after the other. */
 const maxSettlingTime = 240_000;
 
 /** One seeded scenario. */
@@ -124,7 +124,7 @@
     }
 
     /**
-     * Whether an innocent task was on as many crashing workers as a task at fault, without a run in between that ended or lasted. Such a
+     * Whether an innocent task was on as many crashing workers as a task at fault, without a run in between that ended or outlived the lost ones. Such a
      * task cannot be distinguished from one at fault.
      */
     #isIndistinguishable(job: string): boolean {
--- a/packages/cell/test/crashes/judgement.test.ts
+++ b/packages/cell/test/crashes/judgement.test.ts
@@ -62,7 +62,7 @@
         expect(cell.driver.logged.filter(({ event }) => event === logEvents.taskGivenUp).length).toEqual(1);
     });
 
-    it("is given up also if it is a lasting task, whose failed runs are not limited", () => {
+    it("is given up also if it is a long-running task, whose failed runs are not limited", () => {
         const cell = new CrashingCell(8, behaviourOf(10));
         cell.driver.cell.submit(makeJob("bad", [makeStep({ isLasting: true })]));
         cell.advance(60_000);
--- a/packages/cell/test/crashes/tasks-that-crash-workers.test.ts
+++ b/packages/cell/test/crashes/tasks-that-crash-workers.test.ts
@@ -7,7 +7,7 @@
 
 const faulty: TaskBehaviour = { crashesAfter: 10, duration: 640 };
 const innocent: TaskBehaviour = { crashesAfter: undefined, duration: 640 };
-/** Number of crashes after which a task must not be started again. */
+/** Number of crashes after which a task must not be restarted. */
 const maxCrashes = 3;
 
 describe("a task that crashes each worker that starts it", () => {
--- a/packages/cell/test/fair-share/entitled-first.test.ts
+++ b/packages/cell/test/fair-share/entitled-first.test.ts
@@ -63,10 +63,10 @@
     it("can be identified by the log lines of its jobs", () => {
         const driver = makeDriver(1);
         ["h1", "h2", "h3", "h4", "h5"].forEach(name => submit(driver, name, hot));
-        const owed = driver.logged
+        const entitled = driver.logged
             .filter(({ event }) => event === logEvents.jobAccepted)
             .map(({ fields }) => fields["isOwed"]);
-        expect(owed).toEqual([true, true, true, true, false]);
+        expect(entitled).toEqual([true, true, true, true, false]);
     });
 
     it("is treated the same by a new owner", () => {
@@ -79,7 +79,7 @@
         expect(startOrder(driver)).toEqual(["h1", "h2", "h3", "h4", "s1", "h5"]);
     });
 
-    it("is treated by the new weights once the configuration changes", () => {
+    it("is judged by the new weights once the configuration changes", () => {
         const driver = makeDriver(1);
         ["h1", "h2", "h3"].forEach(name => submit(driver, name, hot));
         submit(driver, "s1", small);
--- a/packages/cell/test/fair-share/submission-rate.test.ts
+++ b/packages/cell/test/fair-share/submission-rate.test.ts
@@ -71,7 +71,7 @@
         expect(classify(new SubmissionRate(() => 1), nobody)).toEqual([Entitled, Entitled, Entitled]);
     });
 
-    it("starts again when the time of day is set back", () => {
+    it("restarts its count when the wall clock is set back", () => {
         const rate = new SubmissionRate(() => 1);
         classify(rate, [9_000, 9_001, 9_002].map(at => jobAt(at)));
         expect(classify(rate, [jobAt(3_000)])).toEqual([Entitled]);
--- a/packages/cell/test/load/lost-gangs.test.ts
+++ b/packages/cell/test/load/lost-gangs.test.ts
@@ -23,7 +23,7 @@
 };
 
 describe("a gang without saved progress, one of whose workers leaves", () => {
-    it("is stopped when it would be lost, so that it starts again sooner", () => {
+    it("is stopped when it would be lost, so that it restarts sooner", () => {
         expect(stopsWhenOneLeaves(runningGang(10, 10_000), 3_000)).toEqual(1);
     });
 
--- a/packages/cell/test/scheduler/jobs.test.ts
+++ b/packages/cell/test/scheduler/jobs.test.ts
@@ -75,7 +75,7 @@
         expect(stops.map(stop => stop.task)).toEqual([other.task]);
     });
 
-    it("does not count runs that were stopped or lapsed as failed", () => {
+    it("does not count runs that were stopped or whose leases expired as failed", () => {
         const driver = ready();
         const { id } = driver.cell.submit(makeJob("j", [makeStep()]))!;
         for (let run = 1; run <= 6; run++) {
--- a/packages/cell/test/scheduler/lasting.test.ts
+++ b/packages/cell/test/scheduler/lasting.test.ts
@@ -11,7 +11,7 @@
 
 const measured = (start: StartCommand, measure: number): WorkerRun => ({ ...running(start, 100), measure });
 
-describe("a lasting task", () => {
+describe("a long-running task", () => {
     it("is restarted however it ends, and does not fail its job", () => {
         const driver = ready();
         const { id } = driver.cell.submit(makeJob("j", [makeStep({ isLasting: true })]))!;
@@ -46,7 +46,7 @@
     });
 });
 
-describe("lasting tasks that do not all fit", () => {
+describe("long-running tasks that do not all fit", () => {
     it("get as many reservations as fit", () => {
         const driver = ready();
         driver.cell.submit(makeJob("j", [makeStep({ taskCount: 30 })]));
@@ -63,7 +63,7 @@
     });
 });
 
-describe("best-effort tasks", () => {
+describe("filler tasks", () => {
     const target = 100;
     const fillerAndServer = () => {
         const driver = ready();
--- a/packages/cell/test/support/crashing-cell.ts
+++ b/packages/cell/test/support/crashing-cell.ts
@@ -57,7 +57,7 @@
 export interface TaskBehaviour {
     /** Run time after which the task crashes its worker; undefined for an innocent task. */
     readonly crashesAfter: Milliseconds | undefined;
-    /** Duration of the task; infinite for a lasting task. */
+    /** Duration of the task; infinite for a long-running task. */
     readonly duration: Milliseconds;
     /** Number of gang members that must run at the same time; absent for a task outside a gang. */
     readonly gangSize?: number;
--- a/packages/cell/test/support/load/kiosk-patterns.ts
+++ b/packages/cell/test/support/load/kiosk-patterns.ts
@@ -1,5 +1,5 @@
 /**
- * Load patterns of a cell with two services: workers of three sizes for urgent, deferrable and lasting jobs, and workers with
+ * Load patterns of a cell with two services: workers of three sizes for urgent, deferrable and long-running jobs, and workers with
  * accelerators for wide gangs and small tasks.
  */
 import type { LoadPattern, LoadService, QueueLoad } from "./pattern.js";
--- a/packages/cell/test/support/load/main.ts
+++ b/packages/cell/test/support/load/main.ts
@@ -1,4 +1,4 @@
-/** Replays load patterns from the command line and prints callers' results: `npm run replay -- PATTERN SEED...`. */
+/** Replays load patterns from the command line and prints how well callers were served: `npm run replay -- PATTERN SEED...`. */
 import { SystemClock } from "@pebbledale/core";
 import { floodedKioskLoad, fullKioskLoad, hotKioskLoad, wavesLoad } from "./kiosk-patterns.js";
 import type { Outcome, ServiceLevel } from "./outcome.js";
--- a/packages/cell/test/support/load/outcome.ts
+++ b/packages/cell/test/support/load/outcome.ts
@@ -40,7 +40,7 @@
     readonly worstOrganisations: number | undefined;
     /** Earned share of value of the jobs submitted in the two worst windows. */
     readonly worstWindows: number;
-    /** Share of their time for which lasting tasks were running; undefined where there are none. */
+    /** Share of their time for which long-running tasks were running; undefined where there are none. */
     readonly lastingShare: number | undefined;
     /** Share of all processors that was free while tasks of the same service waited, by service and in total. */
     readonly idleShares: Readonly<Record<string, number>>;
--- a/packages/cell/test/support/load/pattern.ts
+++ b/packages/cell/test/support/load/pattern.ts
@@ -30,7 +30,7 @@
     readonly accelerators?: readonly number[];
     /** Service whose workers run the jobs; absent for the first service of the pattern. */
     readonly service?: string;
-    /** Time after which the caller cancels the job, whose tasks are lasting ones; absent where tasks end by themselves. */
+    /** Time after which the caller cancels the job, whose tasks are long-running; absent where tasks end by themselves. */
     readonly lifetime?: Distribution;
     /** Duration of one task on a worker of full speed. */
     readonly work: Distribution;
--- a/packages/cell/test/support/load/replay.ts
+++ b/packages/cell/test/support/load/replay.ts
@@ -103,8 +103,8 @@
     #wastedWork = 0;
     /** Sum of the idle shares of all samples, by service. */
     readonly #idle = new Map<string, number>();
-    #lastingTasks = 0;
-    #lastingRunning = 0;
+    #longRunningTasks = 0;
+    #runningLongRunningTasks = 0;
     #samples = 0;
 
     /** `stopwatch`: real clock that measures the durations of scheduling cycles. */
@@ -564,7 +564,7 @@
         this.#samples++;
     }
 
-    /** Samples the share of lasting tasks that are running, except those of jobs submitted recently. */
+    /** Samples the share of long-running tasks that are running, except those of jobs submitted recently. */
     #sampleLasting(): void {
         for (const { definition, lifetime } of this.#jobs.slice(0, this.#nextJob)) {
             const job = this.#cell.jobs.get(jobId(definition.job));
@@ -572,8 +572,8 @@
                 continue;
             }
             const tasks = tasksOf(job);
-            this.#lastingTasks += tasks.length;
-            this.#lastingRunning += tasks.filter(({ runs }) =>
+            this.#longRunningTasks += tasks.length;
+            this.#runningLongRunningTasks += tasks.filter(({ runs }) =>
                 runs.some(({ phase }) => phase === RunPhase.Running)
             ).length;
         }
@@ -598,7 +598,9 @@
             worstOrganisations: worstTenth(organisations),
             queues: Object.fromEntries([...outcomes].map(([name, jobs]) => [name, queueOutcome(jobs)])),
             worstWindows: worstWindows(outcomes),
-            lastingShare: this.#lastingTasks === 0 ? undefined : this.#lastingRunning / this.#lastingTasks,
+            lastingShare: this.#longRunningTasks === 0
+                ? undefined
+                : this.#runningLongRunningTasks / this.#longRunningTasks,
             idleShares: Object.fromEntries(
                 [...this.#idle].map(([name, sum]) => [name, sum / Math.max(1, this.#samples)]),
             ),
--- a/packages/cell/test/worker-speed/speed-estimator.test.ts
+++ b/packages/cell/test/worker-speed/speed-estimator.test.ts
@@ -4,7 +4,7 @@
 import { RunEnd, type StartCommand } from "../../src/index.js";
 import { CellDriver, idOf, makeConfiguration, makeJob, makeQueue, makeStep, makeWorker } from "../support/index.js";
 
-/** Tolerance for shifts of an estimate by what is learned of other workers. */
+/** Tolerance for changes of an estimate that are due to the estimates of other workers. */
 const tolerance = 0.01;
 const ids = ["w1", "w2", "w3", "w4"];
 /** The size of a whole worker, so that each worker gets one task of a job. */
@@ -17,7 +17,7 @@
     return driver;
 };
 
-/** Plays jobs with a task on each worker that takes that worker's time, with estimates that are off by up to e squared. */
+/** Runs jobs with one task on each worker, which takes `timeOf` the worker. Estimates are off by a factor of up to e squared. */
 const runJobs = (driver: CellDriver, count: number, timeOf: (worker: string) => number, seed = 1): void => {
     const random = new SeededRandom(seed);
     for (let index = 0; index < count; index++) {
--- a/packages/core/src/ids/index.ts
+++ b/packages/core/src/ids/index.ts
@@ -13,7 +13,7 @@
  * Distinguishes successive processes of a worker under the same id: the start time in Unix milliseconds. As clocks may step
  * back, values can only be compared for equality, not for order.
  */
-export type WorkerIncarnation = Branded<number, "WorkerLife">;
+export type WorkerIncarnation = Branded<number, "WorkerIncarnation">;
 /** Id of an accepted job. */
 export type JobId = Branded<string, "JobId">;
 /** Id of a task: the job's id, a slash and the task's index. */
--- a/packages/core/src/random/index.ts
+++ b/packages/core/src/random/index.ts
@@ -28,7 +28,7 @@
     }
 }
 
-/** The system's generator. No other code draws from it. */
+/** The system's generator, used outside tests. All other code obtains random numbers through {@link Random}. */
 export class SystemRandom implements Random {
     next(): number {
         return Math.random();
--- a/packages/core/src/time/clock.ts
+++ b/packages/core/src/time/clock.ts
@@ -96,7 +96,7 @@
         return this.#suspensions.check(this.monotonic(), this.now().getTime());
     }
 
-    /** Moves only the wall clock, as a suspension of the machine or a change of its time of day does. */
+    /** Moves only the wall clock, as a suspension of the machine or a change of its system time does. */
     suspend(duration: Milliseconds): void {
         this.uninterruptedSince();
         this.#wallClockOffset += duration;
--- a/packages/core/test/shard/pending-queue.test.ts
+++ b/packages/core/test/shard/pending-queue.test.ts
@@ -2,13 +2,13 @@
 import { describe, it } from "node:test";
 import { jobId, noResources, PendingQueue, type PendingUnit, Priority, type TaskId } from "../../src/index.js";
 
-const unit = (ticket: number, priority = Priority.Normal, signature = "small"): PendingUnit => ({
-    job: jobId(`job-${ticket}`),
-    tasks: [`job-${ticket}/0` as TaskId],
+const unit = (sequence: number, priority = Priority.Normal, equivalenceKey = "small"): PendingUnit => ({
+    job: jobId(`job-${sequence}`),
+    tasks: [`job-${sequence}/0` as TaskId],
     size: noResources,
     priority,
-    equivalenceKey: signature,
-    sequence: ticket,
+    equivalenceKey,
+    sequence,
     since: 0,
 });
 
