--- a/packages/cell/src/advising/advice-dispatcher.ts
+++ b/packages/cell/src/advising/advice-dispatcher.ts
@@ -22,11 +22,11 @@
 /** Share of the free VMs that one question may use, leaving others to the questions that follow. */
 const freeVmShare = 1 / 2;
 
-/** Where the questions come from. */
+/** Component that asks the questions. */
 export interface AdviceRequester {
     /** Whether the answer to a question about a step would still be of use. */
     isAdviceWanted(step: string): boolean;
-    /** Told that a question was discarded, as its answer would be of no use. */
+    /** Called when a question is discarded because its answer would be of no use. */
     dropAdvice(step: string, workers: readonly WorkerId[]): void;
 }
 
@@ -42,7 +42,7 @@
 /** A question, or the remainder of one, that waits for a free VM. */
 interface WaitingQuestion {
     readonly request: AdviceRequest;
-    /** When it was asked, with a delay by its urgency; lower goes first. */
+    /** When it was asked, plus a delay that grows as urgency falls. The lowest is sent first. */
     readonly sortTime: Milliseconds;
 }
 
--- a/packages/cell/src/advising/constants.ts
+++ b/packages/cell/src/advising/constants.ts
@@ -1,11 +1,11 @@
 /** Tuning constants of questions to the advice service. Times are in milliseconds. */
 /** Lower bound of workers in a first question, as the capacity of a few may be gone by the time of the answer. */
 export const minAdviceWorkers = 24;
-/** Factor by which the capacity of the workers asked about exceeds the demand, beyond the share that is usually permitted. */
+/** Factor by which the expected free capacity of the permitted workers must exceed the demand. */
 export const capacityMargin = 1.5;
-/** The same for a gang, whose members need their resources at one moment. */
+/** The same for a gang, whose members need their resources all at once. */
 export const gangCapacityMargin = 3;
-/** A question names enough workers once the permitted ones are expected to hold the step this many times when empty. */
+/** A question also covers enough workers once the permitted ones, if empty, are expected to hold the step this many times over. */
 export const emptyCapacityMargin = 2.5;
 /** Share of workers assumed to be permitted before a queue's first answer. */
 export const initialPermittedShare = 0.3;
--- a/packages/cell/src/crashes/judgement.ts
+++ b/packages/cell/src/crashes/judgement.ts
@@ -63,7 +63,7 @@
     return run.isAdopted || run.confirmedAt === undefined ? undefined : Math.round(timeObserved(run));
 };
 
-/** Facts about a run under its worker's current incarnation, to be kept when that one is succeeded. */
+/** Facts about a run under its worker's current incarnation, to be kept when another incarnation succeeds it. */
 export const formerIncarnationOf = (run: TaskRun): FormerIncarnation => ({
     incarnation: run.worker.incarnation,
     observedRunTime: observedRunTime(run),
--- a/packages/cell/src/headroom/types.ts
+++ b/packages/cell/src/headroom/types.ts
@@ -21,7 +21,7 @@
 
 /** Forecasts the urgent demand of a service, running and waiting, from earlier observations. */
 export interface DemandForecast {
-    /** Takes the present demand, in thousandths of a processor. */
+    /** Records the current demand, in thousandths of a processor. */
     observe(processor: number, now: Milliseconds): void;
     /** Demand to expect soon, in thousandths of a processor. */
     readonly expected: number;
--- a/packages/cell/src/limits/organisation-limits.ts
+++ b/packages/cell/src/limits/organisation-limits.ts
@@ -23,7 +23,7 @@
         this.#mostUrgentPriority = mostUrgentPriority;
     }
 
-    /** Whether no task of a step, or of a gang not all of them, can start within its organisation's limit. */
+    /** Whether the rest of its organisation's limit is too small for one task of a step, or for all tasks of a gang. */
     isAtLimit({ definition, job, tasks }: Step): boolean {
         return this.usage.countRemaining(job.organisation, definition.size) < (definition.isGang ? tasks.length : 1);
     }
--- a/packages/cell/src/monitoring/progress-monitor.ts
+++ b/packages/cell/src/monitoring/progress-monitor.ts
@@ -14,7 +14,7 @@
 
     constructor(private readonly context: CellContext) {}
 
-    /** Takes the progress of a worker's runs. `clock`: the worker's own clock at the time of the report. */
+    /** Records the progress of a worker's runs and judges the worker by it. `clock`: the worker's own clock at the time of the report. */
     recordProgress(
         worker: WorkerState,
         reported: readonly (readonly [TaskRun, WorkerRun])[],
@@ -38,7 +38,7 @@
         }
     }
 
-    /** Takes the duration of a completed run as a reference for tasks of its step elsewhere. */
+    /** Records the duration of a completed run as a reference for tasks of its step on other workers. */
     recordCompletion(run: TaskRun): void {
         const pace = paceOfCompleted(run, this.context.now());
         if (pace !== undefined) {
--- a/packages/cell/src/monitoring/step-paces.ts
+++ b/packages/cell/src/monitoring/step-paces.ts
@@ -34,7 +34,7 @@
         paces.set(worker, average === undefined ? pace : average + (pace - average) * newestWeight);
     }
 
-    /** Combines the paces on other workers with the caller's estimate, which counts more the fewer these are. */
+    /** Combines the paces on other workers with the caller's estimate, whose weight is higher the fewer of them there are. */
     expectedPaceOf(step: Step, worker: WorkerId): ExpectedPace {
         const others = [...this.#paces.get(step) ?? []].filter(([id]) => id !== worker).map(([, pace]) => pace);
         const peers = others.length;
--- a/packages/cell/src/placement/placer.ts
+++ b/packages/cell/src/placement/placer.ts
@@ -303,14 +303,14 @@
         this.#reservations.notePlaced(worker, step, tasks.length, now);
         this.dependencies.headroom.notePlaced(worker, step, tasks.length);
         for (const task of tasks) {
-            const entry = this.dependencies.runs.order(
+            const taskRun = this.dependencies.runs.order(
                 task,
                 run ?? this.dependencies.runs.nextRunNumber(step, task),
                 worker,
                 options,
             );
             if (options.isTrial) {
-                this.dependencies.crashes.beginTrial(entry);
+                this.dependencies.crashes.beginTrial(taskRun);
             }
         }
         this.dependencies.context.options.log.log(logEvents.runsOrdered, {
--- a/packages/cell/test/crashes/crash-fuzz.test.ts
+++ b/packages/cell/test/crashes/crash-fuzz.test.ts
@@ -158,13 +158,13 @@
 
 describe("tasks that crash their workers, among innocent tasks", () => {
     it("are given up after at most five workers, and innocent tasks are not", () => {
-        const broken: Record<number, readonly string[]> = {};
+        const violationsBySeed: Record<number, readonly string[]> = {};
         for (let seed = 1; seed <= scenarios; seed++) {
-            const found = new CrashScenario(seed).run();
-            if (found.length > 0) {
-                broken[seed] = found;
+            const violations = new CrashScenario(seed).run();
+            if (violations.length > 0) {
+                violationsBySeed[seed] = violations;
             }
         }
-        expect(broken).toEqual({});
+        expect(violationsBySeed).toEqual({});
     });
 });
--- a/packages/cell/test/support/load/generate-jobs.ts
+++ b/packages/cell/test/support/load/generate-jobs.ts
@@ -25,7 +25,7 @@
 
 const millisecondsPerSecond = 1_000;
 /** Interval for which arrivals are generated at a time. */
-const slice: Milliseconds = 10;
+const arrivalInterval: Milliseconds = 10;
 
 /** Random samples from one seeded generator. */
 export class Sampler {
@@ -51,7 +51,7 @@
     }
 
     /** Sample of a lognormal distribution. */
-    size({ mean, spread, max }: Distribution): number {
+    sample({ mean, spread, max }: Distribution): number {
         const variance = Math.log(1 + spread * spread);
         const sample = Math.exp(Math.log(mean) - variance / 2 + Math.sqrt(variance) * this.#normal());
         return Math.min(max, sample);
@@ -59,7 +59,7 @@
 
     /** Sample rounded to an integer, at least 1. */
     count(distribution: Distribution): number {
-        return Math.max(1, Math.round(this.size(distribution)));
+        return Math.max(1, Math.round(this.sample(distribution)));
     }
 
     /** Sample of the standard normal distribution (Box-Muller transform). */
@@ -74,9 +74,9 @@
     const jobs: LoadJob[] = [];
     for (const load of pattern.queues) {
         const sampler = new Sampler(new SeededRandom(pattern.seed + 7_919 * (1 + pattern.queues.indexOf(load))));
-        for (let at = 0; at < pattern.duration; at += slice) {
+        for (let at = 0; at < pattern.duration; at += arrivalInterval) {
             const factor = factorAt(pattern.bursts, load, at) * swingAt(pattern.swing, at);
-            const expected = load.perSecond * factor * slice / millisecondsPerSecond;
+            const expected = load.perSecond * factor * arrivalInterval / millisecondsPerSecond;
             let left = expected;
             while (left > 0 && sampler.happens(Math.min(1, left))) {
                 jobs.push(generateJob(sampler, load, at, `${load.name}${jobs.length}`));
@@ -143,7 +143,7 @@
         failingTasks: generated.map(({ failing }) => failing),
         coreSeconds: sizes.reduce((sum, size) => sum + size, 0),
         criticalPath: taskWork.reduce((sum, tasks) => sum + Math.max(...tasks), 0),
-        lifetime: load.lifetime && sampler.size(load.lifetime),
+        lifetime: load.lifetime && sampler.sample(load.lifetime),
     };
 };
 
@@ -158,13 +158,13 @@
     readonly failing: number | undefined;
 } => {
     const taskCount = sampler.count(load.width);
-    const mean = sampler.size(load.work);
+    const mean = sampler.sample(load.work);
     const taskWork = Array.from({ length: taskCount }, () => mean * sampler.around(load.unevenness));
     const step = makeStep({
         taskCount,
         size: {
-            processorThousandths: Math.round(sampler.size(load.processorThousandths)),
-            memoryMebibytes: Math.round(sampler.size(load.memoryMebibytes)),
+            processorThousandths: Math.round(sampler.sample(load.processorThousandths)),
+            memoryMebibytes: Math.round(sampler.sample(load.memoryMebibytes)),
             accelerators,
         },
         estimate: Math.round(mean * sampler.factor(load.estimateError)),
