--- a/packages/core/src/settings/definitions.ts
+++ b/packages/core/src/settings/definitions.ts
@@ -101,7 +101,7 @@
 
 /** Comma-separated addresses. May be empty. */
 export class AddressListKind implements ValueKind<readonly string[]> {
-    readonly description = "addresses separated by commas, as in 127.0.0.1:7000, 127.0.0.1:7001";
+    readonly description = "addresses parted by commas, as in 127.0.0.1:7000, 127.0.0.1:7001";
     readonly #address = new AddressKind();
 
     read(text: string): Result<readonly string[], string> {
