--- a/packages/cell/src/scheduler/cell-summary.ts
+++ b/packages/cell/src/scheduler/cell-summary.ts
@@ -16,7 +16,7 @@
     readonly openJobs: number;
     /** Waiting tasks by the priority of their queue, and the thousandths of processors that they need. */
     readonly waiting: Readonly<Record<string, { readonly tasks: number; readonly processor: number; }>>;
-    /** Waiting tasks that the last scheduling cycle held back because a gang of a more urgent queue lacked resources. */
+    /** Waiting tasks that the last scheduling cycle deferred because a gang of a more urgent queue lacked resources. */
     readonly heldBack: number;
     readonly services: Readonly<Record<ServiceName, ServiceSummary>>;
     /** Organisations whose tasks wait because of their own limit, most waiting tasks first; at most {@link maxReportedOrganisations}. */
--- a/packages/cell/src/selection/ranking.ts
+++ b/packages/cell/src/selection/ranking.ts
@@ -12,7 +12,7 @@
 /** Whether a step's job can still meet its objective, and so how much of its value it can still earn. */
 export enum DeadlineStatus {
     /** Its tasks run until they are cancelled and serve users throughout: they go first. */
-    Lasting = 0,
+    LongRunning = 0,
     OnTime = 1,
     /** Its job misses its objective but earns a part of its value. */
     Late = 2,
@@ -25,10 +25,10 @@
 
 /**
  * The coarsest criterion of the order of steps; lower goes first. Late narrow steps of the most urgent queues go before deferrable
- * work: behind it they would become worthless, while the deferrable work can still be on time.
+ * work: after it they would earn nothing, while the deferrable work can still be on time.
  */
 export enum Tier {
-    Lasting = 0,
+    LongRunning = 0,
     OnTime = 1,
     /** Also urgent steps that are on time only if their estimates are right, and those that exceed their organisation's entitlement. */
     LateUrgent = 2,
@@ -43,7 +43,7 @@
     readonly deadlineStatus: DeadlineStatus;
     readonly tier: Tier;
     readonly priority: number;
-    /** 0 within its organisation's entitlement, more for surplus. Surplus goes behind, and where urgent ranks with late steps. */
+    /** 0 within its organisation's entitlement, more for surplus. Surplus steps come after entitled ones; urgent ones are in the tier of late steps. */
     readonly entitlement: number;
     /** The latest time, by the owner's monotonic clock, at which it can start for its job to be on time. */
     readonly latestStart: Milliseconds;
@@ -68,8 +68,8 @@
     if (definition.isLasting) {
         return {
             step,
-            deadlineStatus: DeadlineStatus.Lasting,
-            tier: Tier.Lasting,
+            deadlineStatus: DeadlineStatus.LongRunning,
+            tier: Tier.LongRunning,
             priority,
             entitlement,
             latestStart,
@@ -88,7 +88,7 @@
 export const isUrgentNarrow = ({ queues }: CellContext, { definition, job }: Step): boolean =>
     job.terms.priority === queues?.mostUrgentPriority && !definition.isLasting && !definition.isGang;
 
-/** Puts large steps back: where not all urgent jobs can be on time, small ones earn more for their resources. */
+/** Delays large steps: where not all urgent jobs can be on time, small ones earn more for their resources. */
 const sizePenaltyOf = ({ definition: { estimate, size, taskCount } }: Step): Milliseconds => {
     const coreSeconds = taskCount * size.processorThousandths * estimate / 1e6;
     return Math.min(maxSizePenalty, coreSeconds * sizePenaltyPerCoreSecond);
@@ -103,8 +103,8 @@
 ): Tier => {
     const isUrgent = isUrgentNarrow(context, step);
     switch (deadlineStatus) {
-        case DeadlineStatus.Lasting:
-            return Tier.Lasting;
+        case DeadlineStatus.LongRunning:
+            return Tier.LongRunning;
         case DeadlineStatus.OnTime:
             return isUrgent ? urgentTier(step, slack, entitlement) : deferrableTier(context, step, slack);
         case DeadlineStatus.Late:
