--- a/packages/cell/src/limits/constants.ts
+++ b/packages/cell/src/limits/constants.ts
@@ -3,7 +3,10 @@
 
 /** A gang that has been ready for this long and does not fit counts as blocked. The time covers one question to the advice service. */
 export const blockedGangDelay: Milliseconds = 1_500;
-/** While more than this share of a service's capacity for the blocked gang is free, nothing is deferred: something other than capacity blocks the gang. */
+/**
+ * While more than this share of a service's capacity for the blocked gang is free, nothing is deferred: something other than capacity blocks
+ * the gang.
+ */
 export const maxFreeShare = 0.35;
 /** While more than this share of a service's processors is free, nothing is deferred, so that the service does not idle while work waits. */
 export const maxIdleShare = 0.45;
--- a/packages/cell/src/placement/reservations.ts
+++ b/packages/cell/src/placement/reservations.ts
@@ -50,8 +50,8 @@
  *
  * A plan names the workers that will have the resources earliest, by the expected ends of their runs. Until then those workers take
  * only tasks that will have ended by that time or that leave enough free at that time. Plans are kept over cycles, as tickets
- * are obtained for their workers and resources do not accumulate if a reservation moves to other workers in each cycle. Steps ahead of the planned one may still use its
- * workers, at a higher cost.
+ * are obtained for their workers and resources do not accumulate if a reservation moves to other workers in each cycle. Steps ahead of
+ * the planned one may still use its workers, at a higher cost.
  */
 export class Reservations {
     readonly #forecast = new CapacityForecast();
--- a/packages/cell/src/selection/ranking.ts
+++ b/packages/cell/src/selection/ranking.ts
@@ -43,7 +43,10 @@
     readonly deadlineStatus: DeadlineStatus;
     readonly tier: Tier;
     readonly priority: number;
-    /** 0 within its organisation's entitlement, more for surplus. Surplus steps come after entitled ones; urgent ones are in the tier of late steps. */
+    /**
+     * 0 within its organisation's entitlement, more for surplus. Surplus steps come after entitled ones; urgent ones are in the tier of late
+     * steps.
+     */
     readonly entitlement: number;
     /** The latest time, by the owner's monotonic clock, at which it can start for its job to be on time. */
     readonly latestStart: Milliseconds;
--- a/packages/cell/src/upkeep/wave-planner.ts
+++ b/packages/cell/src/upkeep/wave-planner.ts
@@ -160,10 +160,10 @@
     }
 
     /** How long VMs may drain, from the start of the wave: the rest of its time is needed for the upkeep itself. */
-    #maxDrainTime({ definition, orders: begun }: Wave): Milliseconds {
-        const rounds = Math.ceil((definition.vms.length - begun.size) / Math.max(1, definition.mostDown));
+    #maxDrainTime({ definition, orders }: Wave): Milliseconds {
+        const rounds = Math.ceil((definition.vms.length - orders.size) / Math.max(1, definition.mostDown));
         const needed = rounds * (this.options.upkeepTime + upkeepMargin);
-        const elapsedShare = begun.size / Math.max(1, definition.vms.length);
+        const elapsedShare = orders.size / Math.max(1, definition.vms.length);
         return Math.min(definition.within * (drainShare + elapsedShare), definition.within - needed);
     }
 
--- a/packages/cell/test/crashes/crash-fuzz.test.ts
+++ b/packages/cell/test/crashes/crash-fuzz.test.ts
@@ -124,8 +124,8 @@
     }
 
     /**
-     * Whether an innocent task was on as many crashing workers as a task at fault, without a run in between that ended or outlived the lost ones. Such a
-     * task cannot be distinguished from one at fault.
+     * Whether an innocent task was on as many crashing workers as a task at fault, without a run in between that ended or
+     * outlived the lost ones. Such a task cannot be distinguished from one at fault.
      */
     #isIndistinguishable(job: string): boolean {
         const tasks = new Set(
--- a/packages/core/src/time/suspension-detector.ts
+++ b/packages/core/src/time/suspension-detector.ts
@@ -19,7 +19,10 @@
     #offset: Milliseconds | undefined;
     #uninterruptedSince: Milliseconds = -Infinity;
 
-    /** Compares readings of both clocks, `wallClock` in Unix milliseconds. Returns the monotonic time of the last detected jump, or -Infinity. */
+    /**
+     * Compares readings of both clocks, `wallClock` in Unix milliseconds. Returns the monotonic time of the last detected jump, or
+     * -Infinity.
+     */
     check(monotonic: Milliseconds, wallClock: number): Milliseconds {
         const offset = wallClock - monotonic;
         if (this.#offset !== undefined && offset - this.#offset > minJump) {
