--- a/packages/cell/src/advice/index.ts
+++ b/packages/cell/src/advice/index.ts
@@ -41,6 +41,6 @@
 
 /** Client of the advice service. */
 export interface AdviceClient {
-    /** Rejects when no answer arrives. */
-    ask(question: AdviceQuestion, limit: Milliseconds, signal: AbortSignal): Promise<AdviceAnswer>;
+    /** Sends a question. Rejects when no answer arrives within `timeout`. */
+    ask(question: AdviceQuestion, timeout: Milliseconds, signal: AbortSignal): Promise<AdviceAnswer>;
 }
--- a/packages/cell/src/advising/advice-dispatcher.ts
+++ b/packages/cell/src/advising/advice-dispatcher.ts
@@ -18,15 +18,15 @@
  * The per-worker time of a part of a slow question is at least this share of the constant time of a call: smaller parts would occupy more
  * VMs and be answered hardly sooner.
  */
-const minNamingShare = 1 / 3;
+const minWorkerTimeShare = 1 / 3;
 /** Share of the free VMs that one question may use, leaving others to the questions that follow. */
 const freeVmShare = 1 / 2;
 
-/** Where the questions come from. */
+/** Component that asks the questions. */
 export interface AdviceRequester {
     /** Whether the answer to a question about a step would still be of use. */
     isAdviceWanted(step: string): boolean;
-    /** Told that a question was discarded, as its answer would be of no use. */
+    /** Called when a question is discarded because its answer would be of no use. */
     dropAdvice(step: string, workers: readonly WorkerId[]): void;
 }
 
@@ -42,7 +42,7 @@
 /** A question, or the remainder of one, that waits for a free VM. */
 interface WaitingQuestion {
     readonly request: AdviceRequest;
-    /** When it was asked, with a delay by its urgency; lower goes first. */
+    /** When it was asked, plus a delay that grows as urgency falls. The lowest is sent first. */
     readonly sortTime: Milliseconds;
 }
 
@@ -195,7 +195,7 @@
 const isSlow = ({ policy, workers }: AdviceRequest): boolean => callDuration(policy, workers.length) > slowQuestionTime;
 
 const minPartSize = ({ decision, eachWorker }: AdvicePolicy): number =>
-    eachWorker === 0 ? maxAdviceWorkers : Math.ceil(decision * minNamingShare / eachWorker);
+    eachWorker === 0 ? maxAdviceWorkers : Math.ceil(decision * minWorkerTimeShare / eachWorker);
 
 const isFreeFor = (vm: AskingVm, isSlowQuestion: boolean): boolean =>
     isSlowQuestion ? vm.inFlight.size === 0 : vm.inFlight.size < maxInFlight;
--- a/packages/cell/src/limits/organisation-limits.ts
+++ b/packages/cell/src/limits/organisation-limits.ts
@@ -1,8 +1,8 @@
-/** Limits of organisations at placement. */
+/** Enforcement of organisations' limits at placement. */
 import type { Milliseconds, OrganisationName } from "@pebbledale/core";
 import type { UsageLedger } from "../organisations/index.js";
 import type { Step, Task } from "../state/index.js";
-import { deferrableShare, limitWaitTime, unrestrictedShare } from "./constants.js";
+import { limitWaitTime, nonUrgentShare, unrestrictedShare } from "./constants.js";
 
 /**
  * Keeps each organisation's running work within its limit.
@@ -23,7 +23,7 @@
         this.#mostUrgentPriority = mostUrgentPriority;
     }
 
-    /** Whether no task of a step, or of a gang not all of them, can start within its organisation's limit. */
+    /** Whether the rest of its organisation's limit is too small for one task of a step, or for all tasks of a gang. */
     isAtLimit({ definition, job, tasks }: Step): boolean {
         return this.usage.countRemaining(job.organisation, definition.size) < (definition.isGang ? tasks.length : 1);
     }
@@ -50,13 +50,13 @@
         return [];
     }
 
-    /** How many tasks of a step that is no gang may start. All but the most urgent queues leave a part of the limit free. */
+    /** How many tasks of a step that is no gang may start. Queues other than the most urgent ones leave a part of the limit free. */
     #countAdmissible(organisation: OrganisationName, { definition: { size }, job: { terms } }: Step): number {
         const remaining = this.usage.countRemaining(organisation, size);
         if (terms.priority <= this.#mostUrgentPriority) {
             return remaining;
         }
-        const admissible = this.usage.countRemaining(organisation, size, deferrableShare);
+        const admissible = this.usage.countRemaining(organisation, size, nonUrgentShare);
         const isStarving = admissible === 0 && this.usage.isBelowShare(organisation, unrestrictedShare);
         return isStarving ? Math.min(1, remaining) : admissible;
     }
--- a/packages/cell/src/monitoring/step-paces.ts
+++ b/packages/cell/src/monitoring/step-paces.ts
@@ -24,7 +24,7 @@
     readonly #paces = new WeakMap<Step, Map<WorkerId, number>>();
 
     /** Adds a sample of a step's tasks on a worker. */
-    note(step: Step, worker: WorkerId, pace: number): void {
+    recordPace(step: Step, worker: WorkerId, pace: number): void {
         const paces = this.#paces.get(step) ?? new Map<WorkerId, number>();
         this.#paces.set(step, paces);
         const average = paces.get(worker);
@@ -34,7 +34,7 @@
         paces.set(worker, average === undefined ? pace : average + (pace - average) * newestWeight);
     }
 
-    /** Combines the paces on other workers with the caller's estimate, which counts more the fewer these are. */
+    /** Combines the paces on other workers with the caller's estimate, whose weight is higher the fewer of them there are. */
     expectedPaceOf(step: Step, worker: WorkerId): ExpectedPace {
         const others = [...this.#paces.get(step) ?? []].filter(([id]) => id !== worker).map(([, pace]) => pace);
         const peers = others.length;
--- a/packages/cell/src/runs/worker-incarnations.ts
+++ b/packages/cell/src/runs/worker-incarnations.ts
@@ -19,7 +19,7 @@
     /**
      * Handles a worker that restarted under its id. Runs that the former incarnation reported are lost. Runs that were ordered but not
      * reported may have been started by either incarnation, or may yet be started by the new one until it has seen a higher token; the
-     * first poll under a new link settles them. Returns the entry that may describe the new incarnation, if one is known.
+     * first poll under a new link resolves them. Returns the entry that may describe the new incarnation, if one is known.
      */
     applyRestart(id: WorkerId, incarnation: WorkerIncarnation | undefined): WorkerEntry | undefined {
         const former = this.context.workers.get(id);
@@ -29,7 +29,7 @@
         if (former.silentSince === undefined) {
             this.silences.record(id, former.entry?.service, this.context.now());
         }
-        const worker = this.#succeed(former, incarnation);
+        const worker = this.#createSuccessor(former, incarnation);
         this.context.workers.set(id, worker);
         this.listener.workerGone(former);
         this.recordWorker(worker);
@@ -102,7 +102,7 @@
         this.context.options.log.log(logEvents.workerGone, { worker: worker.id, reason });
     }
 
-    #succeed(former: WorkerState, incarnation: WorkerIncarnation | undefined): WorkerState {
+    #createSuccessor(former: WorkerState, incarnation: WorkerIncarnation | undefined): WorkerState {
         const worker = former.createSuccessor(incarnation);
         if (worker.unlistedSince !== undefined) {
             // The new incarnation gets the full grace period to publish its entry.
--- a/packages/cell/test/crashes/crash-fuzz.test.ts
+++ b/packages/cell/test/crashes/crash-fuzz.test.ts
@@ -14,8 +14,8 @@
 /** Delay after which most tasks at fault crash their worker. */
 const startCrashDelay = 10;
 const stepsUnderFaults = 500;
-/** Time within which every job must end, with trials of all tasks at fault one after the other. */
-const maxRest = 240_000;
+/** Time after the faults within which every job must end, with trials of all tasks at fault one after the other. */
+const maxSettlingTime = 240_000;
 
 /** One seeded scenario. */
 class CrashScenario {
@@ -41,7 +41,7 @@
             this.#injectFaults();
             this.cell.advance(stepTime);
         }
-        for (let rested = 0; rested < maxRest && !this.#haveAllEnded(); rested += 1_000) {
+        for (let elapsed = 0; elapsed < maxSettlingTime && !this.#haveAllEnded(); elapsed += 1_000) {
             this.cell.advance(1_000);
         }
         this.#check();
@@ -124,8 +124,8 @@
     }
 
     /**
-     * Whether an innocent task was on as many crashing workers as a task at fault, without a run in between that ended or lasted. Such a
-     * task cannot be distinguished from one at fault.
+     * Whether an innocent task was on as many crashing workers as a task at fault, without a run in between that ended or
+     * outlived the lost ones. Such a task cannot be distinguished from one at fault.
      */
     #isIndistinguishable(job: string): boolean {
         const tasks = new Set(
@@ -139,9 +139,9 @@
 
     /** Number of shared losses of a job: during those, a task that crashes its worker late cannot be distinguished from others. */
     #sharedLossesOf(job: string): number {
-        const isMeant = ({ task }: Readonly<Record<string, unknown>>) => task === `${job}/0/0/0`;
+        const isOfJob = ({ task }: Readonly<Record<string, unknown>>) => task === `${job}/0/0/0`;
         const lost = this.cell.driver.logged.filter(({ event }) => event === logEvents.runLost);
-        return lost.filter(({ fields }) => isMeant(fields) && fields["isShared"] === true).length;
+        return lost.filter(({ fields }) => isOfJob(fields) && fields["isShared"] === true).length;
     }
 
     #happens(probability: number): boolean {
@@ -158,13 +158,13 @@
 
 describe("tasks that crash their workers, among innocent tasks", () => {
     it("are given up after at most five workers, and innocent tasks are not", () => {
-        const broken: Record<number, readonly string[]> = {};
+        const violationsBySeed: Record<number, readonly string[]> = {};
         for (let seed = 1; seed <= scenarios; seed++) {
-            const found = new CrashScenario(seed).run();
-            if (found.length > 0) {
-                broken[seed] = found;
+            const violations = new CrashScenario(seed).run();
+            if (violations.length > 0) {
+                violationsBySeed[seed] = violations;
             }
         }
-        expect(broken).toEqual({});
+        expect(violationsBySeed).toEqual({});
     });
 });
