--- a/packages/evidence/src/bench/virtual/virtual-cell.ts
+++ b/packages/evidence/src/bench/virtual/virtual-cell.ts
@@ -125,7 +125,7 @@
                 onCommitted(outcome.job);
             }
         });
-        this.requestSchedule();
+        this.requestSchedulingCycle();
         return outcome;
     }
 
@@ -168,7 +168,7 @@
     }
 
     /** Requests a scheduling cycle at the current time, after the events already due. */
-    requestSchedule(): void {
+    requestSchedulingCycle(): void {
         if (this.#isCycleScheduled || !this.#isOwned) {
             return;
         }
@@ -204,7 +204,7 @@
         for (const worker of this.workers.values()) {
             this.#claim(worker);
         }
-        this.requestSchedule();
+        this.requestSchedulingCycle();
     }
 
     #claim(worker: VirtualWorker): void {
@@ -229,7 +229,7 @@
         }
         if (this.#isOwned) {
             this.#applyTransition(this.scheduler.tick());
-            this.requestSchedule();
+            this.requestSchedulingCycle();
         }
     }
 
@@ -253,7 +253,7 @@
         this.#applyTransition(
             this.scheduler.heartbeatAnswered(worker.listed.worker, worker.report(), this.clock.monotonic()),
         );
-        this.requestSchedule();
+        this.requestSchedulingCycle();
     }
 
     /** Executes effects once the transition's records are committed; at once when it has none. */
@@ -289,7 +289,7 @@
                     onCommitted?.();
                     transition.effects.forEach(effect => this.#execute(effect));
                 }
-                this.requestSchedule();
+                this.requestSchedulingCycle();
             }
             this.#writeSegment();
         });
--- a/packages/evidence/src/capacity/decision-slopes.ts
+++ b/packages/evidence/src/capacity/decision-slopes.ts
@@ -22,7 +22,7 @@
 
 const workerCounts = [500, 2_000] as const;
 const tasksPerWorker = 6;
-const rounds = 5;
+const roundCount = 5;
 const submission = jobSubmissionSchema.parse({
     class: "batch",
     team: "scripts",
@@ -127,13 +127,13 @@
                 attempt: task.attempt,
                 usage: task.assignment!.grant,
             }));
-            const answer = this.createReport(entry.worker, running);
+            const report = this.createReport(entry.worker, running);
             out += JSON.stringify(message).length;
-            back += JSON.stringify(answer).length;
+            back += JSON.stringify(report).length;
             this.commit(
                 this.scheduler.heartbeatAnswered(
                     entry.worker,
-                    JSON.parse(JSON.stringify(answer)) as WorkerReport,
+                    JSON.parse(JSON.stringify(report)) as WorkerReport,
                     Infinity,
                 ),
             );
@@ -153,8 +153,8 @@
 }
 
 const meanRecordBytes = (records: readonly ShardRecord[], kind: ShardRecord["kind"]): number => {
-    const chosen = records.filter(record => record.kind === kind);
-    return JSON.stringify(chosen).length / Math.max(1, chosen.length);
+    const matching = records.filter(record => record.kind === kind);
+    return JSON.stringify(matching).length / Math.max(1, matching.length);
 };
 
 /** Measures memory, processor time and message sizes of a shard, heartbeats and ticks at two numbers of workers. */
@@ -182,14 +182,14 @@
         }
         shard.exchangeHeartbeats();
         let sizes = { out: 0, back: 0 };
-        const beat = processorTimePerItem(count * rounds, () => {
-            for (let round = 0; round < rounds; round++) {
+        const heartbeat = processorTimePerItem(count * roundCount, () => {
+            for (let round = 0; round < roundCount; round++) {
                 sizes = shard.exchangeHeartbeats();
             }
         });
-        add(`processor a heartbeat with ${tasksPerWorker} tasks (decision and JSON) at ${count} workers`, beat, "us");
-        const tick = processorTimePerItem(count * rounds * 10, () => {
-            for (let round = 0; round < rounds * 10; round++) {
+        add(`processor a heartbeat with ${tasksPerWorker} tasks (decision and JSON) at ${count} workers`, heartbeat, "us");
+        const tick = processorTimePerItem(count * roundCount * 10, () => {
+            for (let round = 0; round < roundCount * 10; round++) {
                 shard.commit(shard.scheduler.tick());
             }
         });
--- a/packages/evidence/src/capacity/process-slopes.ts
+++ b/packages/evidence/src/capacity/process-slopes.ts
@@ -4,7 +4,7 @@
 import { createJob, sendLiveRequest, startService, submitAll, waitForAll } from "../prove/proofs/workload.js";
 import type { Slope } from "./types.js";
 
-const idleSeconds = 6;
+const restSeconds = 6;
 const requestCount = 3_000;
 const requestsPerBatch = 40;
 const jobCount = 600;
@@ -58,7 +58,7 @@
         await pause(2_000);
 
         const beforeRest = await readAll();
-        await pause(idleSeconds * 1_000);
+        await pause(restSeconds * 1_000);
         const afterRest = await readAll();
         for (const role of ["owner", "idle", "gateway"] as const) {
             const name = role === "idle"
@@ -69,14 +69,14 @@
             add(
                 name,
                 "processor at rest",
-                (afterRest[role].processorSeconds - beforeRest[role].processorSeconds) / idleSeconds * 100,
+                (afterRest[role].processorSeconds - beforeRest[role].processorSeconds) / restSeconds * 100,
                 "% of a core",
             );
             add(name, "memory at rest", afterRest[role].memoryBytes / 1_048_576, "MiB");
             add(
                 name,
                 "platform calls at rest",
-                (afterRest[role].platformCalls - beforeRest[role].platformCalls) / idleSeconds,
+                (afterRest[role].platformCalls - beforeRest[role].platformCalls) / restSeconds,
                 "/s",
             );
         }
--- a/packages/evidence/src/cell/cell.ts
+++ b/packages/evidence/src/cell/cell.ts
@@ -114,7 +114,7 @@
             shards: options.shards ?? 1,
         };
         const cell = new Cell(options, topology, platform, fleet, fleetAddress, auditFolder);
-        await cell.#startPrograms();
+        await cell.#startProcesses();
         return cell;
     }
 
@@ -171,8 +171,8 @@
     startGateway(index: number): ManagedProcess {
         const name = `gateway-${index}`;
         const file = join(this.folder, `${name}.ini`);
-        const [callers, administration] = [this.#gatewayAddresses[index], this.#administrationAddresses[index]];
-        writeFileSync(file, renderGatewaySettings(this.topology, name, callers, administration));
+        const [callerAddress, administrationAddress] = [this.#gatewayAddresses[index], this.#administrationAddresses[index]];
+        writeFileSync(file, renderGatewaySettings(this.topology, name, callerAddress, administrationAddress));
         const child = new ManagedProcess(
             name,
             mainScriptOf("gateway"),
@@ -292,8 +292,8 @@
     async waitUntilPlacing(): Promise<void> {
         await waitUntil("every shard has an owner with open workers", startTimeout, async () => {
             const shards = (await this.schedulerStatuses()).flatMap(status => status.shards);
-            const open = shards.flatMap(shard => shard.workers).filter(worker => worker.open).length;
-            return shards.length >= this.topology.shards && open > 0;
+            const openWorkerCount = shards.flatMap(shard => shard.workers).filter(worker => worker.open).length;
+            return shards.length >= this.topology.shards && openWorkerCount > 0;
         });
     }
 
@@ -303,9 +303,9 @@
         clearInterval(this.#readinessTimer);
         await this.caller.close();
         await this.store.close();
-        const programs = [...this.gateways.values(), ...this.schedulers.values()].filter(child => !child.hasExited);
-        programs.forEach(child => child.resume());
-        const codes = await Promise.all(programs.map(child => child.stop()));
+        const processes = [...this.gateways.values(), ...this.schedulers.values()].filter(child => !child.hasExited);
+        processes.forEach(child => child.resume());
+        const codes = await Promise.all(processes.map(child => child.stop()));
         this.relays.forEach(relay => relay.close());
         await Promise.all([this.platform.kill(), this.fleet.kill()]);
         return codes;
@@ -316,7 +316,7 @@
         rmSync(this.auditFolder, { recursive: true, force: true });
     }
 
-    async #startPrograms(): Promise<void> {
+    async #startProcesses(): Promise<void> {
         await this.acceptSettings(this.options.settingsTree ?? shortTimeoutSettings, 0);
         await this.#publishWorkerList();
         this.#workerListTimer = setInterval(() => {
--- a/packages/evidence/src/cli/prove.ts
+++ b/packages/evidence/src/cli/prove.ts
@@ -4,10 +4,10 @@
  */
 import { type ProofRow, proofs, runProof, Verdict } from "../prove/index.js";
 
-const selected = process.argv.slice(2).filter(word => /^\d+$/.test(word)).map(Number);
+const selectedPoints = process.argv.slice(2).filter(word => /^\d+$/.test(word)).map(Number);
 const rows: ProofRow[] = [];
 for (const proof of proofs) {
-    if (selected.length > 0 && !selected.includes(proof.point)) {
+    if (selectedPoints.length > 0 && !selectedPoints.includes(proof.point)) {
         const { point, name, failures } = proof;
         rows.push({ point, name, failures, verdict: Verdict.NotRun, evidence: "", withoutProtection: "" });
         continue;
--- a/packages/evidence/src/demo/index.ts
+++ b/packages/evidence/src/demo/index.ts
@@ -94,14 +94,14 @@
         return answers.every(answer => answer?.status === 200);
     });
     printStep("sending live requests, builds, matches, a gang, and a job that fits nowhere");
-    const live = sendLiveRequests(cell, result, waitingTimes);
+    const liveRequests = sendLiveRequests(cell, result, waitingTimes);
     const jobs = sendJobs(cell, result, deadline);
     await pause(600);
     const owner = await cell.ownerOf();
     printStep(`killing ${owner}, which owns the shard`);
     await cell.schedulers.get(owner ?? "")?.kill();
     result.packing = await measurePacking(cell);
-    await Promise.all([live, jobs]);
+    await Promise.all([liveRequests, jobs]);
     result.waitingP50 = waitingTimes.getValueAtPercentile(50);
     result.waitingP99 = waitingTimes.getValueAtPercentile(99);
 };
@@ -150,7 +150,7 @@
 
 const sendJobs = async (cell: Cell, result: DemoResult, deadline: number): Promise<void> => {
     const succeeded = new Set<string>();
-    const job = (key: string, more: object) => ({ key, class: "batch", size: smallSize, ...more });
+    const job = (key: string, overrides: object) => ({ key, class: "batch", size: smallSize, ...overrides });
     const submissions = [
         ...Array.from(
             { length: buildCount },
--- a/packages/evidence/src/docs/index.ts
+++ b/packages/evidence/src/docs/index.ts
@@ -15,8 +15,8 @@
 
 const renderSettingRows = (schema: Schema, formatKey: (name: string) => string): string[] =>
     Object.entries(schema).map(([name, { kind, fallback, comment }]) => {
-        const shown = fallback === undefined ? "must be set" : fallback === "" ? "empty" : `\`${fallback}\``;
-        return `| ${formatKey(name)} | ${escapeCell(kind.description)} | ${shown} | ${escapeCell(comment)} |`;
+        const shownDefault = fallback === undefined ? "must be set" : fallback === "" ? "empty" : `\`${fallback}\``;
+        return `| ${formatKey(name)} | ${escapeCell(kind.description)} | ${shownDefault} | ${escapeCell(comment)} |`;
     });
 
 const renderTable = (schema: Schema, formatKey: (name: string) => string): string =>
--- a/packages/evidence/src/prove/proofs/at-most-once.ts
+++ b/packages/evidence/src/prove/proofs/at-most-once.ts
@@ -41,10 +41,10 @@
                 return [await sendNotice(index), await sendNotice(index)];
             }),
         );
-        const submittedTwice = Promise.all([submitAll(cell, submissions), submitAll(cell, submissions)]);
+        const firstSubmissions = Promise.all([submitAll(cell, submissions), submitAll(cell, submissions)]);
         await cell.controlWorker({ worker: "worker-3", action: "kill" });
         await killOwner(cell);
-        const [first, second] = await submittedTwice;
+        const [first, second] = await firstSubmissions;
         await noticesSent;
         const third = await submitAll(cell, submissions);
         const ids = new Set([...first.values(), ...second.values(), ...third.values()]);
--- a/packages/evidence/src/prove/proofs/workload.ts
+++ b/packages/evidence/src/prove/proofs/workload.ts
@@ -5,11 +5,11 @@
 export const waitTimeout = 30_000;
 
 /** Creates the submission of a small batch job with one task; `more` overrides its fields. */
-export const createJob = (key: string, more: object = {}) => ({
+export const createJob = (key: string, overrides: object = {}) => ({
     key,
     class: "batch",
     size: { processors: 4, memoryMebibytes: 4_096 },
-    ...more,
+    ...overrides,
 });
 
 /** Submits jobs until each is accepted or refused; returns the IDs of the accepted ones by key. */
--- a/packages/evidence/test/docs/pages.test.ts
+++ b/packages/evidence/test/docs/pages.test.ts
@@ -5,18 +5,18 @@
 import { fileURLToPath } from "node:url";
 import { pageRenderers } from "../../src/docs/index.js";
 
-const pageOf = (name: string): string =>
+const readPage = (name: string): string =>
     readFileSync(fileURLToPath(new URL(`../../../../../docs/${name}`, import.meta.url)), "utf8");
 
 describe("generated reference pages", () => {
     for (const [name, render] of Object.entries(pageRenderers)) {
         it(`${name} is up to date with its catalogue; npm run docs writes it`, () => {
-            expect(pageOf(name)).toEqual(render());
+            expect(readPage(name)).toEqual(render());
         });
     }
 
     it("EVENTS.md contains every event, and event numbers are unique", () => {
-        const page = pageOf("EVENTS.md");
+        const page = readPage("EVENTS.md");
         const numbers = Object.values(logEvents).map(event => event.number);
         expect(numbers.filter(number => !page.includes(`| ${number} |`))).toEqual([]);
         expect(new Set(numbers).size).toEqual(numbers.length);
--- a/packages/evidence/test/journal/journal-fuzz.test.ts
+++ b/packages/evidence/test/journal/journal-fuzz.test.ts
@@ -11,16 +11,16 @@
 import { describe, it } from "node:test";
 import { FlakyStore } from "./flaky-store.js";
 
-const seeds = 60;
-const owners = 4;
+const seedCount = 60;
+const ownerCount = 4;
 const recordsPerOwner = 25;
 /** Probability that a call is lost before it takes effect, and again that its answer is lost. */
-const lossShare = 0.15;
+const lossProbability = 0.15;
 const maxDelayTurns = 6;
 
-const turn = (): Promise<void> => new Promise(resolve => setImmediate(resolve));
+const waitForTurn = (): Promise<void> => new Promise(resolve => setImmediate(resolve));
 
-const turnClock: Clock = { monotonic: () => 0, now: () => new Date(0), sleep: turn };
+const turnClock: Clock = { monotonic: () => 0, now: () => new Date(0), sleep: waitForTurn };
 
 /** A store whose writes are delayed, reordered and lost at random. */
 class ReorderingStore extends FlakyStore {
@@ -30,12 +30,12 @@
 
     override async compareAndSwap(...call: Parameters<FlakyStore["compareAndSwap"]>): Promise<SwapOutcome> {
         await this.#delay();
-        if (this.random.next() < lossShare) {
+        if (this.random.next() < lossProbability) {
             throw new PlatformUnavailableError("lost before it took effect");
         }
         const outcome = await super.compareAndSwap(...call);
         await this.#delay();
-        if (this.random.next() < lossShare) {
+        if (this.random.next() < lossProbability) {
             throw new PlatformUnavailableError("lost after it took effect");
         }
         return outcome;
@@ -44,7 +44,7 @@
     async #delay(): Promise<void> {
         const turns = Math.floor(this.random.next() * maxDelayTurns);
         for (let passed = 0; passed < turns; passed++) {
-            await turn();
+            await waitForTurn();
         }
     }
 }
@@ -77,7 +77,7 @@
     const store = new ReorderingStore(random);
     const committed: string[] = [];
     const writing: Promise<unknown>[] = [];
-    for (let owner = 0; owner < owners; owner++) {
+    for (let owner = 0; owner < ownerCount; owner++) {
         const { journal, contents } = await openWithRetries(store, random, `owner-${owner}`);
         const state = [...(contents.snapshot as string[] | undefined ?? []), ...contents.records as string[]];
         journal.setSnapshotSource(() => state);
@@ -86,7 +86,7 @@
             state.push(record);
             writing.push(journal.append([record]).then(() => committed.push(record)).catch(() => undefined));
             if (random.next() < 0.5) {
-                await turn();
+                await waitForTurn();
             }
         }
     }
@@ -115,7 +115,7 @@
 
 describe("a journal under competing owners whose writes are delayed, reordered and lost", () => {
     it("contains every committed record, once and in order", async () => {
-        for (let seed = 1; seed <= seeds; seed++) {
+        for (let seed = 1; seed <= seedCount; seed++) {
             const { committed, read } = await runOwners(seed);
             expect(new Set(read).size).toEqual(read.length);
             const missing = committed.filter(record => !read.includes(record));
--- a/packages/evidence/test/journal/journal.test.ts
+++ b/packages/evidence/test/journal/journal.test.ts
@@ -44,8 +44,8 @@
 });
 
 /** Makes the list of appended records the journal's snapshot source. */
-const trackState = (journal: Journal, before: readonly unknown[] = []) => {
-    const state = [...before];
+const trackState = (journal: Journal, initialRecords: readonly unknown[] = []) => {
+    const state = [...initialRecords];
     journal.setSnapshotSource(() => state);
     return {
         state,
@@ -200,13 +200,13 @@
         }
         const list = store.list.bind(store);
         // The first page ends between the keys of the next two segments, which are written before the second is read.
-        const isOnFirst = (key: string): boolean => Number(key.slice(-5)) < 8;
+        const isOnFirstPage = (key: string): boolean => Number(key.slice(-5)) < 8;
         store.list = async prefix => {
-            const firstPage = (await list(prefix)).filter(({ key }) => isOnFirst(key));
+            const firstPage = (await list(prefix)).filter(({ key }) => isOnFirstPage(key));
             store.list = list;
             await journal.append(["f"]);
             await journal.append(["g"]);
-            const secondPage = (await list(prefix)).filter(({ key }) => !isOnFirst(key));
+            const secondPage = (await list(prefix)).filter(({ key }) => !isOnFirstPage(key));
             return [...firstPage, ...secondPage];
         };
         const { contents } = await openAs(store, "second", { snapshotEvery: 100 });
@@ -216,7 +216,7 @@
     it("sends several segments at once and resolves each append only when all earlier segments are committed", async () => {
         const store = new FlakyStore();
         const { journal } = await openAs(store, "owner", { maxInFlight: 4, snapshotEvery: 100 });
-        const held = holdFirstWrite(store);
+        const held = holdNextWrite(store);
         const committed: string[] = [];
         const first = journal.append(["a"]).then(() => committed.push("a"));
         await runEventLoop();
@@ -280,19 +280,19 @@
         let rounds = 0;
         let waiting: (() => void)[] = [];
         // All calls in flight are answered together, once nothing else is left to run.
-        const answered = () => new Promise<void>(resolve => waiting.push(resolve));
+        const waitForRound = () => new Promise<void>(resolve => waiting.push(resolve));
         const list = store.list.bind(store);
         const get = store.get.bind(store);
         store.list = async prefix => {
-            await answered();
+            await waitForRound();
             return list(prefix);
         };
         store.get = async key => {
-            await answered();
+            await waitForRound();
             return get(key);
         };
         const opened = openAs(store, "second", sizes);
-        for (let pause = 0; pause < 20; pause++) {
+        for (let step = 0; step < 20; step++) {
             await runEventLoop();
             rounds += waiting.length > 0 ? 1 : 0;
             waiting.forEach(resolve => resolve());
@@ -307,7 +307,7 @@
         const store = new FlakyStore();
         const { journal } = await openAs(store, "old", { maxInFlight: 4, snapshotEvery: 100 });
         await journal.append(["kept"]);
-        const held = holdFirstWrite(store);
+        const held = holdNextWrite(store);
         const lost = journal.append(["lost"]);
         await runEventLoop();
         const after = journal.append(["after it"]);
@@ -325,7 +325,7 @@
     it("ignores segments of an earlier owner that arrive beyond the claim of a later one", async () => {
         const store = new FlakyStore();
         const { journal } = await openAs(store, "old", { maxInFlight: 4, snapshotEvery: 100 });
-        const held = holdFirstWrite(store);
+        const held = holdNextWrite(store);
         const lost = journal.append(["lost"]);
         await runEventLoop();
         const after = journal.append(["after it"]);
@@ -345,7 +345,7 @@
 };
 
 /** Blocks the next write before it takes effect, until it is released. */
-const holdFirstWrite = (store: FlakyStore): { release: () => void; } => {
+const holdNextWrite = (store: FlakyStore): { release: () => void; } => {
     let release = () => {};
     const released = new Promise<void>(resolve => release = resolve);
     store.beforeSwap = () => {
--- a/packages/evidence/test/operator/command-line.test.ts
+++ b/packages/evidence/test/operator/command-line.test.ts
@@ -69,10 +69,10 @@
         );
         expect((await runOperator("settings", "accept", first, "--base", "0")).out).toEqual("revision 1 is in force\n");
         expect((await runOperator("settings", "accept", second, "--base", "1", "--author", "ana")).code).toEqual(0);
-        const lost = await runOperator("settings", "accept", first, "--base", "1", "--json");
-        expect(lost.code).toEqual(1);
-        expect(lost.err.includes("revision 2 is in force, ana accepted it")).toEqual(true);
-        expect((JSON.parse(lost.out) as { changedSince: unknown[]; }).changedSince.length).toEqual(2);
+        const superseded = await runOperator("settings", "accept", first, "--base", "1", "--json");
+        expect(superseded.code).toEqual(1);
+        expect(superseded.err.includes("revision 2 is in force, ana accepted it")).toEqual(true);
+        expect((JSON.parse(superseded.out) as { changedSince: unknown[]; }).changedSince.length).toEqual(2);
         const explained = await runOperator(
             "settings",
             "explain",
