--- a/packages/evidence/src/bench/decisions.ts
+++ b/packages/evidence/src/bench/decisions.ts
@@ -19,13 +19,13 @@
 
 const fleetSizes = [30, 1_000, 10_000];
 const { capacity } = bayanihanMix.shape;
-/** Share of the fleet's processors that is granted while placers are measured. */
+/** Share of the fleet's processors that is granted before a placer is measured. */
 const fillShare = 0.8;
 const sampleCount = 4_096;
 const placerSeconds = 1;
 const peakStartsPerSecond = 3_800;
 const batchCount = 60;
-/** The share for {@link BestFitScan} on large fleets, which it is too slow to fill further. */
+/** Replaces `fillShare` for {@link BestFitScan} on large fleets, because it is too slow to fill them further. */
 const scanFillShare = 0.1;
 
 const generateSizes = (random: Random): Resources[] =>
@@ -82,7 +82,7 @@
 }
 
 /**
- * Measures complete scheduling cycles of {@link ShardScheduler}, from the queue to the recorded reason. Percentiles are in
+ * Measures complete scheduling cycles of {@link ShardScheduler}, from taking a job off the queue to recording the reason. Percentiles are in
  * microseconds per started task.
  */
 const measureFullDecision = (count: number): FullDecisionResult => {
@@ -170,7 +170,7 @@
     if (batch % 4 !== 3) {
         return;
     }
-    for (const entry of [...scheduler.workers.values()].filter(other => other.tasks.size > 0)) {
+    for (const entry of [...scheduler.workers.values()].filter(worker => worker.tasks.size > 0)) {
         const ended = [...entry.tasks.values()].map(task => ({
             task: task.task,
             attempt: task.attempt,
--- a/packages/evidence/src/bench/virtual/virtual-cell.ts
+++ b/packages/evidence/src/bench/virtual/virtual-cell.ts
@@ -35,7 +35,7 @@
     readonly settings?: readonly string[];
     /** Actual run time of a job's tasks, which may differ from the declared one. */
     readonly runDurationOf: (job: JobId) => Milliseconds;
-    /** Demand for processors of a job's tasks relative to their grants; 1 if absent. */
+    /** Ratio of the processors that a job's tasks demand to their grant; 1 if absent. */
     readonly usageFactorOf?: (job: JobId) => number;
     /** Whether a job's tasks fail on every worker. */
     readonly failsEverywhere?: (job: JobId) => boolean;
@@ -52,7 +52,7 @@
 const heartbeatInterval: Milliseconds = 1_000;
 const tickInterval: Milliseconds = 100;
 const workerListInterval: Milliseconds = 2_000;
-/** Time without an owner after the former one was killed: expiry of its lease and replay of the journal. */
+/** Time from an owner's death until the next one takes over: lease expiry and journal replay. */
 const ownerTakeoverDelay: Milliseconds = 3_500;
 
 /** Parses lines of a settings tree's organisation section; throws when they are invalid. */
@@ -256,7 +256,7 @@
         this.requestSchedulingCycle();
     }
 
-    /** Executes effects once the transition's records are committed; at once when it has none. */
+    /** Executes effects once the transition's records are committed, or immediately when it has no records. */
     #applyTransition(transition: Transition, onCommitted?: () => void): void {
         if (transition.records.length === 0) {
             transition.effects.forEach(effect => this.#execute(effect));
@@ -296,7 +296,7 @@
     }
 
     #execute(effect: Effect): void {
-        const owner = this.scheduler;
+        const issuingScheduler = this.scheduler;
         if (effect.kind === "job-changed") {
             return;
         }
@@ -307,7 +307,7 @@
             return;
         }
         this.clock.after(networkDelay, () => {
-            if (owner !== this.scheduler || !this.#isOwned) {
+            if (issuingScheduler !== this.scheduler || !this.#isOwned) {
                 return;
             }
             if (effect.kind === "start") {
--- a/packages/evidence/src/bench/virtual/virtual-worker.ts
+++ b/packages/evidence/src/bench/virtual/virtual-worker.ts
@@ -26,8 +26,8 @@
 const usedProcessors = (task: VirtualTask): number => Math.min(task.demandedProcessors, task.processorLimit);
 
 /**
- * Counts over all workers of a simulation. `overCapacityStarts` and `concurrentStarts`, of tasks that already run, count
- * violations of the scheduler's guarantees.
+ * Counts over all workers of a simulation. Two of them count violations of the scheduler's guarantees: `overCapacityStarts`
+ * counts starts that exceeded a worker's capacity, `concurrentStarts` starts of tasks that were already running.
  */
 export class WorkerStatistics {
     readonly runningCounts = new Map<TaskId, number>();
@@ -47,7 +47,7 @@
     isReachable = true;
     isLeaving = false;
     failsAll = false;
-    /** Baseline without enforcement of grants: throttle messages have no effect. */
+    /** Whether throttle messages have no effect; serves as the baseline without enforcement of grants. */
     ignoresThrottle = false;
     #lastReportNumber = 0;
     #incarnation = 1;
@@ -75,7 +75,7 @@
     }
 
     /**
-     * Sums over the running tasks, in thousandths of a processor; `overGrant` is what tasks use beyond their grants.
+     * Sums over the running tasks, in thousandths of a processor; `overGrant` is the use beyond the grants.
      */
     processorUsage(): { readonly granted: number; readonly used: number; readonly overGrant: number; } {
         const tasks = [...this.running.values()];
@@ -96,7 +96,7 @@
         }
     }
 
-    /** Starts a task. `usageFactor` is its demand for processors relative to its grant. */
+    /** Starts a task. `usageFactor` is the ratio of the processors that it demands to its grant. */
     start(message: StartMessage, now: number, usageFactor: number): void {
         const { task, attempt, grant } = message;
         const { statistics } = this;
@@ -117,7 +117,7 @@
         statistics.overCapacityStarts += this.#isOverCapacity() ? 1 : 0;
     }
 
-    /** Ends a task and keeps its end for the next reports; false when this attempt does not run here. */
+    /** Ends a task and reports its end until it is acknowledged; false when this attempt does not run here. */
     end(task: TaskId, attempt: Attempt, kind: EndKind, now: number): boolean {
         const running = this.running.get(task);
         if (running?.attempt !== attempt) {
--- a/packages/evidence/src/bench/workload-mixes.ts
+++ b/packages/evidence/src/bench/workload-mixes.ts
@@ -17,7 +17,7 @@
     readonly runDuration: number;
 }
 
-/** One kind of job in a mix. Pairs are inclusive ranges of which values are drawn uniformly; shares add up to 1. */
+/** One kind of job in a mix. Pairs are inclusive ranges from which values are drawn uniformly; the shares of a mix add up to 1. */
 interface JobKind {
     readonly name: string;
     readonly share: number;
@@ -39,7 +39,7 @@
     readonly kinds: readonly JobKind[];
 }
 
-/** Every n-th job demands more processors than any worker has. */
+/** One job in this many demands more processors than any worker has. */
 const infeasibleInterval = 200;
 /** Declared run times differ from actual ones by up to this factor in either direction. */
 const maxDeclarationFactor = 4;
--- a/packages/evidence/src/capacity/decision-slopes.ts
+++ b/packages/evidence/src/capacity/decision-slopes.ts
@@ -39,6 +39,7 @@
     return process.memoryUsage().heapUsed;
 };
 
+/** Processor time of an action divided by the number of items that it handles, in microseconds. */
 const processorTimePerItem = (count: number, action: () => void): number => {
     const started = process.cpuUsage();
     action();
@@ -145,6 +146,7 @@
         for (const effect of transition.effects) {
             if (effect.kind === "start") {
                 const { task, attempt }: { task: TaskId; attempt: Attempt; } = effect;
+                // Only for its cost: no worker receives the message.
                 this.scheduler.startMessage(task, attempt, false);
                 this.scheduler.startAccepted(task, attempt, { task, attempt, usage: bayanihanMix.shape.capacity });
             }
@@ -157,7 +159,7 @@
     return JSON.stringify(matching).length / Math.max(1, matching.length);
 };
 
-/** Measures memory, processor time and message sizes of a shard, heartbeats and ticks at two numbers of workers. */
+/** Measures memory, processor time and message sizes of a shard; heartbeats and ticks are measured at two fleet sizes. */
 export const measureDecisionSlopes = (): Slope[] => {
     const slopes: Slope[] = [];
     const add = (what: string, value: number, unit: string) => slopes.push({ role: "scheduler", what, value, unit });
@@ -166,6 +168,7 @@
     const heapWithWorkers = measureHeap();
     add("memory a worker", (heapWithWorkers - emptyHeap) / workerCounts[1], "bytes");
     const { submit, start } = largeShard.fill();
+    // The collected records do not count as memory of the scheduler.
     largeShard.records.length = 0;
     const heapWithTasks = measureHeap();
     add(
@@ -187,7 +190,11 @@
                 sizes = shard.exchangeHeartbeats();
             }
         });
-        add(`processor a heartbeat with ${tasksPerWorker} tasks (decision and JSON) at ${count} workers`, heartbeat, "us");
+        add(
+            `processor a heartbeat with ${tasksPerWorker} tasks (decision and JSON) at ${count} workers`,
+            heartbeat,
+            "us",
+        );
         const tick = processorTimePerItem(count * roundCount * 10, () => {
             for (let round = 0; round < roundCount * 10; round++) {
                 shard.commit(shard.scheduler.tick());
--- a/packages/evidence/src/capacity/types.ts
+++ b/packages/evidence/src/capacity/types.ts
@@ -1,6 +1,6 @@
 /** Results of the capacity measurements. */
 
-/** Cost of one more unit of load, or a base value, for one role of process. */
+/** A measured cost in one kind of process: per unit of load, such as a job or a worker, or of the process when idle. */
 export interface Slope {
     readonly role: string;
     readonly what: string;
--- a/packages/evidence/src/cell/cell.ts
+++ b/packages/evidence/src/cell/cell.ts
@@ -118,7 +118,7 @@
         return cell;
     }
 
-    /** Addresses of the running gateways that were ready at the last probe; of all running ones when none was. */
+    /** Addresses of the running gateways that were ready at the last probe, or of all running ones if none was ready. */
     callerAddresses(): string[] {
         const runningAddresses = this.#gatewayAddresses.filter((_, index) =>
             this.gateways.get(`gateway-${index}`)?.hasExited === false
@@ -139,7 +139,7 @@
         return file;
     }
 
-    /** Starts a scheduler, also again after it has exited. */
+    /** Starts a scheduler, or restarts it after it has exited. */
     async startScheduler(index: number): Promise<ManagedProcess> {
         const name = `scheduler-${index}`;
         const relay = this.relays.get(name) ?? new TcpRelay(this.topology.platform);
@@ -167,11 +167,14 @@
         return child;
     }
 
-    /** Starts a gateway, also again after it has exited. */
+    /** Starts a gateway, or restarts it after it has exited. */
     startGateway(index: number): ManagedProcess {
         const name = `gateway-${index}`;
         const file = join(this.folder, `${name}.ini`);
-        const [callerAddress, administrationAddress] = [this.#gatewayAddresses[index], this.#administrationAddresses[index]];
+        const [callerAddress, administrationAddress] = [
+            this.#gatewayAddresses[index],
+            this.#administrationAddresses[index],
+        ];
         writeFileSync(file, renderGatewaySettings(this.topology, name, callerAddress, administrationAddress));
         const child = new ManagedProcess(
             name,
@@ -184,7 +187,7 @@
         return child;
     }
 
-    /** Accepts a settings tree as the revision after `base`; rejects when another one was accepted first. */
+    /** Makes a settings tree the revision after `base`; rejects when another tree was accepted first. */
     async acceptSettings(text: string, base: number): Promise<void> {
         const outcome = await acceptSettings({
             store: this.store,
@@ -218,7 +221,7 @@
         }
     }
 
-    /** While frozen, the platform's VM list does not follow the state of the workers. */
+    /** While frozen, the platform's VM list is not updated with the state of the workers. */
     setWorkerListFrozen(isFrozen: boolean): void {
         this.#isWorkerListFrozen = isFrozen;
     }
@@ -290,7 +293,7 @@
 
     /** Waits until every shard has an owner and tasks can be placed on some worker. */
     async waitUntilPlacing(): Promise<void> {
-        await waitUntil("every shard has an owner with open workers", startTimeout, async () => {
+        await waitUntil("every shard has an owner and some worker accepts tasks", startTimeout, async () => {
             const shards = (await this.schedulerStatuses()).flatMap(status => status.shards);
             const openWorkerCount = shards.flatMap(shard => shard.workers).filter(worker => worker.open).length;
             return shards.length >= this.topology.shards && openWorkerCount > 0;
@@ -343,8 +346,8 @@
 
     /** Updates the set of ready gateways. */
     async #probeReadiness(): Promise<void> {
-        await Promise.all(this.#administrationAddresses.map(async (administration, index) => {
-            const answer = await request(`http://${administration}/readyz`).catch(() => undefined);
+        await Promise.all(this.#administrationAddresses.map(async (administrationAddress, index) => {
+            const answer = await request(`http://${administrationAddress}/readyz`).catch(() => undefined);
             await answer?.body.dump();
             const address = this.#gatewayAddresses[index];
             if (answer?.statusCode === 200) {
--- a/packages/evidence/src/cell/managed-process.ts
+++ b/packages/evidence/src/cell/managed-process.ts
@@ -43,7 +43,7 @@
         });
     }
 
-    /** Resolves to the first line on standard output; stays pending if the process exits before. */
+    /** Resolves to the first line on standard output; never settles if the process exits before it prints one. */
     firstLine(): Promise<string> {
         return this.#firstLine;
     }
--- a/packages/evidence/src/checks/index.ts
+++ b/packages/evidence/src/checks/index.ts
@@ -1,4 +1,4 @@
-/** Checks on the stand-ins' audit files. They are independent of what the system itself reports. */
+/** Checks on the stand-ins' audit files, independent of what the system itself reports. */
 import type { AuditLine } from "@pebbledale/stand-ins";
 
 /** Two runs of one task that overlapped in time, and the workers they ran on. */
--- a/packages/evidence/src/cli/prove.ts
+++ b/packages/evidence/src/cli/prove.ts
@@ -4,7 +4,7 @@
  */
 import { type ProofRow, proofs, runProof, Verdict } from "../prove/index.js";
 
-const selectedPoints = process.argv.slice(2).filter(word => /^\d+$/.test(word)).map(Number);
+const selectedPoints = process.argv.slice(2).filter(argument => /^\d+$/.test(argument)).map(Number);
 const rows: ProofRow[] = [];
 for (const proof of proofs) {
     if (selectedPoints.length > 0 && !selectedPoints.includes(proof.point)) {
--- a/packages/evidence/src/demo/index.ts
+++ b/packages/evidence/src/demo/index.ts
@@ -4,8 +4,9 @@
 import { countOverCapacity, countStarts, findOverlaps, jobIdOf } from "../checks/index.js";
 
 /**
- * Counts over live requests and jobs. `waitingP50` and `waitingP99` are live requests' response times in milliseconds
- * beyond their run time; `packing` is a share from 0 to 1.
+ * Counts over live requests and jobs. `waitingP50` and `waitingP99` are percentiles of live requests' response times minus
+ * their simulated run time, in milliseconds; `packing` is the share of a shard's CPU capacity that was allocated, from 0
+ * to 1, the highest of all shards.
  */
 export interface DemoResult {
     sent: number;
@@ -73,7 +74,7 @@
 };
 
 /**
- * Whether every request was answered completely or refused with a reason, no task ran twice at once, no worker exceeded its
+ * Whether every request was answered completely or refused with a reason, no two runs of a task overlapped, no worker exceeded its
  * capacity, and all processes exited with 0.
  */
 export const hasPassed = (result: DemoResult): boolean =>
--- a/packages/evidence/src/prove/proofs/at-most-once.ts
+++ b/packages/evidence/src/prove/proofs/at-most-once.ts
@@ -74,7 +74,7 @@
     },
 };
 
-/** Describes the live requests that reached instances more than once. */
+/** Describes the live requests that instances of the service received more than once. */
 const findRepeatedNotices = (noticeRuns: readonly { readonly [field: string]: unknown; }[]): string[] => {
     const counts = new Map<string, number>();
     noticeRuns.forEach(line => counts.set(String(line.request), (counts.get(String(line.request)) ?? 0) + 1));
--- a/packages/evidence/src/prove/proofs/planned-stop.ts
+++ b/packages/evidence/src/prove/proofs/planned-stop.ts
@@ -7,7 +7,7 @@
 
 /**
  * A planned stop interrupts no request in progress. Each gateway and each scheduler is restarted in turn while live
- * requests and callers that wait for jobs are in progress. Without protection, the processes are killed instead.
+ * requests are in progress and callers wait for jobs. Without protection, the processes are killed instead.
  */
 export const plannedStopProof: Proof = {
     point: 7,
@@ -45,10 +45,10 @@
         const outcomes = await Promise.all(sends);
         const views = await waitingCallers;
         const built = views.filter(view => view.state === "succeeded").length;
-        const count = (name: string) => outcomes.filter(other => other === name).length;
+        const count = (name: string) => outcomes.filter(outcome => outcome === name).length;
         const breaches = [
-            ...outcomes.filter(other => other === "broken").map(() => "a live request in progress was cut"),
-            ...outcomes.filter(other => other === "wrong").map(() => "a live request was answered wrongly"),
+            ...outcomes.filter(outcome => outcome === "broken").map(() => "a live request in progress was cut"),
+            ...outcomes.filter(outcome => outcome === "wrong").map(() => "a live request was answered wrongly"),
             ...exitCodes.filter(code => isProtected && code !== 0).map(code => `a process left with ${String(code)}`),
         ];
         return {
--- a/packages/evidence/src/prove/proofs/response-integrity.ts
+++ b/packages/evidence/src/prove/proofs/response-integrity.ts
@@ -25,7 +25,7 @@
         const owner = await cell.ownerOf();
         await cell.schedulers.get(owner ?? "")?.kill();
         const outcomes = await Promise.all(sends);
-        const count = (end: string) => outcomes.filter(other => other === end).length;
+        const count = (expected: string) => outcomes.filter(outcome => outcome === expected).length;
         return {
             breaches: outcomes.filter(end => end === "wrong").map(() =>
                 "a caller took a cut or foreign answer for its own"
--- a/packages/evidence/src/prove/proofs/settings.ts
+++ b/packages/evidence/src/prove/proofs/settings.ts
@@ -83,7 +83,7 @@
 const expectInForce = async (cell: Cell, revision: number, breaches: string[]): Promise<void> => {
     const isInForceEverywhere = async () => {
         const revisions = await cell.settingsRevisions();
-        return revisions.size === 4 && [...revisions.values()].every(other => other >= revision);
+        return revisions.size === 4 && [...revisions.values()].every(seenRevision => seenRevision >= revision);
     };
     await waitUntil(`revision ${revision} is in force everywhere`, propagationTimeout, isInForceEverywhere)
         .catch((cause: Error) => breaches.push(cause.message));
--- a/packages/evidence/src/prove/proofs/workload.ts
+++ b/packages/evidence/src/prove/proofs/workload.ts
@@ -4,7 +4,7 @@
 /** How long a proof waits for an expected event, in milliseconds. */
 export const waitTimeout = 30_000;
 
-/** Creates the submission of a small batch job with one task; `more` overrides its fields. */
+/** Creates the submission of a small batch job with one task; `overrides` adds or replaces fields. */
 export const createJob = (key: string, overrides: object = {}) => ({
     key,
     class: "batch",
--- a/packages/evidence/src/prove/types.ts
+++ b/packages/evidence/src/prove/types.ts
@@ -11,11 +11,12 @@
     readonly isMeaningful: boolean;
 }
 
-/** Tests one guarantee under the failures that threaten it. */
+/** A test of one guarantee while failures that could break it are injected. */
 export interface Proof {
     /** Number of the guarantee, from 1 to 8. */
     readonly point: number;
     readonly name: string;
+    /** Describes the failures that {@link run} injects. */
     readonly failures: string;
     /**
      * The protection that the second run removes: a key of `without-protection.ts`, or text for a protection handled by
--- a/packages/evidence/test/docs/pages.test.ts
+++ b/packages/evidence/test/docs/pages.test.ts
@@ -10,7 +10,7 @@
 
 describe("generated reference pages", () => {
     for (const [name, render] of Object.entries(pageRenderers)) {
-        it(`${name} is up to date with its catalogue; npm run docs writes it`, () => {
+        it(`${name} is up to date (npm run docs regenerates it)`, () => {
             expect(readPage(name)).toEqual(render());
         });
     }
--- a/packages/evidence/test/journal/flaky-store.ts
+++ b/packages/evidence/test/journal/flaky-store.ts
@@ -16,7 +16,7 @@
 /** {@link MemoryStore} behind the {@link PlatformStore} interface, with failing writes and a hook before each write. */
 export class FlakyStore implements PlatformStore {
     readonly memory = new MemoryStore();
-    /** Outcomes of the next writes; later ones are answered. */
+    /** Outcomes of the next writes, in order; writes beyond them are answered. */
     readonly outcomes: WriteOutcome[] = [];
     /** Number of calls of {@link list}. */
     listCalls = 0;
--- a/packages/evidence/test/journal/journal-fuzz.test.ts
+++ b/packages/evidence/test/journal/journal-fuzz.test.ts
@@ -14,12 +14,13 @@
 const seedCount = 60;
 const ownerCount = 4;
 const recordsPerOwner = 25;
-/** Probability that a call is lost before it takes effect, and again that its answer is lost. */
+/** Probability that a call is lost before it takes effect; also that its answer is lost afterwards. */
 const lossProbability = 0.15;
 const maxDelayTurns = 6;
 
 const waitForTurn = (): Promise<void> => new Promise(resolve => setImmediate(resolve));
 
+/** A clock whose sleeps take one turn of the event loop. */
 const turnClock: Clock = { monotonic: () => 0, now: () => new Date(0), sleep: waitForTurn };
 
 /** A store whose writes are delayed, reordered and lost at random. */
@@ -69,8 +70,8 @@
     });
 
 /**
- * Owners claim the journal one after another while earlier ones still write; returns the committed and the read
- * records.
+ * Lets owners claim the journal one after another while earlier ones still write; returns the records whose appends
+ * resolved, and the records that a later reader finds.
  */
 const runOwners = async (seed: number): Promise<{ committed: string[]; read: string[]; }> => {
     const random = new SeededRandom(seed);
@@ -95,7 +96,7 @@
     return { committed, read: [...(contents.snapshot as string[] | undefined ?? []), ...contents.records as string[]] };
 };
 
-/** Opens the journal, again when a call was lost, as candidates do. */
+/** Opens the journal, retrying when a call was lost, as candidates for ownership do. */
 const openWithRetries = async (
     store: FlakyStore,
     random: SeededRandom,
--- a/packages/evidence/test/journal/journal.test.ts
+++ b/packages/evidence/test/journal/journal.test.ts
@@ -12,7 +12,7 @@
 import { describe, it } from "node:test";
 import { FlakyStore } from "./flaky-store.js";
 
-/** A clock whose waits end at once. */
+/** A clock whose sleeps resolve immediately. */
 const instantClock: Clock = {
     monotonic: () => 0,
     now: () => new Date(0),
@@ -43,7 +43,7 @@
     },
 });
 
-/** Makes the list of appended records the journal's snapshot source. */
+/** Uses the list of records appended through the result as the journal's snapshot source. */
 const trackState = (journal: Journal, initialRecords: readonly unknown[] = []) => {
     const state = [...initialRecords];
     journal.setSnapshotSource(() => state);
@@ -146,7 +146,7 @@
         for (let index = 0; index < count; index++) {
             await owner.append(`record ${index}`.padEnd(50, "x"));
         }
-        // By the count of segments alone, a snapshot of up to three parts would follow every fourth of the 400 segments.
+        // If only segments were counted, every fourth of the 400 would be followed by a snapshot of up to three parts.
         expect(journal.writes - count).toBeLessThan(20);
         expect(await readAllRecords(store, { ringSize: 256 })).toEqual(owner.state);
     });
@@ -175,15 +175,15 @@
         expect(new Set(pointersSeen.map(pointer => pointer?.name)).size).toBeGreaterThan(3);
     });
 
-    it("can be claimed while its owner keeps writing, without being read again from the start", async () => {
+    it("can be claimed while its owner keeps writing, without listing its segments again", async () => {
         const store = new FlakyStore();
         const { journal } = await openAs(store, "first");
         await journal.append(["a"]);
-        let left = 3;
+        let remainingWrites = 3;
         const write = async () => {
             store.beforeSwap = undefined;
-            await journal.append([`late ${left--}`]);
-            store.beforeSwap = left > 0 ? write : undefined;
+            await journal.append([`late ${remainingWrites--}`]);
+            store.beforeSwap = remainingWrites > 0 ? write : undefined;
         };
         store.beforeSwap = write;
         const { contents } = await openAs(store, "second");
@@ -213,7 +213,7 @@
         expect(contents.records).toEqual(["a", "b", "c", "d", "e", "f", "g"]);
     });
 
-    it("sends several segments at once and resolves each append only when all earlier segments are committed", async () => {
+    it("sends several segments in parallel and resolves an append only when all earlier segments are committed", async () => {
         const store = new FlakyStore();
         const { journal } = await openAs(store, "owner", { maxInFlight: 4, snapshotEvery: 100 });
         const held = holdNextWrite(store);
@@ -279,7 +279,7 @@
         }
         let rounds = 0;
         let waiting: (() => void)[] = [];
-        // All calls in flight are answered together, once nothing else is left to run.
+        // Calls are held back until no other work is pending, then answered together: each time counts as one round.
         const waitForRound = () => new Promise<void>(resolve => waiting.push(resolve));
         const list = store.list.bind(store);
         const get = store.get.bind(store);
@@ -322,7 +322,7 @@
         expect(await readAllRecords(store)).toEqual(["kept", "of the new owner", "and more"]);
     });
 
-    it("ignores segments of an earlier owner that arrive beyond the claim of a later one", async () => {
+    it("ignores an earlier owner's segments whose sequence numbers follow the claim of a later owner", async () => {
         const store = new FlakyStore();
         const { journal } = await openAs(store, "old", { maxInFlight: 4, snapshotEvery: 100 });
         const held = holdNextWrite(store);
--- a/packages/evidence/test/operator/command-line.test.ts
+++ b/packages/evidence/test/operator/command-line.test.ts
@@ -61,7 +61,7 @@
         ]);
     });
 
-    it("accepts a tree, explains a value, and shows the loser of a race what has changed", async () => {
+    it("accepts a tree, explains a value, and shows what has changed when another tree was accepted first", async () => {
         const first = file("first.ini", "[organisation]\nlease.duration = 20s\n");
         const second = file(
             "second.ini",
--- a/packages/evidence/test/settings/accept.test.ts
+++ b/packages/evidence/test/settings/accept.test.ts
@@ -18,7 +18,7 @@
     });
 
 describe("accepting settings", () => {
-    it("accepts one of two concurrent revisions and returns it to the loser", async () => {
+    it("accepts one of two concurrent revisions and returns it to the author of the other", async () => {
         const store = new FlakyStore();
         await accept(store, 0, "first");
         const outcomes = await Promise.all([accept(store, 1, "ana"), accept(store, 1, "ben")]);
@@ -34,7 +34,7 @@
         expect((await readSettings(store))?.revision).toEqual(settingsRevision(1));
     });
 
-    it("recognises its own revision after a lost answer, also once another was accepted on top", async () => {
+    it("recognises its own revision after a lost answer, even when a later one has been accepted", async () => {
         const store = new FlakyStore();
         await accept(store, 0, "first");
         store.outcomes.push("answered", "answer lost");
--- a/packages/stand-ins/src/platform/memory-store.ts
+++ b/packages/stand-ins/src/platform/memory-store.ts
@@ -18,7 +18,7 @@
 }
 
 /**
- * Number of changes kept for watches. A watch with an older cursor gets no list of changes and has to read the keys.
+ * Number of changes kept for watches. A watch with an older cursor gets no list of changes and has to read all keys again.
  */
 const maxRetainedChanges = 10_000;
 
@@ -48,7 +48,7 @@
 
     /**
      * Writes a key if it has the expected version (0: does not exist). The key is attached to the lease of this write
-     * only.
+     * and detached from any earlier one.
      */
     swap(key: string, expected: number, value: string, lease?: PlatformLeaseId): SwapOutcome {
         const current = this.#entries.get(key);
@@ -67,7 +67,7 @@
         return { kind: "swapped", version };
     }
 
-    /** Deletes a key if it has the expected version; true also when it does not exist. */
+    /** Deletes a key if it has the expected version; also returns true when the key does not exist. */
     remove(key: string, expected: number): boolean {
         const current = this.#entries.get(key);
         if (current !== undefined && current.version !== expected) {
--- a/packages/stand-ins/src/platform/platform-stand-in.ts
+++ b/packages/stand-ins/src/platform/platform-stand-in.ts
@@ -137,9 +137,9 @@
     }
 
     async #watch(body: CallBody, disconnected: AbortSignal): Promise<unknown> {
-        const known = this.store.changesAfter(body.prefix, body.cursor);
-        if (known !== undefined) {
-            return known;
+        const changes = this.store.changesAfter(body.prefix, body.cursor);
+        if (changes !== undefined) {
+            return changes;
         }
         await new Promise<void>(resolve => {
             const finish = () => {
--- a/packages/stand-ins/src/workers/fleet-stand-in.ts
+++ b/packages/stand-ins/src/workers/fleet-stand-in.ts
@@ -14,7 +14,7 @@
     readonly capacity: Resources;
 }
 
-/** The body of `POST /control`. `faults` is read by the action `faults` only; omitted faults keep their values. */
+/** The body of `POST /control`. `faults` applies to the action `faults` only; omitted faults keep their values. */
 export interface FleetControl {
     readonly worker: string;
     readonly action: "kill" | "restart" | "leave" | "faults";
@@ -86,7 +86,7 @@
         }
     }
 
-    /** Starts all workers and the control server; resolves to the address of the latter. */
+    /** Starts all workers and the control server; resolves to the control server's address. */
     async listen(): Promise<string> {
         await Promise.all(this.workers.map(worker => worker.listen()));
         await this.#server.listen({ host: "127.0.0.1", port: 0 });
--- a/packages/stand-ins/src/workers/task-table.ts
+++ b/packages/stand-ins/src/workers/task-table.ts
@@ -20,7 +20,7 @@
     readonly runMilliseconds?: number;
     readonly output?: string;
     readonly fail?: boolean;
-    /** Processors it uses regardless of its grant; defaults to its grant. */
+    /** Number of processors it tries to use, which may exceed its grant; defaults to the grant. */
     readonly usesProcessors?: number;
 }
 
@@ -67,7 +67,7 @@
 }
 
 const attemptKey = (task: TaskId, attempt: Attempt): string => `${task}#${attempt}`;
-/** Number of reports whose time of issue is kept; starts that refer to older ones are refused. */
+/** Number of latest reports whose time of issue is kept; starts that refer to earlier reports are refused. */
 const maxReportNumbers = 200;
 
 /**
@@ -94,7 +94,7 @@
         return true;
     }
 
-    /** Issues the number of the next report and records its time: leases count from there. */
+    /** Issues the number of the next report and records its time, from which leases are counted. */
     issueReportNumber(now: number): number {
         this.#lastReportNumber++;
         this.#reportIssuedAt.set(this.#lastReportNumber, now);
@@ -197,7 +197,7 @@
         }
     }
 
-    /** Drops all tasks without reporting their end, as when a VM is killed. */
+    /** Drops all tasks without reporting their end, as if the VM had been killed. */
     killAll(): void {
         for (const execution of this.running.values()) {
             this.options.audit?.add("end", {
--- a/packages/stand-ins/src/workers/worker-stand-in.ts
+++ b/packages/stand-ins/src/workers/worker-stand-in.ts
@@ -22,7 +22,7 @@
     isCut: boolean;
     /** Messages of owners up to this epoch are dropped without a response. */
     cutUpToEpoch: number;
-    /** The same for owners from this epoch on; 0 disables it. */
+    /** Messages of owners from this epoch on are dropped without a response; 0 disables it. */
     cutFromEpoch: number;
     /** Number of upcoming start messages that take effect without a response. */
     loseStartAnswers: number;
@@ -116,7 +116,7 @@
         this.#notifyHeartbeats();
     }
 
-    /** Starts the worker again after {@link kill}, as a new incarnation without tasks. */
+    /** Restarts the worker after {@link kill}, as a new incarnation without tasks. */
     async restart(): Promise<void> {
         this.#incarnation++;
         this.#table = this.#createTable();
@@ -261,8 +261,8 @@
     }
 
     /**
-     * Responds after `milliseconds` with the request's ID and body and `bytes` bytes of repeated ID. The query may also set
-     * `status`, and `cut` truncates the response.
+     * Responds with the request's ID and body, as the query says: after `milliseconds`, with `status`, followed by `bytes` bytes
+     * filled with the ID, and truncated if it has `cut`.
      */
     async #handleLiveRequest(
         task: TaskExecution,
@@ -287,15 +287,15 @@
         const body = await readBody(request).catch(() => Buffer.alloc(0));
         const query = new URL(request.url ?? "/", "http://localhost").searchParams;
         await new Promise(resolve => setTimeout(resolve, Number(query.get("milliseconds") ?? 0)));
-        const answeredId = this.faults.crossesAnswers ? `other-${id}` : id;
+        const responseId = this.faults.crossesAnswers ? `other-${id}` : id;
         const answer = Buffer.concat([
-            Buffer.from(`${answeredId}:`),
+            Buffer.from(`${responseId}:`),
             body,
             Buffer.alloc(Number(query.get("bytes") ?? 0), id),
         ]);
         response.writeHead(Number(query.get("status") ?? statusOk), {
             "content-length": answer.length,
-            "pebbledale-request-id": answeredId,
+            "pebbledale-request-id": responseId,
             "x-method": request.method ?? "",
         });
         if (this.faults.cutsAnswers || query.has("cut")) {
--- a/packages/stand-ins/test/memory-store.test.ts
+++ b/packages/stand-ins/test/memory-store.test.ts
@@ -1,6 +1,6 @@
 /*
- * Guards against deleting a key with the lease of an earlier write: a former owner that revokes its lease would delete the key that the next
- * owner has written since.
+ * Guards against deleting a key together with the lease of an earlier write: a former owner that revokes its lease would
+ * delete the key that the next owner has written since.
  */
 import { expect } from "earl";
 import { describe, it } from "node:test";
