--- a/packages/evidence/src/bench/decisions.ts
+++ b/packages/evidence/src/bench/decisions.ts
@@ -82,8 +82,8 @@
 }
 
 /**
- * Measures complete scheduling cycles of {@link ShardScheduler}, from taking a job off the queue to recording the reason. Percentiles are in
- * microseconds per started task.
+ * Measures complete scheduling cycles of {@link ShardScheduler}, from taking a job off the queue to recording the
+ * reason. Percentiles are in microseconds per started task.
  */
 const measureFullDecision = (count: number): FullDecisionResult => {
     const clock = new SystemClock();
--- a/packages/evidence/src/bench/workload-mixes.ts
+++ b/packages/evidence/src/bench/workload-mixes.ts
@@ -17,7 +17,10 @@
     readonly runDuration: number;
 }
 
-/** One kind of job in a mix. Pairs are inclusive ranges from which values are drawn uniformly; the shares of a mix add up to 1. */
+/**
+ * One kind of job in a mix. Pairs are inclusive ranges from which values are drawn uniformly; the shares of a mix add up
+ * to 1.
+ */
 interface JobKind {
     readonly name: string;
     readonly share: number;
--- a/packages/evidence/src/capacity/decision-slopes.ts
+++ b/packages/evidence/src/capacity/decision-slopes.ts
@@ -146,7 +146,7 @@
         for (const effect of transition.effects) {
             if (effect.kind === "start") {
                 const { task, attempt }: { task: TaskId; attempt: Attempt; } = effect;
-                // Only for its cost: no worker receives the message.
+                // Records the lease grant and builds the message, which is not sent: its cost is part of the measurement.
                 this.scheduler.startMessage(task, attempt, false);
                 this.scheduler.startAccepted(task, attempt, { task, attempt, usage: bayanihanMix.shape.capacity });
             }
--- a/packages/evidence/src/cell/caller.ts
+++ b/packages/evidence/src/cell/caller.ts
@@ -118,7 +118,7 @@
     const deadline = performance.now() + timeout;
     while (!await condition()) {
         if (performance.now() > deadline) {
-            throw new Error(`condition not met within ${timeout} ms: ${description}`);
+            throw new Error(`waited ${timeout} ms in vain: ${description}`);
         }
         await pause(20);
     }
--- a/packages/evidence/src/cell/cell.ts
+++ b/packages/evidence/src/cell/cell.ts
@@ -293,7 +293,7 @@
 
     /** Waits until every shard has an owner and tasks can be placed on some worker. */
     async waitUntilPlacing(): Promise<void> {
-        await waitUntil("every shard has an owner and some worker accepts tasks", startTimeout, async () => {
+        await waitUntil("every shard has an owner with open workers", startTimeout, async () => {
             const shards = (await this.schedulerStatuses()).flatMap(status => status.shards);
             const openWorkerCount = shards.flatMap(shard => shard.workers).filter(worker => worker.open).length;
             return shards.length >= this.topology.shards && openWorkerCount > 0;
--- a/packages/evidence/src/demo/index.ts
+++ b/packages/evidence/src/demo/index.ts
@@ -74,8 +74,8 @@
 };
 
 /**
- * Whether every request was answered completely or refused with a reason, no two runs of a task overlapped, no worker exceeded its
- * capacity, and all processes exited with 0.
+ * Whether every request was answered completely or refused with a reason, no two runs of a task overlapped, no worker
+ * exceeded its capacity, and all processes exited with 0.
  */
 export const hasPassed = (result: DemoResult): boolean =>
     result.runTwice === 0 && result.lost === 0 && result.failed === 0 && result.overCapacity === 0
