--- a/packages/evidence/src/bench/virtual/virtual-cell.ts
+++ b/packages/evidence/src/bench/virtual/virtual-cell.ts
@@ -35,7 +35,7 @@
     readonly settings?: readonly string[];
     /** Actual run time of a job's tasks, which may differ from the declared one. */
     readonly runDurationOf: (job: JobId) => Milliseconds;
-    /** Demand for processors of a job's tasks relative to their grants; 1 if absent. */
+    /** Ratio of the processors that a job's tasks demand to their grant; 1 if absent. */
     readonly usageFactorOf?: (job: JobId) => number;
     /** Whether a job's tasks fail on every worker. */
     readonly failsEverywhere?: (job: JobId) => boolean;
@@ -52,7 +52,7 @@
 const heartbeatInterval: Milliseconds = 1_000;
 const tickInterval: Milliseconds = 100;
 const workerListInterval: Milliseconds = 2_000;
-/** Time without an owner after the former one was killed: expiry of its lease and replay of the journal. */
+/** Time from an owner's death until the next one takes over: lease expiry and journal replay. */
 const ownerTakeoverDelay: Milliseconds = 3_500;
 
 /** Parses lines of a settings tree's organisation section; throws when they are invalid. */
@@ -125,7 +125,7 @@
                 onCommitted(outcome.job);
             }
         });
-        this.requestSchedule();
+        this.requestSchedulingCycle();
         return outcome;
     }
 
@@ -168,7 +168,7 @@
     }
 
     /** Requests a scheduling cycle at the current time, after the events already due. */
-    requestSchedule(): void {
+    requestSchedulingCycle(): void {
         if (this.#isCycleScheduled || !this.#isOwned) {
             return;
         }
@@ -204,7 +204,7 @@
         for (const worker of this.workers.values()) {
             this.#claim(worker);
         }
-        this.requestSchedule();
+        this.requestSchedulingCycle();
     }
 
     #claim(worker: VirtualWorker): void {
@@ -229,7 +229,7 @@
         }
         if (this.#isOwned) {
             this.#applyTransition(this.scheduler.tick());
-            this.requestSchedule();
+            this.requestSchedulingCycle();
         }
     }
 
@@ -253,10 +253,10 @@
         this.#applyTransition(
             this.scheduler.heartbeatAnswered(worker.listed.worker, worker.report(), this.clock.monotonic()),
         );
-        this.requestSchedule();
+        this.requestSchedulingCycle();
     }
 
-    /** Executes effects once the transition's records are committed; at once when it has none. */
+    /** Executes effects once the transition's records are committed, or immediately when it has no records. */
     #applyTransition(transition: Transition, onCommitted?: () => void): void {
         if (transition.records.length === 0) {
             transition.effects.forEach(effect => this.#execute(effect));
@@ -289,14 +289,14 @@
                     onCommitted?.();
                     transition.effects.forEach(effect => this.#execute(effect));
                 }
-                this.requestSchedule();
+                this.requestSchedulingCycle();
             }
             this.#writeSegment();
         });
     }
 
     #execute(effect: Effect): void {
-        const owner = this.scheduler;
+        const issuingScheduler = this.scheduler;
         if (effect.kind === "job-changed") {
             return;
         }
@@ -307,7 +307,7 @@
             return;
         }
         this.clock.after(networkDelay, () => {
-            if (owner !== this.scheduler || !this.#isOwned) {
+            if (issuingScheduler !== this.scheduler || !this.#isOwned) {
                 return;
             }
             if (effect.kind === "start") {
--- a/packages/evidence/src/cell/cell.ts
+++ b/packages/evidence/src/cell/cell.ts
@@ -114,11 +114,11 @@
             shards: options.shards ?? 1,
         };
         const cell = new Cell(options, topology, platform, fleet, fleetAddress, auditFolder);
-        await cell.#startPrograms();
+        await cell.#startProcesses();
         return cell;
     }
 
-    /** Addresses of the running gateways that were ready at the last probe; of all running ones when none was. */
+    /** Addresses of the running gateways that were ready at the last probe, or of all running ones if none was ready. */
     callerAddresses(): string[] {
         const runningAddresses = this.#gatewayAddresses.filter((_, index) =>
             this.gateways.get(`gateway-${index}`)?.hasExited === false
@@ -139,7 +139,7 @@
         return file;
     }
 
-    /** Starts a scheduler, also again after it has exited. */
+    /** Starts a scheduler, or restarts it after it has exited. */
     async startScheduler(index: number): Promise<ManagedProcess> {
         const name = `scheduler-${index}`;
         const relay = this.relays.get(name) ?? new TcpRelay(this.topology.platform);
@@ -167,12 +167,15 @@
         return child;
     }
 
-    /** Starts a gateway, also again after it has exited. */
+    /** Starts a gateway, or restarts it after it has exited. */
     startGateway(index: number): ManagedProcess {
         const name = `gateway-${index}`;
         const file = join(this.folder, `${name}.ini`);
-        const [callers, administration] = [this.#gatewayAddresses[index], this.#administrationAddresses[index]];
-        writeFileSync(file, renderGatewaySettings(this.topology, name, callers, administration));
+        const [callerAddress, administrationAddress] = [
+            this.#gatewayAddresses[index],
+            this.#administrationAddresses[index],
+        ];
+        writeFileSync(file, renderGatewaySettings(this.topology, name, callerAddress, administrationAddress));
         const child = new ManagedProcess(
             name,
             mainScriptOf("gateway"),
@@ -184,7 +187,7 @@
         return child;
     }
 
-    /** Accepts a settings tree as the revision after `base`; rejects when another one was accepted first. */
+    /** Makes a settings tree the revision after `base`; rejects when another tree was accepted first. */
     async acceptSettings(text: string, base: number): Promise<void> {
         const outcome = await acceptSettings({
             store: this.store,
@@ -218,7 +221,7 @@
         }
     }
 
-    /** While frozen, the platform's VM list does not follow the state of the workers. */
+    /** While frozen, the platform's VM list is not updated with the state of the workers. */
     setWorkerListFrozen(isFrozen: boolean): void {
         this.#isWorkerListFrozen = isFrozen;
     }
@@ -292,8 +295,8 @@
     async waitUntilPlacing(): Promise<void> {
         await waitUntil("every shard has an owner with open workers", startTimeout, async () => {
             const shards = (await this.schedulerStatuses()).flatMap(status => status.shards);
-            const open = shards.flatMap(shard => shard.workers).filter(worker => worker.open).length;
-            return shards.length >= this.topology.shards && open > 0;
+            const openWorkerCount = shards.flatMap(shard => shard.workers).filter(worker => worker.open).length;
+            return shards.length >= this.topology.shards && openWorkerCount > 0;
         });
     }
 
@@ -303,9 +306,9 @@
         clearInterval(this.#readinessTimer);
         await this.caller.close();
         await this.store.close();
-        const programs = [...this.gateways.values(), ...this.schedulers.values()].filter(child => !child.hasExited);
-        programs.forEach(child => child.resume());
-        const codes = await Promise.all(programs.map(child => child.stop()));
+        const processes = [...this.gateways.values(), ...this.schedulers.values()].filter(child => !child.hasExited);
+        processes.forEach(child => child.resume());
+        const codes = await Promise.all(processes.map(child => child.stop()));
         this.relays.forEach(relay => relay.close());
         await Promise.all([this.platform.kill(), this.fleet.kill()]);
         return codes;
@@ -316,7 +319,7 @@
         rmSync(this.auditFolder, { recursive: true, force: true });
     }
 
-    async #startPrograms(): Promise<void> {
+    async #startProcesses(): Promise<void> {
         await this.acceptSettings(this.options.settingsTree ?? shortTimeoutSettings, 0);
         await this.#publishWorkerList();
         this.#workerListTimer = setInterval(() => {
@@ -343,8 +346,8 @@
 
     /** Updates the set of ready gateways. */
     async #probeReadiness(): Promise<void> {
-        await Promise.all(this.#administrationAddresses.map(async (administration, index) => {
-            const answer = await request(`http://${administration}/readyz`).catch(() => undefined);
+        await Promise.all(this.#administrationAddresses.map(async (administrationAddress, index) => {
+            const answer = await request(`http://${administrationAddress}/readyz`).catch(() => undefined);
             await answer?.body.dump();
             const address = this.#gatewayAddresses[index];
             if (answer?.statusCode === 200) {
--- a/packages/evidence/src/demo/index.ts
+++ b/packages/evidence/src/demo/index.ts
@@ -4,8 +4,9 @@
 import { countOverCapacity, countStarts, findOverlaps, jobIdOf } from "../checks/index.js";
 
 /**
- * Counts over live requests and jobs. `waitingP50` and `waitingP99` are live requests' response times in milliseconds
- * beyond their run time; `packing` is a share from 0 to 1.
+ * Counts over live requests and jobs. `waitingP50` and `waitingP99` are percentiles of live requests' response times minus
+ * their simulated run time, in milliseconds; `packing` is the share of a shard's CPU capacity that was allocated, from 0
+ * to 1, the highest of all shards.
  */
 export interface DemoResult {
     sent: number;
@@ -73,8 +74,8 @@
 };
 
 /**
- * Whether every request was answered completely or refused with a reason, no task ran twice at once, no worker exceeded its
- * capacity, and all processes exited with 0.
+ * Whether every request was answered completely or refused with a reason, no two runs of a task overlapped, no worker
+ * exceeded its capacity, and all processes exited with 0.
  */
 export const hasPassed = (result: DemoResult): boolean =>
     result.runTwice === 0 && result.lost === 0 && result.failed === 0 && result.overCapacity === 0
@@ -94,14 +95,14 @@
         return answers.every(answer => answer?.status === 200);
     });
     printStep("sending live requests, builds, matches, a gang, and a job that fits nowhere");
-    const live = sendLiveRequests(cell, result, waitingTimes);
+    const liveRequests = sendLiveRequests(cell, result, waitingTimes);
     const jobs = sendJobs(cell, result, deadline);
     await pause(600);
     const owner = await cell.ownerOf();
     printStep(`killing ${owner}, which owns the shard`);
     await cell.schedulers.get(owner ?? "")?.kill();
     result.packing = await measurePacking(cell);
-    await Promise.all([live, jobs]);
+    await Promise.all([liveRequests, jobs]);
     result.waitingP50 = waitingTimes.getValueAtPercentile(50);
     result.waitingP99 = waitingTimes.getValueAtPercentile(99);
 };
@@ -150,7 +151,7 @@
 
 const sendJobs = async (cell: Cell, result: DemoResult, deadline: number): Promise<void> => {
     const succeeded = new Set<string>();
-    const job = (key: string, more: object) => ({ key, class: "batch", size: smallSize, ...more });
+    const job = (key: string, overrides: object) => ({ key, class: "batch", size: smallSize, ...overrides });
     const submissions = [
         ...Array.from(
             { length: buildCount },
--- a/packages/evidence/test/operator/command-line.test.ts
+++ b/packages/evidence/test/operator/command-line.test.ts
@@ -61,7 +61,7 @@
         ]);
     });
 
-    it("accepts a tree, explains a value, and shows the loser of a race what has changed", async () => {
+    it("accepts a tree, explains a value, and shows what has changed when another tree was accepted first", async () => {
         const first = file("first.ini", "[organisation]\nlease.duration = 20s\n");
         const second = file(
             "second.ini",
@@ -69,10 +69,10 @@
         );
         expect((await runOperator("settings", "accept", first, "--base", "0")).out).toEqual("revision 1 is in force\n");
         expect((await runOperator("settings", "accept", second, "--base", "1", "--author", "ana")).code).toEqual(0);
-        const lost = await runOperator("settings", "accept", first, "--base", "1", "--json");
-        expect(lost.code).toEqual(1);
-        expect(lost.err.includes("revision 2 is in force, ana accepted it")).toEqual(true);
-        expect((JSON.parse(lost.out) as { changedSince: unknown[]; }).changedSince.length).toEqual(2);
+        const superseded = await runOperator("settings", "accept", first, "--base", "1", "--json");
+        expect(superseded.code).toEqual(1);
+        expect(superseded.err.includes("revision 2 is in force, ana accepted it")).toEqual(true);
+        expect((JSON.parse(superseded.out) as { changedSince: unknown[]; }).changedSince.length).toEqual(2);
         const explained = await runOperator(
             "settings",
             "explain",
