--- a/packages/cell/src/headroom/headroom-log.ts
+++ b/packages/cell/src/headroom/headroom-log.ts
@@ -24,7 +24,7 @@
         const change = Math.abs(headroom.headroomTasks - tasks);
         if (change >= minLoggedChange && change >= tasks * minLoggedShare && now - at >= logInterval) {
             this.#logged.set(service, { tasks: headroom.headroomTasks, at: now });
-            this.log.log(logEvents.roomKept, { service, ...headroom.logFields });
+            this.log.log(logEvents.headroomChanged, { service, ...headroom.logFields });
         }
     }
 }
--- a/packages/cell/src/monitoring/health-monitor.ts
+++ b/packages/cell/src/monitoring/health-monitor.ts
@@ -47,7 +47,7 @@
             const isUntried = worker.runs.size === 0 && now > worker.quarantinedUntil + idleProbationTime;
             if (worker.isOnProbation && isUntried) {
                 worker.isOnProbation = false;
-                this.context.options.log.log(logEvents.workerTrusted, { worker: worker.id });
+                this.context.options.log.log(logEvents.workerProbationEnded, { worker: worker.id });
             }
         }
     }
--- a/packages/cell/src/pacing/filler-pace-controller.ts
+++ b/packages/cell/src/pacing/filler-pace-controller.ts
@@ -22,7 +22,11 @@
         }
         const pace = this.#paceFor(worker, worstTail(reported));
         if (pace !== worker.fillerPace) {
-            this.context.options.log.log(logEvents.fillersPaced, { worker: worker.id, pace, runs: fillers.length });
+            this.context.options.log.log(logEvents.fillerPaceChanged, {
+                worker: worker.id,
+                pace,
+                runs: fillers.length,
+            });
         }
         worker.fillerPace = pace;
         for (const run of fillers) {
--- a/packages/cell/src/runs/run-lifecycle.ts
+++ b/packages/cell/src/runs/run-lifecycle.ts
@@ -249,7 +249,7 @@
         if (run.formerIncarnation === undefined) {
             return;
         }
-        this.context.options.log.log(logEvents.orderMetNextLife, {
+        this.context.options.log.log(logEvents.commandReachedNextIncarnation, {
             task: run.task.address,
             run: run.run,
             worker: run.worker.id,
--- a/packages/cell/src/runs/worker-entry-reconciler.ts
+++ b/packages/cell/src/runs/worker-entry-reconciler.ts
@@ -89,7 +89,7 @@
         if (former === undefined || isSameCapacity(former.capacity, capacity)) {
             return;
         }
-        this.context.options.log.log(logEvents.workerRoomChanged, {
+        this.context.options.log.log(logEvents.workerCapacityChanged, {
             worker: worker.id,
             former: former.capacity,
             room: capacity,
--- a/packages/cell/src/runs/worker-incarnations.ts
+++ b/packages/cell/src/runs/worker-incarnations.ts
@@ -57,7 +57,7 @@
         }
         const isFormer = worker.formerIncarnations.includes(entry.life);
         worker.pendingEntry = isFormer ? worker.pendingEntry : entry;
-        this.context.options.log.log(logEvents.workerListedAnew, {
+        this.context.options.log.log(logEvents.otherIncarnationListed, {
             worker: entry.worker,
             life: worker.incarnation,
             listed: entry.life,
--- a/packages/cell/src/runs/worker-poll-reconciler.ts
+++ b/packages/cell/src/runs/worker-poll-reconciler.ts
@@ -41,7 +41,7 @@
         this.applyEnds(id, poll.ended);
         this.#compare(worker, poll, sentAt, resolvedBefore);
         if (isFirst) {
-            this.context.options.log.log(logEvents.workerSeen, {
+            this.context.options.log.log(logEvents.workerFirstAnswered, {
                 worker: id,
                 life: poll.life,
                 running: poll.running.length,
--- a/packages/cell/src/runs/worker-pool.ts
+++ b/packages/cell/src/runs/worker-pool.ts
@@ -175,7 +175,7 @@
     #expireLeases(worker: WorkerState): void {
         const isListed = worker.unlistedSince === undefined && worker.entry !== undefined;
         const lost = [...worker.runs.values()];
-        this.#context.options.log.log(logEvents.workerLapsed, { worker: worker.id, runs: lost.length });
+        this.#context.options.log.log(logEvents.workerLeasesExpired, { worker: worker.id, runs: lost.length });
         const loss = this.#incarnations.lossOf(worker, "all leases of the silent worker expired", LossCause.Silent);
         lost.forEach(run => this.#runs.lose(run, loss));
         worker.leasesExpireAt = undefined;
--- a/packages/cell/test/headroom/urgent-headroom.test.ts
+++ b/packages/cell/test/headroom/urgent-headroom.test.ts
@@ -51,7 +51,7 @@
         expect(driver.cell.summary().services[service].keptProcessor).toEqual(12_000);
         driver.clock.advance(1_000);
         driver.run();
-        const lines = driver.logged.filter(({ event }) => event === logEvents.roomKept);
+        const lines = driver.logged.filter(({ event }) => event === logEvents.headroomChanged);
         expect(lines.map(({ fields }) => fields["keptTasks"])).toEqual([12]);
     });
 
--- a/packages/core/src/log-events/index.ts
+++ b/packages/core/src/log-events/index.ts
@@ -26,7 +26,7 @@
     processStopping: define(1002, "info", "process stopping", nothing),
     processStopped: define(1003, "info", "process stopped", nothing),
     processFailed: define(1004, "fatal", "process failed", "Read the error; the process exits."),
-    linesLeftOut: define(
+    linesDropped: define(
         1005,
         "warn",
         "log lines were dropped: there were too many, or the output was not read",
@@ -38,7 +38,7 @@
         "cannot listen on the metrics address; the process continues without metrics",
         "Free the address.",
     ),
-    stoppedWaiting: define(
+    shutdownTimedOut: define(
         1007,
         "warn",
         "shutdown timed out; the process exits with operations still pending",
@@ -100,7 +100,7 @@
     runStopped: define(4203, "info", "a run is being stopped", nothing),
     runEnded: define(4204, "info", "a run ended", nothing),
     runLost: define(4205, "warn", "a run was lost", "Check the worker it names."),
-    fillersPaced: define(4206, "info", "the pace of filler tasks on a worker changed", nothing),
+    fillerPaceChanged: define(4206, "info", "the pace of filler tasks on a worker changed", nothing),
     orderUnanswered: define(
         4207,
         "warn",
@@ -121,7 +121,7 @@
         "Inform the job's owner; the line names the workers and the duration of each run.",
     ),
     silenceExplained: define(4213, "info", "it was determined whether a silent worker crashed during a run", nothing),
-    roomKept: define(4215, "info", "the headroom for urgent work changed", nothing),
+    headroomChanged: define(4215, "info", "the headroom for urgent work changed", nothing),
     runPreempted: define(4209, "info", "a run is preempted by more urgent work", nothing),
     answersLost: define(
         4208,
@@ -129,19 +129,19 @@
         "answers of workers are being lost; polls use a shorter wait",
         "Check the network between this VM and the workers if it persists.",
     ),
-    workerRoomChanged: define(
+    workerCapacityChanged: define(
         4314,
         "info",
         "the capacity of a worker changed; runs beyond it continue",
         nothing,
     ),
-    workerListedAnew: define(
+    otherIncarnationListed: define(
         4315,
         "info",
         "the listed incarnation of a worker differs from the one that answers",
         nothing,
     ),
-    workerAnswersAnew: define(
+    otherIncarnationAnswered: define(
         4316,
         "info",
         "a worker answers with another incarnation than its link expects",
@@ -153,7 +153,7 @@
         "a worker restarted under its id; runs of its previous incarnation have ended",
         "Check the VM if it recurs.",
     ),
-    orderMetNextLife: define(
+    commandReachedNextIncarnation: define(
         4318,
         "info",
         "a command for a previous incarnation of a worker was carried out by the next one",
@@ -178,7 +178,7 @@
         "Nothing: the caller may repeat the same request.",
     ),
     callerUnknownJob: define(4803, "info", "a request named an unknown job", nothing),
-    callerTurnedAway: define(
+    requestRejected: define(
         4804,
         "info",
         "a request was rejected",
@@ -186,11 +186,11 @@
     ),
     workerListed: define(4301, "info", "the platform lists a worker", nothing),
     workerUnlisted: define(4302, "info", "the platform no longer lists a worker", nothing),
-    workerSeen: define(4303, "info", "a worker answered this owner for the first time", nothing),
+    workerFirstAnswered: define(4303, "info", "a worker answered this owner for the first time", nothing),
     workerDrains: define(4304, "info", "a worker is draining", nothing),
     workerSilent: define(4305, "warn", "a worker does not answer", "Check the VM if it persists."),
     workerAnswers: define(4306, "info", "a worker answers again", nothing),
-    workerLapsed: define(4307, "warn", "all leases of a silent worker have expired", "Check the VM."),
+    workerLeasesExpired: define(4307, "warn", "all leases of a silent worker have expired", "Check the VM."),
     workerGone: define(4308, "info", "a worker is gone", nothing),
     workerQuarantined: define(
         4309,
@@ -198,7 +198,7 @@
         "a worker was quarantined and gets no new work for a while",
         "Check the VM if it recurs.",
     ),
-    workerTrusted: define(4313, "info", "a worker's probation ended, as no run was tried on it", nothing),
+    workerProbationEnded: define(4313, "info", "a worker's probation ended, as no run was tried on it", nothing),
     workerSlow: define(4310, "warn", "a worker's tasks make little progress", "Check the VM if it persists."),
     workerFast: define(4311, "info", "a worker's tasks make normal progress again", nothing),
     upkeepOrdered: define(4701, "info", "upkeep of a VM was requested", nothing),
@@ -208,7 +208,7 @@
         "the platform's VM service did not answer",
         "Check that service if it persists.",
     ),
-    waveTold: define(4703, "info", "an upkeep wave changed state", nothing),
+    waveStateChanged: define(4703, "info", "an upkeep wave changed state", nothing),
     cellSummary: define(4401, "info", "summary of the cell's state", nothing),
     ownershipClaimed: define(4501, "info", "this VM is claiming the cell", nothing),
     ownershipBegun: define(4502, "info", "this VM owns the cell", nothing),
@@ -230,7 +230,7 @@
         "calls to the store are relayed through another VM",
         "Check the connection from this VM to the store.",
     ),
-    timeMissed: define(
+    wallClockJumped: define(
         4514,
         "warn",
         "the wall clock moved ahead of the monotonic clock: this process was suspended, or the time was set; leases and "
@@ -266,7 +266,7 @@
         "Check the connection from this VM to the store.",
     ),
     membersAvailable: define(4511, "info", "the keys of the entry VMs are read again", nothing),
-    connectionsDoubted: define(
+    connectionsReplaced: define(
         4610,
         "info",
         "a call was not answered; further calls to its address use new connections",
--- a/packages/entry/src/entry-process.ts
+++ b/packages/entry/src/entry-process.ts
@@ -14,7 +14,7 @@
     type Random,
     type SuspensionAwareClock,
 } from "@pebbledale/core";
-import { createAbortController, type EventLogger, untilAborted } from "@pebbledale/runtime";
+import { createAbortController, type EventLogger, waitForAbort } from "@pebbledale/runtime";
 import { ConfigurationWatch } from "./configuration/index.js";
 import { type FollowLimits, followLimitsOf, FollowLoop, maxStaleness, StoreProbe } from "./following/index.js";
 import { JobService, RequestLog } from "./front-end/index.js";
@@ -239,7 +239,7 @@
             following.run(background.signal),
             this.#session.run(background.signal),
         ];
-        const draining = untilAborted(stop).then(() => this.#drain(untilDrained));
+        const draining = waitForAbort(stop).then(() => this.#drain(untilDrained));
         await Promise.all([this.#candidate.run(stop), draining]);
         background.abort();
         await Promise.all(running);
--- a/packages/entry/src/front-end/request-log.ts
+++ b/packages/entry/src/front-end/request-log.ts
@@ -52,7 +52,7 @@
                 break;
             case "id-taken":
             case "beyond-limit":
-                logger.log(logEvents.callerTurnedAway, { ...fields(), outcome: answer.kind });
+                logger.log(logEvents.requestRejected, { ...fields(), outcome: answer.kind });
                 break;
             case "unknown-job":
                 logger.log(logEvents.callerUnknownJob, fields());
@@ -64,7 +64,7 @@
     logRejection(method: string, path: string, outcome: string, reason: string): void {
         const { logger, metrics } = this.options;
         metrics.recordRequest(method.toLowerCase(), outcome, 0);
-        logger.log(logEvents.callerTurnedAway, { method, path: path.slice(0, maxPathLength), outcome, reason });
+        logger.log(logEvents.requestRejected, { method, path: path.slice(0, maxPathLength), outcome, reason });
     }
 }
 
--- a/packages/entry/src/links/vm-session.ts
+++ b/packages/entry/src/links/vm-session.ts
@@ -142,7 +142,7 @@
             const uninterruptedSince = clock.uninterruptedSince();
             await clock.sleep(heartbeatInterval, signal);
             if (clock.uninterruptedSince() !== uninterruptedSince) {
-                this.options.logger.log(logEvents.timeMissed, { epoch: this.#epoch });
+                this.options.logger.log(logEvents.wallClockJumped, { epoch: this.#epoch });
             }
             if (clock.monotonic() - this.#lastSentAt >= heartbeatInterval) {
                 this.#send({ kind: "beat" });
--- a/packages/entry/src/links/worker-link.ts
+++ b/packages/entry/src/links/worker-link.ts
@@ -315,7 +315,7 @@
     }
 
     #closeWithIncarnation({ life, clock, running, ended }: PollResult): void {
-        this.options.logger.log(logEvents.workerAnswersAnew, {
+        this.options.logger.log(logEvents.otherIncarnationAnswered, {
             worker: this.worker,
             former: this.#incarnation,
             life,
--- a/packages/entry/src/membership/vm-registration.ts
+++ b/packages/entry/src/membership/vm-registration.ts
@@ -8,7 +8,7 @@
     type PlatformLeaseId,
     type PlatformStore,
 } from "@pebbledale/core";
-import { type EventLogger, unlessAborted } from "@pebbledale/runtime";
+import { type EventLogger, settledOrAborted } from "@pebbledale/runtime";
 import { DependencyMonitor } from "../observability/index.js";
 
 /** What a {@link VmRegistration} depends on. */
@@ -56,7 +56,7 @@
                 },
                 cause => this.#monitor.recordFailure(cause),
             );
-            await unlessAborted(renewed, signal);
+            await settledOrAborted(renewed, signal);
             await clock.sleep(isRenewed ? leaseLength / renewalsPerLease : retryDelay, signal);
         }
         if (this.#lease !== undefined) {
--- a/packages/entry/src/observability/entry-metrics.ts
+++ b/packages/entry/src/observability/entry-metrics.ts
@@ -28,7 +28,7 @@
         "request",
         "outcome",
     ]);
-    readonly #requestTime = this.metrics.waiting(
+    readonly #requestTime = this.metrics.durationHistogram(
         "pebbledale_request_seconds",
         "Time from a caller's request to its answer",
         ["request"],
@@ -37,9 +37,13 @@
         "call",
         "outcome",
     ]);
-    readonly #workerCallTime = this.metrics.waiting("pebbledale_worker_call_seconds", "Response time of workers", [
-        "call",
-    ]);
+    readonly #workerCallTime = this.metrics.durationHistogram(
+        "pebbledale_worker_call_seconds",
+        "Response time of workers",
+        [
+            "call",
+        ],
+    );
     readonly #events = this.metrics.counter(
         "pebbledale_events_total",
         "Log events, including those that the log dropped",
@@ -47,15 +51,23 @@
             "event",
         ],
     );
-    readonly #taskWait = this.metrics.waiting(
+    readonly #taskWait = this.metrics.durationHistogram(
         "pebbledale_task_wait_seconds",
         "Time from a step being ready to the order that starts its tasks",
         ["priority"],
     );
-    readonly #adviceTime = this.metrics.waiting("pebbledale_advice_seconds", "Response time of the advice service", []);
-    readonly #jobTime = this.metrics.waiting("pebbledale_job_seconds", "Time from the acceptance of a job to its end", [
-        "state",
-    ]);
+    readonly #adviceTime = this.metrics.durationHistogram(
+        "pebbledale_advice_seconds",
+        "Response time of the advice service",
+        [],
+    );
+    readonly #jobTime = this.metrics.durationHistogram(
+        "pebbledale_job_seconds",
+        "Time from the acceptance of a job to its end",
+        [
+            "state",
+        ],
+    );
     #cell: CellStatistics | undefined;
     #ages: AgeSources | undefined;
 
--- a/packages/entry/src/owner/types.ts
+++ b/packages/entry/src/owner/types.ts
@@ -49,7 +49,7 @@
     readonly vms: VmService;
     readonly waveReporter: WaveStatusReporter;
     readonly upkeepTime: Milliseconds;
-    readonly turnLength: Milliseconds;
+    readonly takeoverDelay: Milliseconds;
 }
 
 /** Outcome of a handover. */
--- a/packages/entry/src/owner/upkeep-controller.ts
+++ b/packages/entry/src/owner/upkeep-controller.ts
@@ -23,7 +23,7 @@
     /** Expected downtime of a VM. */
     readonly upkeepTime: Milliseconds;
     /** How long to wait after a takeover, as orders of the former owner may still be in effect. */
-    readonly turnLength: Milliseconds;
+    readonly takeoverDelay: Milliseconds;
     readonly workerOf: (worker: WorkerId) => PlannedWorker;
     readonly closeWorkers: (closed: ReadonlySet<WorkerId>) => void;
     readonly signal: AbortSignal;
@@ -59,7 +59,7 @@
     }
 
     async #run(): Promise<void> {
-        const { clock, signal, turnLength, logger, closeWorkers } = this.options;
+        const { clock, signal, takeoverDelay: turnLength, logger, closeWorkers } = this.options;
         await clock.sleep(turnLength, signal);
         let hasRead = false;
         while (this.#planner.isBusy && !signal.aborted) {
@@ -120,6 +120,6 @@
         if (state === WaveState.Completed) {
             this.#planner.noteCompleted(wave);
         }
-        this.options.logger.log(logEvents.waveTold, { wave, state });
+        this.options.logger.log(logEvents.waveStateChanged, { wave, state });
     }
 }
--- a/packages/entry/src/ownership/candidate.ts
+++ b/packages/entry/src/ownership/candidate.ts
@@ -13,7 +13,7 @@
     shardId,
     type SuspensionAwareClock,
 } from "@pebbledale/core";
-import { createAbortController, type EventLogger, unlessAborted } from "@pebbledale/runtime";
+import { createAbortController, type EventLogger, settledOrAborted } from "@pebbledale/runtime";
 import type { FollowLimits } from "../following/index.js";
 import { type CellView, type EntryVm } from "../membership/index.js";
 import type { EntryMetrics } from "../observability/index.js";
@@ -297,7 +297,7 @@
                 },
             }, claimed);
             // A store that does not answer must not delay the end of the process until its calls time out.
-            await unlessAborted(opened, lost.signal);
+            await settledOrAborted(opened, lost.signal);
             lost.signal.throwIfAborted();
             const { journal, contents } = await opened;
             logger.log(logEvents.ownershipBegun, { epoch: journal.epoch, records: contents.records.length });
--- a/packages/entry/test/worker-restarts/restarts.test.ts
+++ b/packages/entry/test/worker-restarts/restarts.test.ts
@@ -186,7 +186,7 @@
         await world.advance(2_000);
         await world.submit("a", "done 100");
         expect(await world.advanceUntil(() => world.stateOf("a") === "completed", 2_000)).toEqual(true);
-        expect(world.logged(logEvents.workerListedAnew).map(({ fields }) => [fields["life"], fields["listed"]]))
+        expect(world.logged(logEvents.otherIncarnationListed).map(({ fields }) => [fields["life"], fields["listed"]]))
             .toEqual([[worker.born, 7]]);
     });
 
--- a/packages/evidence/src/bench/live.ts
+++ b/packages/evidence/src/bench/live.ts
@@ -66,7 +66,7 @@
             gateway,
             dataHall: `hall-${index}`,
             waitLimit: () => waitLimit,
-            ask: async request => {
+            requestSlots: async request => {
                 await clock.sleep(1);
                 return {
                     grants: ledger.acquire(request, instances, clock.monotonic(), slotGrant),
@@ -84,7 +84,7 @@
     const send = async (broker: SlotBroker, sentAt: number, retryCount: number): Promise<void> => {
         const isCounted = sentAt > warmUp;
         sent += isCounted ? 1 : 0;
-        const outcome = await broker.take();
+        const outcome = await broker.acquire();
         if (outcome.kind !== "slot") {
             refused += isCounted ? 1 : 0;
             if (retries && retryCount < maxRetries) {
--- a/packages/evidence/src/prove/without-protection.ts
+++ b/packages/evidence/src/prove/without-protection.ts
@@ -56,7 +56,7 @@
         };
     },
     "learning from peers": () => {
-        SettingsWatch.prototype.learnFromPeers = () => Promise.resolve();
+        SettingsWatch.prototype.fetchFromPeers = () => Promise.resolve();
     },
 };
 
--- a/packages/gateway/src/callers/service-routes.ts
+++ b/packages/gateway/src/callers/service-routes.ts
@@ -83,7 +83,9 @@
     readonly #requestCounter;
 
     constructor(private readonly options: ServiceRoutesOptions) {
-        this.#slotWaits = options.metrics.waiting("pebbledale_live_waiting_seconds", "Wait for a slot", ["service"]);
+        this.#slotWaits = options.metrics.durationHistogram("pebbledale_live_waiting_seconds", "Wait for a slot", [
+            "service",
+        ]);
         this.#requestCounter = options.metrics.counter("pebbledale_live_requests_total", "Live requests by their end", [
             "service",
             "end",
@@ -171,7 +173,7 @@
         let lastResult: RequestOutcome = { error: "instance-unreachable", isComplete: false };
         for (let attempt = 0; attempt < maxAttempts; attempt++) {
             const waitStartedAt = clock.monotonic();
-            const outcome = await this.#brokerOf(context.service).take();
+            const outcome = await this.#brokerOf(context.service).acquire();
             this.#slotWaits.observe({ service: context.service }, (clock.monotonic() - waitStartedAt) / 1000);
             if (outcome.kind !== "slot") {
                 return toRequestOutcome(outcome);
@@ -249,7 +251,7 @@
             gateway: processId(gateway),
             dataHall,
             waitLimit: () => this.#setting("live.wait_limit"),
-            ask: async request => {
+            requestSlots: async request => {
                 const message = { shard, service, request };
                 const answer = await owners.call(
                     shard,
@@ -286,7 +288,7 @@
 const unreachableRetryAfter: Milliseconds = 1_000;
 
 const toRequestOutcome = (
-    outcome: Exclude<Awaited<ReturnType<SlotBroker["take"]>>, { kind: "slot"; }>,
+    outcome: Exclude<Awaited<ReturnType<SlotBroker["acquire"]>>, { kind: "slot"; }>,
 ): RequestOutcome => {
     switch (outcome.kind) {
         case "overloaded":
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -3,7 +3,8 @@
 import {
     BurnRecorder,
     createAbortController,
-    createAdministration,
+    createAdministrationServer,
+    createStopSignal,
     type EventLogger,
     gatewaySchema,
     HttpPlatformStore,
@@ -14,8 +15,7 @@
     type ProgramValues,
     runFromFile,
     SettingsWatch,
-    stopSignal,
-    untilAborted,
+    waitForAbort,
 } from "@pebbledale/runtime";
 import type { FastifyInstance } from "fastify";
 import { addJobRoutes, createCallerServer, sendError, ServiceRoutes } from "./callers/index.js";
@@ -33,7 +33,7 @@
     runFromFile({ name: "pebbledale-gateway", schema: gatewaySchema, serve }, file, checkOnly, print);
 
 const serve = async (values: Values, logger: EventLogger, print: PrintLine): Promise<void> => {
-    const stop = stopSignal();
+    const stop = createStopSignal();
     const background = createAbortController();
     const clock = new SystemClock();
     const random = new SystemRandom();
@@ -51,7 +51,7 @@
         clock,
         logger,
         signal: background.signal,
-        askPeers: () => owners.querySettings(),
+        fetchPeerSettings: () => owners.querySettings(),
     });
     const burnRecorder = new BurnRecorder(clock);
     const serviceRoutes = new ServiceRoutes({
@@ -66,7 +66,7 @@
         dataHall: values["process.data_hall"],
         settingsPath: { region: values["process.region"], site: values["process.site"] },
         settingsTree: () => sharedSettings.tree,
-        onSettingsRevision: revision => void sharedSettings.noteRevision(settingsRevision(revision)),
+        onSettingsRevision: revision => void sharedSettings.onPeerRevision(settingsRevision(revision)),
         signal: background.signal,
     });
     const callerServer = createCallerServer({ bodyLimit: values["listen.body_limit"], logger, random });
@@ -75,16 +75,16 @@
         addJobRoutes(scope, { owners, clock, random, shardCount: values["cell.shards"] })
     );
     void callerServer.register(async scope => serviceRoutes.addTo(scope));
-    const administration = createAdministration({
+    const administration = createAdministrationServer({
         metrics,
-        notReady: () => stop.aborted ? "stopping" : sharedSettings.revision === 0 ? "no settings yet" : undefined,
+        unreadyReason: () => stop.aborted ? "stopping" : sharedSettings.revision === 0 ? "no settings yet" : undefined,
     });
     administration.get("/burn", async () => burnRecorder.buckets());
     metrics.gauge("pebbledale_settings_revision", "Revision of the settings in force", () => sharedSettings.revision);
     await listenOnBoth(administration, callerServer, values, print);
     logger.log(logEvents.processStarted, { address: values["listen.callers"] });
     const backgroundTasks = [sharedSettings.run(), owners.run()];
-    await untilAborted(stop);
+    await waitForAbort(stop);
     logger.log(logEvents.processStopping);
     // Keeps serving until the load balancer has noticed that this gateway is no longer ready.
     await clock.sleep(values["listen.drain"]);
--- a/packages/gateway/src/live/slot-broker.ts
+++ b/packages/gateway/src/live/slot-broker.ts
@@ -34,7 +34,7 @@
     readonly signal: AbortSignal;
     readonly gateway: SlotRequest["gateway"];
     readonly dataHall: string;
-    readonly ask: RequestSlots;
+    readonly requestSlots: RequestSlots;
     /** Returns the maximum expected wait for a slot; read for each request. */
     readonly waitLimit: () => Milliseconds;
 }
@@ -116,7 +116,7 @@
     }
 
     /** Acquires a slot, waiting for one if necessary. Never rejects. */
-    async take(): Promise<SlotOutcome> {
+    async acquire(): Promise<SlotOutcome> {
         const now = this.options.clock.monotonic();
         this.#lastUsedAt = now;
         this.#demand = Math.max(this.#demand, this.#inUse + this.#waiters.length + 1);
@@ -221,7 +221,7 @@
     }
 
     async #requestBundle(): Promise<void> {
-        const { clock, gateway, dataHall, ask } = this.options;
+        const { clock, gateway, dataHall, requestSlots } = this.options;
         const sentAt = clock.monotonic();
         if (this.#isRequesting || sentAt - this.#lastRequestAt < minRequestInterval) {
             return;
@@ -235,7 +235,7 @@
             }));
             const demand = Math.max(1, Math.ceil(this.#demand));
             this.#demand = Math.max(this.#inUse + this.#waiters.length, this.#demand * demandDecay);
-            const bundle = await ask({ gateway, dataHall, demand, held });
+            const bundle = await requestSlots({ gateway, dataHall, demand, held });
             this.#isOwnerReachable = true;
             this.#isServiceKnown = bundle !== undefined;
             this.#hasHadBundle = this.#hasHadBundle || bundle !== undefined;
--- a/packages/gateway/test/live/slot-broker.test.ts
+++ b/packages/gateway/test/live/slot-broker.test.ts
@@ -26,7 +26,7 @@
         gateway: processId("gateway-0"),
         dataHall: "hall-0",
         waitLimit: () => 200,
-        ask: async request => {
+        requestSlots: async request => {
             this.requests.push(request);
             if (!this.isOwnerReachable) {
                 throw new Error("no owner");
@@ -60,7 +60,7 @@
         const fixture = new BrokerFixture([grantOf(0, 2), grantOf(1, 2)]);
         await flushPromises();
         const calls = fixture.requests.length;
-        const slots = await Promise.all([1, 2, 3, 4].map(() => fixture.broker.take()));
+        const slots = await Promise.all([1, 2, 3, 4].map(() => fixture.broker.acquire()));
         expect(slots.map(outcome => slotOf(outcome).worker).sort()).toEqual(
             ["worker-0", "worker-0", "worker-1", "worker-1"].map(workerId),
         );
@@ -71,10 +71,10 @@
     it("refuses a request at once if its expected wait exceeds the limit, with a retry delay", async () => {
         const fixture = new BrokerFixture([grantOf(0, 1)]);
         await flushPromises();
-        await fixture.broker.take();
+        await fixture.broker.acquire();
         // One slot with an assumed hold time of 50 ms: four requests may wait, the fifth would wait 250 ms.
-        const waiting = [1, 2, 3, 4].map(() => fixture.broker.take());
-        expect(await fixture.broker.take()).toEqual({ kind: "overloaded", retryAfter: 250 });
+        const waiting = [1, 2, 3, 4].map(() => fixture.broker.acquire());
+        expect(await fixture.broker.acquire()).toEqual({ kind: "overloaded", retryAfter: 250 });
         expect(fixture.broker.waitingCount).toEqual(4);
         await fixture.advance(250);
         expect((await Promise.all(waiting)).map(outcome => outcome.kind)).toEqual(
@@ -86,10 +86,10 @@
     it("serves waiting requests in order of arrival", async () => {
         const fixture = new BrokerFixture([grantOf(0, 1)]);
         await flushPromises();
-        const first = slotOf(await fixture.broker.take());
+        const first = slotOf(await fixture.broker.acquire());
         const order: number[] = [];
         const takeAs = async (place: number): Promise<SlotOutcome> => {
-            const outcome = await fixture.broker.take();
+            const outcome = await fixture.broker.acquire();
             order.push(place);
             return outcome;
         };
@@ -107,20 +107,20 @@
         await flushPromises();
         fixture.isOwnerReachable = false;
         await fixture.advance(9_000);
-        const slot = slotOf(await fixture.broker.take());
+        const slot = slotOf(await fixture.broker.acquire());
         fixture.broker.release(slot, 10, false);
         await fixture.advance(1_500);
-        expect((await fixture.broker.take()).kind).toEqual("no-owner");
+        expect((await fixture.broker.acquire()).kind).toEqual("no-owner");
         fixture.end.abort();
     });
 
     it("prefers other instances after one has failed", async () => {
         const fixture = new BrokerFixture([grantOf(0, 4), grantOf(1, 4)]);
         await flushPromises();
-        const first = slotOf(await fixture.broker.take());
+        const first = slotOf(await fixture.broker.acquire());
         fixture.broker.release(first, 1, true);
-        const next = slotOf(await fixture.broker.take());
-        const after = slotOf(await fixture.broker.take());
+        const next = slotOf(await fixture.broker.acquire());
+        const after = slotOf(await fixture.broker.acquire());
         expect([next.worker, after.worker].includes(first.worker)).toEqual(false);
         fixture.end.abort();
     });
@@ -128,10 +128,10 @@
     it("drops an instance that is no longer granted and reports its slots in use to the owner", async () => {
         const fixture = new BrokerFixture([grantOf(0, 2)]);
         await flushPromises();
-        const used = slotOf(await fixture.broker.take());
+        const used = slotOf(await fixture.broker.acquire());
         fixture.grants = [grantOf(1, 2)];
         await fixture.advance(600);
-        expect(slotOf(await fixture.broker.take()).worker).toEqual(workerId("worker-1"));
+        expect(slotOf(await fixture.broker.acquire()).worker).toEqual(workerId("worker-1"));
         await fixture.advance(600);
         expect(fixture.requests.at(-1)?.held).toEqual([
             { task: used.task, slots: 1 },
@@ -142,7 +142,7 @@
 
     it("reports an unknown service", async () => {
         const fixture = new BrokerFixture(undefined);
-        expect(await fixture.broker.take()).toEqual({ kind: "no-service" });
+        expect(await fixture.broker.acquire()).toEqual({ kind: "no-service" });
         fixture.end.abort();
     });
 });
--- a/packages/runtime/src/abort/index.ts
+++ b/packages/runtime/src/abort/index.ts
@@ -61,7 +61,7 @@
 };
 
 /** Resolves once the promise is fulfilled or the signal aborts; rejects if the promise rejects first. */
-export const unlessAborted = (promise: Promise<unknown>, signal: AbortSignal): Promise<void> =>
+export const settledOrAborted = (promise: Promise<unknown>, signal: AbortSignal): Promise<void> =>
     withLinkedSignal([signal], undefined, async linked => {
         await Promise.race([
             promise,
--- a/packages/runtime/src/administration/index.ts
+++ b/packages/runtime/src/administration/index.ts
@@ -8,18 +8,18 @@
 export interface AdministrationOptions {
     readonly metrics: Metrics;
     /** Returns why the process is not ready, or undefined if it is. */
-    readonly notReady: () => string | undefined;
+    readonly unreadyReason: () => string | undefined;
 }
 
 const statusOk = 200;
 const statusNotReady = 503;
 
 /** Creates the administration server; the caller adds its own routes, then calls {@link listenAt}. */
-export const createAdministration = (options: AdministrationOptions): FastifyInstance => {
+export const createAdministrationServer = (options: AdministrationOptions): FastifyInstance => {
     const server = fastify({ logger: false, forceCloseConnections: true });
     server.get("/healthz", async () => ({ healthy: true }));
     server.get("/readyz", async (_request, reply) => {
-        const reason = options.notReady();
+        const reason = options.unreadyReason();
         return reply.status(reason === undefined ? statusOk : statusNotReady).send({
             ready: reason === undefined,
             reason,
--- a/packages/runtime/src/logging/index.ts
+++ b/packages/runtime/src/logging/index.ts
@@ -39,7 +39,7 @@
     return {
         log: (event, fields = {}) => {
             if (rateLimiter.hasDropsToReport) {
-                write(logEvents.linesLeftOut, { count: rateLimiter.takeDroppedCount() });
+                write(logEvents.linesDropped, { count: rateLimiter.takeDroppedCount() });
             }
             if (logger.isLevelEnabled(event.level) && rateLimiter.tryAcquire(event.level)) {
                 write(event, fields);
--- a/packages/runtime/src/metrics/index.ts
+++ b/packages/runtime/src/metrics/index.ts
@@ -47,7 +47,11 @@
     }
 
     /** Creates a histogram of durations in seconds. */
-    waiting<Label extends string>(name: string, help: string, labelNames: readonly Label[]): Histogram<Label> {
+    durationHistogram<Label extends string>(
+        name: string,
+        help: string,
+        labelNames: readonly Label[],
+    ): Histogram<Label> {
         return new Histogram({
             name,
             help,
--- a/packages/runtime/src/process/index.ts
+++ b/packages/runtime/src/process/index.ts
@@ -19,7 +19,7 @@
 }
 
 /** Creates a signal that aborts on SIGTERM or SIGINT. */
-export const stopSignal = (): AbortSignal => {
+export const createStopSignal = (): AbortSignal => {
     const controller = createAbortController();
     const stop = () => controller.abort(new Error("process received a stop signal"));
     process.once("SIGTERM", stop);
@@ -28,7 +28,7 @@
 };
 
 /** Resolves when the signal aborts, at once if it has already. */
-export const untilAborted = (signal: AbortSignal): Promise<void> =>
+export const waitForAbort = (signal: AbortSignal): Promise<void> =>
     new Promise(resolve => {
         if (signal.aborted) {
             resolve();
--- a/packages/runtime/src/protocol/router.ts
+++ b/packages/runtime/src/protocol/router.ts
@@ -1,6 +1,13 @@
 /** The trpc router of a scheduler. */
 import { initTRPC } from "@trpc/server";
-import type { AcquireRequest, JobRequest, OnceRequest, SchedulerService, SubmitRequest, WaitRequest } from "./types.js";
+import type {
+    AcquireRequest,
+    JobRequest,
+    SchedulerService,
+    SubmitRequest,
+    UnrepeatableRecordRequest,
+    WaitRequest,
+} from "./types.js";
 
 const trpc = initTRPC.create();
 
@@ -15,10 +22,12 @@
         wait: trpc.procedure.input(uncheckedInput<WaitRequest>()).query(({ input }) => service.wait(input)),
         cancel: trpc.procedure.input(uncheckedInput<JobRequest>()).mutation(({ input }) => service.cancel(input)),
         acquire: trpc.procedure.input(uncheckedInput<AcquireRequest>()).mutation(({ input }) => service.acquire(input)),
-        beginOnce: trpc.procedure.input(uncheckedInput<OnceRequest>()).mutation(({ input }) =>
-            service.beginOnce(input)
+        beginOnce: trpc.procedure.input(uncheckedInput<UnrepeatableRecordRequest>()).mutation(({ input }) =>
+            service.beginUnrepeatable(input)
+        ),
+        endOnce: trpc.procedure.input(uncheckedInput<UnrepeatableRecordRequest>()).mutation(({ input }) =>
+            service.endUnrepeatable(input)
         ),
-        endOnce: trpc.procedure.input(uncheckedInput<OnceRequest>()).mutation(({ input }) => service.endOnce(input)),
         status: trpc.procedure.query(() => service.status()),
         currentSettings: trpc.procedure.query(() => service.currentSettings()),
         ownedShards: trpc.procedure.query(() => service.ownedShards()),
--- a/packages/runtime/src/protocol/types.ts
+++ b/packages/runtime/src/protocol/types.ts
@@ -81,7 +81,7 @@
 }
 
 /** Records an unrepeatable live request before it is sent, or the status of its response afterwards. */
-export interface OnceRequest {
+export interface UnrepeatableRecordRequest {
     readonly shard: ShardId;
     readonly key: string;
     readonly digest: string;
@@ -91,7 +91,7 @@
 }
 
 /** The request is recorded; it may be sent only if there is no `earlier` one of its key. */
-export interface OnceAnswer {
+export interface UnrepeatableRecordAnswer {
     readonly kind: "recorded";
     readonly earlier: UnrepeatableRequest | undefined;
 }
@@ -133,7 +133,7 @@
 }
 
 /** A shard that a scheduler believes it owns. If several claim one, the highest epoch is the owner. */
-export interface OwnedShardName {
+export interface OwnershipClaim {
     readonly shard: ShardId;
     readonly epoch: Epoch;
 }
@@ -145,9 +145,9 @@
     wait(request: WaitRequest): Promise<JobAnswer | NoJob | NotOwner>;
     cancel(request: JobRequest): Promise<JobAnswer | NoJob | NotOwner | NotRecorded>;
     acquire(request: AcquireRequest): Promise<AcquireAnswer | NoService | NotOwner>;
-    beginOnce(request: OnceRequest): Promise<OnceAnswer | NotOwner | NotRecorded>;
-    endOnce(request: OnceRequest): Promise<OnceAnswer | NotOwner | NotRecorded>;
+    beginUnrepeatable(request: UnrepeatableRecordRequest): Promise<UnrepeatableRecordAnswer | NotOwner | NotRecorded>;
+    endUnrepeatable(request: UnrepeatableRecordRequest): Promise<UnrepeatableRecordAnswer | NotOwner | NotRecorded>;
     status(): Promise<SchedulerStatus>;
     currentSettings(): Promise<StoredSettings | undefined>;
-    ownedShards(): Promise<readonly OwnedShardName[]>;
+    ownedShards(): Promise<readonly OwnershipClaim[]>;
 }
--- a/packages/runtime/src/settings-watch/index.ts
+++ b/packages/runtime/src/settings-watch/index.ts
@@ -20,7 +20,7 @@
     readonly logger: EventLogger;
     readonly signal: AbortSignal;
     /** Requests the current settings of all peers; peers without an answer are left out. */
-    readonly askPeers: () => Promise<readonly StoredSettings[]>;
+    readonly fetchPeerSettings: () => Promise<readonly StoredSettings[]>;
 }
 
 /** Duration of one long poll for changes, in milliseconds. */
@@ -77,15 +77,15 @@
     }
 
     /** Handles the revision that a peer reported: fetches it if it is newer than the one in force. */
-    async noteRevision(revision: SettingsRevision): Promise<void> {
+    async onPeerRevision(revision: SettingsRevision): Promise<void> {
         if (revision > this.revision) {
-            await this.learnFromPeers();
+            await this.fetchFromPeers();
         }
     }
 
     /** Applies the highest revision that any peer has. */
-    async learnFromPeers(): Promise<void> {
-        const peerSettings = await this.options.askPeers();
+    async fetchFromPeers(): Promise<void> {
+        const peerSettings = await this.options.fetchPeerSettings();
         const highest = [...peerSettings].sort((left, right) => right.revision - left.revision)[0];
         if (highest !== undefined && this.applyIfNewer(highest)) {
             this.options.logger.log(logEvents.settingsFromPeer, { revision: highest.revision });
@@ -111,7 +111,7 @@
                 }
                 logger.log(logEvents.settingsUnavailable, { cause: String(cause) });
                 cursor = "";
-                await this.learnFromPeers();
+                await this.fetchFromPeers();
                 await clock.sleep(retryDelay, signal);
             }
         }
--- a/packages/runtime/test/logging/logging.test.ts
+++ b/packages/runtime/test/logging/logging.test.ts
@@ -28,7 +28,7 @@
         clock.advance(rateLimitPeriod);
         logger.log(logEvents.jobAccepted, { job: "later" });
         expect(lines.slice(maxLinesPerPeriod).map(line => [line.event, line.count])).toEqual([
-            [logEvents.linesLeftOut.number, 300],
+            [logEvents.linesDropped.number, 300],
             [logEvents.jobAccepted.number, undefined],
         ]);
     });
--- a/packages/scheduler/src/scheduler.ts
+++ b/packages/scheduler/src/scheduler.ts
@@ -3,7 +3,8 @@
 import {
     allShards,
     createAbortController,
-    createAdministration,
+    createAdministrationServer,
+    createStopSignal,
     type EventLogger,
     HttpPlatformStore,
     HttpVmList,
@@ -17,8 +18,7 @@
     schedulerSchema,
     serveProtocol,
     SettingsWatch,
-    stopSignal,
-    untilAborted,
+    waitForAbort,
 } from "@pebbledale/runtime";
 import { ShardCandidate } from "./ownership/index.js";
 import { LocalSchedulerService } from "./service/index.js";
@@ -40,7 +40,7 @@
     logger: EventLogger,
     print: PrintLine,
 ): Promise<void> => {
-    const stop = stopSignal();
+    const stop = createStopSignal();
     const background = createAbortController();
     const clock = new SystemClock();
     const random = new SystemRandom();
@@ -54,7 +54,7 @@
         clock,
         logger,
         signal: background.signal,
-        askPeers: () => queryPeers(peers),
+        fetchPeerSettings: () => queryPeers(peers),
     });
     const owner = processId(values["process.name"]);
     const candidates = allShards(values["cell.shards"]).map(shard =>
@@ -76,9 +76,9 @@
         return candidates.filter(candidate => candidate.owned !== undefined).length;
     }
     const service = new LocalSchedulerService(values, sharedSettings, candidates);
-    const server = createAdministration({
+    const server = createAdministrationServer({
         metrics,
-        notReady: () => stop.aborted ? "stopping" : sharedSettings.revision === 0 ? "no settings yet" : undefined,
+        unreadyReason: () => stop.aborted ? "stopping" : sharedSettings.revision === 0 ? "no settings yet" : undefined,
     });
     metrics.gauge("pebbledale_shards_owned", "Shards that this scheduler owns", countOwned);
     metrics.gauge("pebbledale_settings_revision", "Revision of the settings in force", () => sharedSettings.revision);
@@ -91,9 +91,9 @@
     });
     logger.log(logEvents.processStarted, { address: values["listen.peers"] });
     const followingSettings = sharedSettings.run();
-    await Promise.race([sharedSettings.ready, untilAborted(stop)]);
+    await Promise.race([sharedSettings.ready, waitForAbort(stop)]);
     const campaigns = candidates.map(candidate => candidate.run(stop));
-    await untilAborted(stop);
+    await waitForAbort(stop);
     logger.log(logEvents.processStopping);
     await Promise.race([Promise.all(campaigns), clock.sleep(values["process.stop_within"])]);
     background.abort();
--- a/packages/scheduler/src/service/local-scheduler-service.ts
+++ b/packages/scheduler/src/service/local-scheduler-service.ts
@@ -19,9 +19,7 @@
     NoService,
     NotOwner,
     NotRecorded,
-    OnceAnswer,
-    OnceRequest,
-    OwnedShardName,
+    OwnershipClaim,
     ProgramValues,
     schedulerSchema,
     SchedulerService,
@@ -29,6 +27,8 @@
     SettingsWatch,
     ShardStatus,
     SubmitRequest,
+    UnrepeatableRecordAnswer,
+    UnrepeatableRecordRequest,
     WaitRequest,
     WorkerStatus,
 } from "@pebbledale/runtime";
@@ -114,7 +114,9 @@
         return { kind: "granted", grants, duration, revision: this.sharedSettings.revision };
     }
 
-    async beginOnce(request: OnceRequest): Promise<OnceAnswer | NotOwner | NotRecorded> {
+    async beginUnrepeatable(
+        request: UnrepeatableRecordRequest,
+    ): Promise<UnrepeatableRecordAnswer | NotOwner | NotRecorded> {
         const owned = this.#servingShard(request.shard);
         if (owned === undefined) {
             return notOwner;
@@ -126,7 +128,9 @@
         });
     }
 
-    async endOnce(request: OnceRequest): Promise<OnceAnswer | NotOwner | NotRecorded> {
+    async endUnrepeatable(
+        request: UnrepeatableRecordRequest,
+    ): Promise<UnrepeatableRecordAnswer | NotOwner | NotRecorded> {
         const owned = this.#servingShard(request.shard);
         if (owned === undefined) {
             return notOwner;
@@ -152,7 +156,7 @@
         return this.sharedSettings.stored;
     }
 
-    async ownedShards(): Promise<readonly OwnedShardName[]> {
+    async ownedShards(): Promise<readonly OwnershipClaim[]> {
         return this.#allOwned().map(owned => ({ shard: owned.options.shard, epoch: owned.options.journal.epoch }));
     }
 
